--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -61,8 +61,11 @@
         """What the list says that is not so."""
         found = [f"no such test: {name}" for name in self.known if name not in self.ran]
         found += [f"skipped: {name}" for name in self.known if name in self.skipped]
-        return found + [f"passes, and is to be taken off the list: {name}" for name in self.known
-                        if name in self.ran - self.failed - self.skipped]
+        return found + [
+            f"passes, and is to be taken off the list: {name}"
+            for name in self.known
+            if name in self.ran - self.failed - self.skipped
+        ]
 
     def pytest_terminal_summary(self, terminalreporter: Any) -> None:
         for name, said in self.known.items():
--- a/ternquay/balance.py
+++ b/ternquay/balance.py
@@ -95,8 +95,11 @@
 
     def _list_changed(self, event: m.ListChanged) -> None:
         named = {line.host: line for line in event.lines}
-        lacks = [h for h in self.hosts.values() if not h.unlisted and (
-            event.whole if h.index not in named else named[h.index].standing is m.Standing.GONE)]
+        lacks = [
+            h
+            for h in self.hosts.values()
+            if not h.unlisted and (event.whole if h.index not in named else named[h.index].standing is m.Standing.GONE)
+        ]
         # Against a list that is wrong of hosts that serve, empty, shrunk or old: where gone is advice, one
         # that drops more of them at once than fail by themselves is not believed, and their answers decide.
         # A draining that was seen holds on. Harm: so many that went indeed cost hops that fail, until FORGET.
@@ -838,7 +841,13 @@
 
 
 HANDLERS: dict[type, Callable[..., None]] = {
-    m.TxArrived: Balancer._arrived, m.HopEnded: Balancer._hop_ended, m.TimerFired: Balancer._timer_fired,
-    m.TxWhole: Balancer._whole, m.TxGone: Balancer._gone, m.ListChanged: Balancer._list_changed,
-    m.ListLost: Balancer._list_lost, m.Started: Balancer._figures, m.Learned: Balancer._take,
+    m.TxArrived: Balancer._arrived,
+    m.HopEnded: Balancer._hop_ended,
+    m.TimerFired: Balancer._timer_fired,
+    m.TxWhole: Balancer._whole,
+    m.TxGone: Balancer._gone,
+    m.ListChanged: Balancer._list_changed,
+    m.ListLost: Balancer._list_lost,
+    m.Started: Balancer._figures,
+    m.Learned: Balancer._take,
 }
--- a/ternquay/cli.py
+++ b/ternquay/cli.py
@@ -53,6 +53,7 @@
     with service_in_a_line():
         from ternquay.hosted.host import run  # `serve` must not load any of it
         from ternquay.hosted.service import read_service
+
         run(read_service(Path(config)))
 
 
@@ -62,20 +63,24 @@
     if config.endswith(".toml"):
         with service_in_a_line():
             from ternquay.hosted.service import read_service
+
             service = read_service(Path(config))
-        typer.echo(f"{service.name}: {len(service.registry.tenants)} tenants, "
-                   f"{'a store' if service.store else 'no store'}, "
-                   f"{'an API' if service.api else 'no API'}, {service.process.sockets} sockets")
+        typer.echo(
+            f"{service.name}: {len(service.registry.tenants)} tenants, "
+            f"{'a store' if service.store else 'no store'}, "
+            f"{'an API' if service.api else 'no API'}, {service.process.sockets} sockets"
+        )
         return
     with told_in_a_line():
         launch = read_launch(config)
-    typer.echo(f"{launch.name}: listens on {launch.listen}, "
-               f"{len(launch.known['members'])} cache hosts, {len(launch.start.profiles)} profiles, "
-               f"{launch.limits.sockets} sockets")
+    typer.echo(
+        f"{launch.name}: listens on {launch.listen}, "
+        f"{len(launch.known['members'])} cache hosts, {len(launch.start.profiles)} profiles, "
+        f"{launch.limits.sockets} sockets"
+    )
 
 
-@app.command("rig", add_help_option=False,
-             context_settings={"allow_extra_args": True, "ignore_unknown_options": True})
+@app.command("rig", add_help_option=False, context_settings={"allow_extra_args": True, "ignore_unknown_options": True})
 def rig(context: typer.Context) -> None:
     """The project's own fleet on loopback: days, faults, a judge of the rules, experiments."""
     try:
@@ -86,8 +91,9 @@
     commands(args=context.args, prog_name="ternquay rig")
 
 
-@app.command("admin", add_help_option=False,
-             context_settings={"allow_extra_args": True, "ignore_unknown_options": True})
+@app.command(
+    "admin", add_help_option=False, context_settings={"allow_extra_args": True, "ignore_unknown_options": True}
+)
 def admin(context: typer.Context) -> None:
     """The administration API of a hosted service."""
     with service_in_a_line():
--- a/ternquay/consensus/core.py
+++ b/ternquay/consensus/core.py
@@ -439,8 +439,9 @@
         if self._grants(name, known, now):
             boot, asked = known.boot, known.asked
             known.granted, self.granted[name] = asked, now
-        self.out.append((name, Append(self.term, prev, self.log.term(prev), entries, self.commit, self.hold, now,
-                                      boot, asked)))
+        self.out.append(
+            (name, Append(self.term, prev, self.log.term(prev), entries, self.commit, self.hold, now, boot, asked))
+        )
 
     def _grants(self, name: str, known: Progress, now: int) -> bool:
         # One call, one grant: else a member that calls no more would never be taken to have lapsed.
@@ -453,7 +454,7 @@
         if one is None or one.index < self.log.base:
             self.wants_snapshot = True
             return
-        data = one.data[known.part: known.part + PART]
+        data = one.data[known.part : known.part + PART]
         self.out.append((name, Part(self.term, one.index, one.term, one.roster, known.part, len(one.data), data, now)))
 
     def provide(self, index: int, data: bytes) -> None:
@@ -504,16 +505,18 @@
 
     def _counted(self, now: int) -> None:
         """When the latest round was sent that a majority has answered; it renews the leader's own lease."""
-        rounds = sorted((now if name == self.me.name else known.round if known else 0)
-                        for name, known in self._voting())
+        rounds = sorted(
+            (now if name == self.me.name else known.round if known else 0) for name, known in self._voting()
+        )
         if rounds:
             self.round_at = max(self.round_at, rounds[(len(rounds) - 1) // 2])
             if self.settled() and self.voter():
                 self.lease_until = max(self.lease_until, self.round_at + self.figures.lease)
 
     def _commit(self, now: int) -> None:
-        ends = sorted((self.disk_last if name == self.me.name else known.saved if known else 0)
-                      for name, known in self._voting())
+        ends = sorted(
+            (self.disk_last if name == self.me.name else known.saved if known else 0) for name, known in self._voting()
+        )
         end = ends[(len(ends) - 1) // 2] if ends else 0
         # An entry of an older term counts with one of this term alone (Raft, figure 8).
         if end > self.commit and self._counts(end):
@@ -535,8 +538,11 @@
         if not self.figures.go_on:  # there who was taken out is out by the operators' word
             waits |= {name for name in self.granted if not self.lapsed(name, now)}
         mine = self.verdict[1] if self.verdict[0] == at else None
-        found = [replace_name(known.unfit, name) for name in sorted(waits)
-                 if (known := self.progress.get(name)) and known.judged == at and known.unfit is not None]
+        found = [
+            replace_name(known.unfit, name)
+            for name in sorted(waits)
+            if (known := self.progress.get(name)) and known.judged == at and known.unfit is not None
+        ]
         if mine is not None:
             found.append(replace_name(mine, self.me.name))
         if found:
@@ -575,8 +581,16 @@
     def missing(self, now: int) -> list[str]:
         """Members that the open proposal waits for."""
         at = self.log.undecided()
-        return [name for name in self._others() if not self.lapsed(name, now)
-                and not (self._holds(name, at) if self.hold == at else self._said(name, at))] if at else []
+        return (
+            [
+                name
+                for name in self._others()
+                if not self.lapsed(name, now)
+                and not (self._holds(name, at) if self.hold == at else self._said(name, at))
+            ]
+            if at
+            else []
+        )
 
     # ---- a follower's side ----
 
@@ -605,7 +619,7 @@
     def _appended(self, message: Append, now: int) -> None:
         prev, entries = message.prev, message.entries
         if prev < self.log.base:  # what lies behind the base is decided, and the same
-            entries = entries[self.log.base - prev:]
+            entries = entries[self.log.base - prev :]
             prev = self.log.base if prev + len(message.entries) >= self.log.base else prev
         known = self.log.term(prev)
         if known == -1 or (prev == message.prev and known != message.prev_term):
@@ -656,8 +670,19 @@
 
     def _answer(self, now: int, agreed: bool, last: int, round: int, part: int = 0) -> Ack:
         judged, unfit = self.verdict
-        return Ack(self.term, agreed, last, self.disk_last, round, self.boot, now, judged, unfit,
-                   max(self.held, default=0), part)
+        return Ack(
+            self.term,
+            agreed,
+            last,
+            self.disk_last,
+            round,
+            self.boot,
+            now,
+            judged,
+            unfit,
+            max(self.held, default=0),
+            part,
+        )
 
     def _part(self, message: Part, now: int) -> None:
         if message.base <= self.commit:
@@ -687,8 +712,9 @@
             if entry.kind in (Kind.DECIDE, Kind.DROP):
                 proposal = self.log.entry(entry.about)
                 unfit = unfitness_of(entry) if entry.kind is Kind.DROP else Unfitness()
-                self.outcomes.append(Outcome(self.applied, entry.about, proposal.term, proposal.body,
-                                             entry.kind is Kind.DECIDE, unfit))
+                self.outcomes.append(
+                    Outcome(self.applied, entry.about, proposal.term, proposal.body, entry.kind is Kind.DECIDE, unfit)
+                )
                 self.held.discard(entry.about)
                 if self.hold == entry.about:
                     self.hold = 0
--- a/ternquay/consensus/log.py
+++ b/ternquay/consensus/log.py
@@ -36,7 +36,7 @@
     def after(self, index: int, most: int, size: int) -> tuple[Entry, ...]:
         """Up to so many entries and bytes behind `index`; one at least, if there is one."""
         found: list[Entry] = []
-        for entry in self.entries[index - self.base: index - self.base + most]:
+        for entry in self.entries[index - self.base : index - self.base + most]:
             size -= len(entry.body)
             if found and size < 0:
                 break
@@ -50,7 +50,7 @@
     def cut(self, index: int) -> None:
         """Nothing stays behind `index`."""
         self._roster, self._undecided = None, -1
-        del self.entries[index - self.base:]
+        del self.entries[index - self.base :]
 
     def roster(self) -> tuple[Roster, int]:
         """Who belongs to the fleet, as the log has it last, and at which index that stands."""
--- a/ternquay/consensus/messages.py
+++ b/ternquay/consensus/messages.py
@@ -1,7 +1,7 @@
 """What members of a fleet tell each other about their log, and what stands in it.
 
-    text = encoded(Append(...))
-    message = decoded(text)        # raises ValueError on anything that is none
+text = encoded(Append(...))
+message = decoded(text)        # raises ValueError on anything that is none
 """
 
 from enum import IntEnum
--- a/ternquay/facts.py
+++ b/ternquay/facts.py
@@ -8,10 +8,16 @@
 KINDS = {"repeatable": m.Kind.IDEMPOTENT, "by_key": m.Kind.JOURNALLED, "once": m.Kind.NON_IDEMPOTENT}
 SCOPES = {"all": m.Scope.ALL, "zone": m.Scope.ZONE, "cell": m.Scope.CELL}
 WEIGHTS = {
-    "none": m.Weights.NONE, "nominal": m.Weights.SIZES, "rough": m.Weights.SIZES, "live": m.Weights.LIVE,
+    "none": m.Weights.NONE,
+    "nominal": m.Weights.SIZES,
+    "rough": m.Weights.SIZES,
+    "live": m.Weights.LIVE,
 }
 REPORTS = {  # a value whose name is not known is passed over
-    "concurrent": ("held", 1.0), "depth": ("held", 1.0), "mean_ms": ("service", 1e6), "err_ps": ("errors", 1.0),
+    "concurrent": ("held", 1.0),
+    "depth": ("held", 1.0),
+    "mean_ms": ("service", 1e6),
+    "err_ps": ("errors", 1.0),
     "tps": ("done", 1.0),
 }
 REPORT_MOST = 4
@@ -70,8 +76,10 @@
 
 def read_profile(at: str, told: dict[str, Any]) -> m.Profile:
     return m.Profile(
-        kind=choice(told, "Semantics", at, KINDS), scope=choice(told, "DedupScope", at, SCOPES, "cell"),
-        memory=span(told, "Window", at, usual=0), service_goal=span(told, "ServiceGoal", at, 1),
+        kind=choice(told, "Semantics", at, KINDS),
+        scope=choice(told, "DedupScope", at, SCOPES, "cell"),
+        memory=span(told, "Window", at, usual=0),
+        service_goal=span(told, "ServiceGoal", at, 1),
         hard_limit=span(told, "HardLimit", at, 1),
         overdue_revenue=number(told, "OverdueRevenue", at, -MOST, MOST, 0.0),
     )
@@ -88,21 +96,28 @@
     if not profiles:
         raise ValueError("Profiles: at least one is wanted")
     return m.Started(
-        seed=seed, balancers=int(number(facts, "Balancers", "", 1, MOST)),
-        number=int(number(facts, "MyNumber", "", 0, MOST, 0)), profiles=profiles,
+        seed=seed,
+        balancers=int(number(facts, "Balancers", "", 1, MOST)),
+        number=int(number(facts, "MyNumber", "", 0, MOST, 0)),
+        profiles=profiles,
         quotas=tuple(number(t, "QuotaPerS", at, 0, MOST) for at, t in named(facts.get("Tenants") or [], "Tenants")),
-        aside=family.get("Mode") == "aside", origin_kind=family.get("OriginKind", -1),
-        watch_list=facts.get("Discovery") == "on_request", cancel=limits.get("Cancel", False),
-        parallel=limits.get("ParallelTries", False), most_hops=int(number(limits, "MostHops", "Limits", 1, MOST, 1)),
+        aside=family.get("Mode") == "aside",
+        origin_kind=family.get("OriginKind", -1),
+        watch_list=facts.get("Discovery") == "on_request",
+        cancel=limits.get("Cancel", False),
+        parallel=limits.get("ParallelTries", False),
+        most_hops=int(number(limits, "MostHops", "Limits", 1, MOST, 1)),
         weights=choice(facts, "Weights", "", WEIGHTS, "none"),
         max_backoff=span(limits, "MaxRetryAfter", "Limits", usual=0) if limits.get("RetryAfter") else 0,
-        quantum=span(facts, "Quantum", "", usual=0), cold_share=number(rules, "ColdShare", "Invariants", 0, 1),
+        quantum=span(facts, "Quantum", "", usual=0),
+        cold_share=number(rules, "ColdShare", "Invariants", 0, 1),
         warm_within=span(rules, "WarmWithin", "Invariants"),
         tip_multiple=number(rules, "TipMultiple", "Invariants", 0, MOST),
         tip_window=span(rules, "Fall", "Invariants"),
         must_ask=span(rules, "MustAskIn", "Invariants", usual=0) or MUST_ASK,
         gone_is_advice=flag(rules, "GoneIsAdvice", "Invariants"),
-        zone=own_zone(facts), cross_price=number(table(facts, "Prices"), "CrossZone", "Prices", 0, MOST, 0.0),
+        zone=own_zone(facts),
+        cross_price=number(table(facts, "Prices"), "CrossZone", "Prices", 0, MOST, 0.0),
     )
 
 
@@ -149,7 +164,8 @@
         if not self.reports or not isinstance(row, list) or len(row) != len(self.reports):
             return None
         told = {
-            field: float(value) * unit for (field, unit), value in zip(self.reports, row, strict=True)
+            field: float(value) * unit
+            for (field, unit), value in zip(self.reports, row, strict=True)
             if field and isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= MOST
         }
         return m.Report(**told) if told else None
--- a/ternquay/handover/notes.py
+++ b/ternquay/handover/notes.py
@@ -39,8 +39,17 @@
 def written(note: Note) -> bytes:
     """Raises NoteUnfit where it would be longer than anybody reads."""
     members = [[x.id, str(x.where), x.zone, x.kind, x.cell, x.standing.name, x.hint, x.since] for x in note.members]
-    body = orjson.dumps({"at": note.at, "ceiling": note.ceiling, "serves": note.serves, "discovery": note.discovery,
-                         "revision": note.revision, "members": members, "learned": note.learned})
+    body = orjson.dumps(
+        {
+            "at": note.at,
+            "ceiling": note.ceiling,
+            "serves": note.serves,
+            "discovery": note.discovery,
+            "revision": note.revision,
+            "members": members,
+            "learned": note.learned,
+        }
+    )
     if len(body) > MOST:
         raise NoteUnfit(f"{len(body)} bytes are more than {MOST}")
     return b"ternquay handover %d %d %b\n%b" % (VERSION, len(body), digest(body), body)
@@ -58,15 +67,33 @@
         raise NoteUnfit("it is no note")
     if words[2] != b"%d" % VERSION:
         raise NoteUnfit(f"it is of version {words[2][:20]!r}")
-    body = data[len(head) + 1:]
+    body = data[len(head) + 1 :]
     if words[3] != b"%d" % len(body) or words[4] != digest(body):
         raise NoteUnfit("it is torn")
     try:
         told = orjson.loads(body)
-        members = tuple(Member(id=x[0], where=address(x[1], "members"), zone=x[2], kind=x[3], cell=x[4],
-                               standing=m.Standing[x[5]], hint=x[6], since=x[7]) for x in told["members"])
-        return Note(at=told["at"], ceiling=told["ceiling"], serves=told["serves"], discovery=told["discovery"],
-                    revision=told["revision"], members=members, learned=told["learned"])
+        members = tuple(
+            Member(
+                id=x[0],
+                where=address(x[1], "members"),
+                zone=x[2],
+                kind=x[3],
+                cell=x[4],
+                standing=m.Standing[x[5]],
+                hint=x[6],
+                since=x[7],
+            )
+            for x in told["members"]
+        )
+        return Note(
+            at=told["at"],
+            ceiling=told["ceiling"],
+            serves=told["serves"],
+            discovery=told["discovery"],
+            revision=told["revision"],
+            members=members,
+            learned=told["learned"],
+        )
     except (ValueError, KeyError, TypeError, IndexError) as fault:
         raise NoteUnfit(f"it lacks something: {fault!r}") from fault
 
@@ -81,8 +108,9 @@
 def learned_read(told: dict[str, Any], indices: dict[str, int]) -> m.Learned | None:
     """What is not known here is left out; None where it can't be read."""
     try:
-        hosts = tuple(m.LearnedHost(**(host | {"host": indices[name]})) for name, host in told["hosts"].items()
-                      if name in indices)
+        hosts = tuple(
+            m.LearnedHost(**(host | {"host": indices[name]})) for name, host in told["hosts"].items() if name in indices
+        )
         return m.Learned(**(told | {"hosts": hosts}))
     except (KeyError, TypeError, AttributeError):
         return None
--- a/ternquay/hosted/administration/admin.py
+++ b/ternquay/hosted/administration/admin.py
@@ -26,9 +26,14 @@
 app = typer.Typer(add_completion=False, no_args_is_help=True, help="The administration API of a hosted service.")
 tenants, servers, limits, profiles, keys = (typer.Typer(no_args_is_help=True) for _ in range(5))
 fleet = typer.Typer()
-for name, group, text in (("tenants", tenants, "Tenants."), ("servers", servers, "A tenant's cache hosts."),
-                          ("limits", limits, "A tenant's limits."), ("profiles", profiles, "A tenant's profiles."),
-                          ("keys", keys, "A tenant's keys."), ("fleet", fleet, "The fleet of a member.")):
+for name, group, text in (
+    ("tenants", tenants, "Tenants."),
+    ("servers", servers, "A tenant's cache hosts."),
+    ("limits", limits, "A tenant's limits."),
+    ("profiles", profiles, "A tenant's profiles."),
+    ("keys", keys, "A tenant's keys."),
+    ("fleet", fleet, "The fleet of a member."),
+):
     app.add_typer(group, name=name, help=text)
 
 Tenant = Annotated[str, typer.Argument(help="The tenant's name.")]
@@ -44,13 +49,15 @@
 
 
 @app.callback()
-def choose(url: Annotated[str, typer.Option(envvar="TERNQUAY_API")] = "http://127.0.0.1:9180",
-           token: Annotated[str, typer.Option(envvar="TERNQUAY_TOKEN", show_default=False)] = "",
-           token_file: Annotated[Path | None, typer.Option("--token-file")] = None,
-           ca: Annotated[str, typer.Option(help="Whom to trust, a PEM file.")] = "",
-           certificate: Annotated[str, typer.Option(help="To show to the API, a PEM file.")] = "",
-           key: Annotated[str, typer.Option(help="Of that certificate.")] = "",
-           as_json: Annotated[bool, typer.Option("--json", help="JSON instead of a table.")] = False) -> None:
+def choose(
+    url: Annotated[str, typer.Option(envvar="TERNQUAY_API")] = "http://127.0.0.1:9180",
+    token: Annotated[str, typer.Option(envvar="TERNQUAY_TOKEN", show_default=False)] = "",
+    token_file: Annotated[Path | None, typer.Option("--token-file")] = None,
+    ca: Annotated[str, typer.Option(help="Whom to trust, a PEM file.")] = "",
+    certificate: Annotated[str, typer.Option(help="To show to the API, a PEM file.")] = "",
+    key: Annotated[str, typer.Option(help="Of that certificate.")] = "",
+    as_json: Annotated[bool, typer.Option("--json", help="JSON instead of a table.")] = False,
+) -> None:
     with told_in_a_line():
         if token_file is not None:
             token = read_text(token_file).strip()
@@ -148,9 +155,19 @@
 def list_tenants() -> None:
     with told_in_a_line():
         found = caller().pages("/v1/tenants", "tenants")
-    show(found, [{"tenant": one["tenant"]["name"], "state": one["state"], "version": one["version"],
-                  "servers": len(one["tenant"]["servers"]) or one["tenant"]["source"],
-                  "listeners": one["tenant"]["listeners"]} for one in found])
+    show(
+        found,
+        [
+            {
+                "tenant": one["tenant"]["name"],
+                "state": one["state"],
+                "version": one["version"],
+                "servers": len(one["tenant"]["servers"]) or one["tenant"]["source"],
+                "listeners": one["tenant"]["listeners"],
+            }
+            for one in found
+        ],
+    )
 
 
 @tenants.command("show")
@@ -208,18 +225,24 @@
 
 
 @servers.command("put")
-def put_server(tenant: Tenant, name: str, place: str, zone: Annotated[str, typer.Option()] = "",
-               weight: Annotated[float, typer.Option()] = 1.0,
-               warm: Annotated[bool, typer.Option("--warm", help="It holds copies already.")] = False,
-               version: Version = 0) -> None:
+def put_server(
+    tenant: Tenant,
+    name: str,
+    place: str,
+    zone: Annotated[str, typer.Option()] = "",
+    weight: Annotated[float, typer.Option()] = 1.0,
+    warm: Annotated[bool, typer.Option("--warm", help="It holds copies already.")] = False,
+    version: Version = 0,
+) -> None:
     """One cache host, new or not. A new one counts as cold unless it is said to be warm."""
     body = {"name": name, "place": place, "zone": zone, "weight": weight, "started_ms": 1 if warm else 0}
     done(change("PUT", f"/v1/tenants/{tenant}/servers/{name}", body, version, f"/v1/tenants/{tenant}"))
 
 
 @servers.command("drain")
-def drain_server(tenant: Tenant, name: str, undo: Annotated[bool, typer.Option("--undo")] = False,
-                 version: Version = 0) -> None:
+def drain_server(
+    tenant: Tenant, name: str, undo: Annotated[bool, typer.Option("--undo")] = False, version: Version = 0
+) -> None:
     """Nothing new goes there any more."""
     one = next((s for s in get(f"/v1/tenants/{tenant}/servers")["servers"] if s["name"] == name), None)
     with told_in_a_line():
@@ -240,8 +263,11 @@
 
 
 @limits.command("set")
-def set_limits(tenant: Tenant, words: Annotated[list[str], typer.Argument(help="FIELD=NUMBER, as cpu.least=0.1")],
-               version: Version = 0) -> None:
+def set_limits(
+    tenant: Tenant,
+    words: Annotated[list[str], typer.Argument(help="FIELD=NUMBER, as cpu.least=0.1")],
+    version: Version = 0,
+) -> None:
     """Those named; the others stay."""
     body = get(f"/v1/tenants/{tenant}/limits")
     with told_in_a_line():
@@ -285,20 +311,31 @@
 
 
 @keys.command("make")
-def make_key(tenant: Tenant, name: str, scope: Annotated[str, typer.Option(help="administrator or reader")] = "reader",
-             expires_in_s: Annotated[int, typer.Option("--expires-in-s", min=0)] = 0) -> None:
+def make_key(
+    tenant: Tenant,
+    name: str,
+    scope: Annotated[str, typer.Option(help="administrator or reader")] = "reader",
+    expires_in_s: Annotated[int, typer.Option("--expires-in-s", min=0)] = 0,
+) -> None:
     body = {"name": name, "scope": scope, "expires_in_s": expires_in_s}
     with told_in_a_line():
         done(caller().call("POST", f"/v1/tenants/{tenant}/keys", body).body)
 
 
 @keys.command("rotate")
-def rotate_key(tenant: Tenant, name: str, new: Annotated[str, typer.Argument(help="The new key's name.")],
-               overlap_s: Annotated[int, typer.Option("--overlap-s", min=0)] = 3600) -> None:
+def rotate_key(
+    tenant: Tenant,
+    name: str,
+    new: Annotated[str, typer.Argument(help="The new key's name.")],
+    overlap_s: Annotated[int, typer.Option("--overlap-s", min=0)] = 3600,
+) -> None:
     """A new token; the old one goes on for the overlap."""
     with told_in_a_line():
-        done(caller().call("POST", f"/v1/tenants/{tenant}/keys/{name}/rotate",
-                           {"name": new, "overlap_s": overlap_s}).body)
+        done(
+            caller()
+            .call("POST", f"/v1/tenants/{tenant}/keys/{name}/rotate", {"name": new, "overlap_s": overlap_s})
+            .body
+        )
 
 
 @keys.command("remove")
@@ -313,16 +350,20 @@
     found = {"token": token, "name": name, "digest": tokens.digest_of(token).hex()}
     if Chosen.as_json:
         return show(found)
-    typer.echo(f"token, shown this once: {token}\nfor the service's file:\n\n[[api.operators]]\n"
-               f'name = "{name}"\ndigest = "{found["digest"]}"')
+    typer.echo(
+        f"token, shown this once: {token}\nfor the service's file:\n\n[[api.operators]]\n"
+        f'name = "{name}"\ndigest = "{found["digest"]}"'
+    )
 
 
 # ---- logs ----
 
 
 @app.command()
-def changes(after: Annotated[int, typer.Option(min=0)] = 0,
-            follow: Annotated[bool, typer.Option("--follow", help="Wait for more, until Ctrl-C.")] = False) -> None:
+def changes(
+    after: Annotated[int, typer.Option(min=0)] = 0,
+    follow: Annotated[bool, typer.Option("--follow", help="Wait for more, until Ctrl-C.")] = False,
+) -> None:
     """The change log after a version."""
     while True:
         found = get(f"/v1/changes?after={after}&limit=200" + ("&wait_s=30" if follow else ""))
@@ -358,9 +399,11 @@
         found = get("/v1/fleet")
         show(found, found["members"])
         if not Chosen.as_json:
-            typer.echo(f"{found['fleet']} as {found['me']} sees it: led by {found['leader'] or 'nobody'}, "
-                       f"term {found['term']}, version {found['version']}, without a majority: {found['alone']}"
-                       + (f", a change waits for {', '.join(found['waits_for'])}" if found["waits_for"] else ""))
+            typer.echo(
+                f"{found['fleet']} as {found['me']} sees it: led by {found['leader'] or 'nobody'}, "
+                f"term {found['term']}, version {found['version']}, without a majority: {found['alone']}"
+                + (f", a change waits for {', '.join(found['waits_for'])}" if found["waits_for"] else "")
+            )
 
 
 @fleet.command("leave")
@@ -404,8 +447,11 @@
 
 
 @app.command()
-def plan(file: TomlFile, remove: RemoveOthers = False,
-         detect: Annotated[bool, typer.Option("--detect", help="Exit with 7 if anything differs.")] = False) -> None:
+def plan(
+    file: TomlFile,
+    remove: RemoveOthers = False,
+    detect: Annotated[bool, typer.Option("--detect", help="Exit with 7 if anything differs.")] = False,
+) -> None:
     """What the file would change; changes nothing."""
     with told_in_a_line():
         steps = steps_of(caller(), file, remove)
@@ -436,7 +482,8 @@
             try:
                 found = one.call(step.method, step.path, step.body, version).body
             except CallFailed as fault:
-                raise CallFailed(f"{step.kind} {step.tenant}: {fault}; {n} of {len(steps)} changes were made",
-                                 fault.code) from fault
+                raise CallFailed(
+                    f"{step.kind} {step.tenant}: {fault}; {n} of {len(steps)} changes were made", fault.code
+                ) from fault
             versions[step.tenant] = found["version"]
     told(steps)
--- a/ternquay/hosted/administration/api.py
+++ b/ternquay/hosted/administration/api.py
@@ -91,11 +91,26 @@
         self.reply = reply
 
 
-TITLES = {400: "Bad call", 401: "Unauthorized", 403: "Forbidden", 404: "Not found", 405: "Method not allowed",
-          409: "Conflict", 411: "Length required", 412: "Precondition failed", 413: "Too large", 415: "No JSON",
-          431: "Line too long",
-          422: "Unfit", 428: "Precondition required", 429: "Too many calls", 500: "Fault",
-          503: "Not now", 504: "Outcome unknown", 507: "Trouble with the disk"}
+TITLES = {
+    400: "Bad call",
+    401: "Unauthorized",
+    403: "Forbidden",
+    404: "Not found",
+    405: "Method not allowed",
+    409: "Conflict",
+    411: "Length required",
+    412: "Precondition failed",
+    413: "Too large",
+    415: "No JSON",
+    431: "Line too long",
+    422: "Unfit",
+    428: "Precondition required",
+    429: "Too many calls",
+    500: "Fault",
+    503: "Not now",
+    504: "Outcome unknown",
+    507: "Trouble with the disk",
+}
 
 
 def problem(status: int, detail: str, at: str = "", headers: Mapping[str, str] | None = None) -> Reply:
@@ -152,13 +167,16 @@
 
 
 def shown(entry: Entry) -> dict[str, Any]:
-    return {"version": entry.version, "state": entry.tenant.state.value,
-            "tenant": d.plain(d.document_of(entry.tenant))}
+    return {"version": entry.version, "state": entry.tenant.state.value, "tenant": d.plain(d.document_of(entry.tenant))}
 
 
 def shown_key(key: Key) -> dict[str, Any]:
-    return {"name": key.name, "scope": key.scope.value, "since_ms": key.since // d.MS,
-            "until_ms": key.until // d.MS if key.until else None}
+    return {
+        "name": key.name,
+        "scope": key.scope.value,
+        "since_ms": key.since // d.MS,
+        "until_ms": key.until // d.MS if key.until else None,
+    }
 
 
 class Api:
@@ -223,8 +241,10 @@
         names = [who.tenant] if who.tenant else sorted(registry.tenants)
         names = [name for name in names if name > after]
         page = names[:most]
-        body: dict[str, Any] = {"tenants": [shown(registry.tenants[name]) for name in page],
-                                "version": registry.version}
+        body: dict[str, Any] = {
+            "tenants": [shown(registry.tenants[name]) for name in page],
+            "version": registry.version,
+        }
         if len(names) > most:
             body["next"] = urlsafe_b64encode(page[-1].encode()).decode()
         return Reply(200, body)
@@ -253,8 +273,13 @@
         return Reply(200, {"keys": [shown_key(key) for key in entry.tenant.keys]}, tag(entry.version))
 
     def _list_changes(self, call: Call, registry: Registry, who: Who, now: int, told: None) -> Outcome:
-        return Look("changes", number_in(call, "after", 0, 10**15), max(1, number_in(call, "limit", PAGE, PAGE_MOST)),
-                    number_in(call, "wait_s", 0, WAIT_MOST) * SECOND, who.tenant)
+        return Look(
+            "changes",
+            number_in(call, "after", 0, 10**15),
+            max(1, number_in(call, "limit", PAGE, PAGE_MOST)),
+            number_in(call, "wait_s", 0, WAIT_MOST) * SECOND,
+            who.tenant,
+        )
 
     def _list_audit(self, call: Call, registry: Registry, who: Who, now: int, told: None) -> Outcome:
         return Look("audit", number_in(call, "after", 0, 10**15), max(1, number_in(call, "limit", PAGE, PAGE_MOST)))
@@ -276,14 +301,23 @@
 
     # ---- changing ----
 
-    def _proposal(self, who: Who, change: Change, kind: str, tenant: str, detail: Any, status: int = 200,
-                  more: Mapping[str, Any] | None = None) -> Proposal:
+    def _proposal(
+        self,
+        who: Who,
+        change: Change,
+        kind: str,
+        tenant: str,
+        detail: Any,
+        status: int = 200,
+        more: Mapping[str, Any] | None = None,
+    ) -> Proposal:
         def reply(registry: Registry) -> Reply:
             entry = registry.tenants[tenant]
             headers = tag(entry.version)
             if status == 201:
                 headers["location"] = f"/v1/tenants/{tenant}"
             return Reply(status, {**shown(entry), **(more or {})}, headers)
+
         return Proposal(who, change, kind, tenant, detail, reply)
 
     def _make_tenant(self, call: Call, registry: Registry, who: Who, now: int, told: d.TenantDocument) -> Outcome:
@@ -296,8 +330,9 @@
         tenant = replace(tenant, keys=old.keys, state=old.state, servers=started(old.servers, tenant.servers, now))
         return self._proposal(who, Replace(tenant, entry.version), kind, old.name, detail)
 
-    def _replace_tenant(self, call: Call, registry: Registry, who: Who, now: int, told: d.TenantDocument,
-                        entry: Entry) -> Outcome:
+    def _replace_tenant(
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.TenantDocument, entry: Entry
+    ) -> Outcome:
         if told.name != entry.tenant.name:
             raise Unfit("name", "a tenant keeps its name")
         return self._replaced(who, entry, d.tenant_of(told), "replace", d.plain(told), now)
@@ -308,15 +343,18 @@
 
     def _servers(self, who: Who, entry: Entry, servers: tuple[Server, ...], now: int, detail: Any) -> Proposal:
         servers = started(entry.tenant.servers, servers, now)
-        return self._proposal(who, SetServers(entry.tenant.name, servers, entry.version), "servers",
-                              entry.tenant.name, detail)
+        return self._proposal(
+            who, SetServers(entry.tenant.name, servers, entry.version), "servers", entry.tenant.name, detail
+        )
 
-    def _set_servers(self, call: Call, registry: Registry, who: Who, now: int, told: d.ServersDocument,
-                     entry: Entry) -> Outcome:
+    def _set_servers(
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.ServersDocument, entry: Entry
+    ) -> Outcome:
         return self._servers(who, entry, d.servers_of(told.servers), now, d.plain(told))
 
-    def _set_server(self, call: Call, registry: Registry, who: Who, now: int, told: d.ServerDocument, entry: Entry,
-                    name: str) -> Outcome:
+    def _set_server(
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.ServerDocument, entry: Entry, name: str
+    ) -> Outcome:
         if told.name != name:
             raise Unfit("name", "is another than the path's")
         one = d.server_of(told, "server")
@@ -325,45 +363,59 @@
             return self._servers(who, entry, tuple(one if s.name == name else s for s in there), now, d.plain(told))
         return self._servers(who, entry, (*there, one), now, d.plain(told))
 
-    def _remove_server(self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: Entry,
-                       name: str) -> Outcome:
+    def _remove_server(
+        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: Entry, name: str
+    ) -> Outcome:
         left = tuple(server for server in entry.tenant.servers if server.name != name)
         if len(left) == len(entry.tenant.servers):
             raise NotThere(name)
         return self._servers(who, entry, left, now, {"removed": name})
 
-    def _set_limits(self, call: Call, registry: Registry, who: Who, now: int, told: d.LimitsDocument,
-                    entry: Entry) -> Outcome:
+    def _set_limits(
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.LimitsDocument, entry: Entry
+    ) -> Outcome:
         change = SetLimits(entry.tenant.name, d.limits_of(told), entry.version)
         return self._proposal(who, change, "limits", entry.tenant.name, d.plain(told))
 
-    def _set_profiles(self, call: Call, registry: Registry, who: Who, now: int, told: d.ProfilesDocument,
-                      entry: Entry) -> Outcome:
+    def _set_profiles(
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.ProfilesDocument, entry: Entry
+    ) -> Outcome:
         tenant = replace(entry.tenant, profiles=tuple(map(d.profile_of, told.profiles)))
         return self._replaced(who, entry, tenant, "profiles", d.plain(told), now)
 
-    def _set_state(self, call: Call, registry: Registry, who: Who, now: int, told: d.StateDocument,
-                   entry: Entry) -> Outcome:
+    def _set_state(
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.StateDocument, entry: Entry
+    ) -> Outcome:
         change = SetState(entry.tenant.name, d.state_of(told.state), entry.version)
         return self._proposal(who, change, "state", entry.tenant.name, d.plain(told))
 
     # ---- keys ----
 
-    def _with_key(self, who: Who, entry: Entry, left: tuple[Key, ...], name: str, scope: Scope, now: int, until: int,
-                  kind: str) -> Proposal:
+    def _with_key(
+        self, who: Who, entry: Entry, left: tuple[Key, ...], name: str, scope: Scope, now: int, until: int, kind: str
+    ) -> Proposal:
         tenant = entry.tenant.name
         token = self.make(tenant, name)
         key = Key(name, keys.digest_of(token), scope, now, until)
-        return self._proposal(who, SetKeys(tenant, (*left, key), entry.version), kind, tenant, {"key": name}, 201,
-                              {"key": shown_key(key), "token": token})
-
-    def _make_key(self, call: Call, registry: Registry, who: Who, now: int, told: d.KeyDocument,
-                  entry: Entry) -> Outcome:
+        return self._proposal(
+            who,
+            SetKeys(tenant, (*left, key), entry.version),
+            kind,
+            tenant,
+            {"key": name},
+            201,
+            {"key": shown_key(key), "token": token},
+        )
+
+    def _make_key(
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.KeyDocument, entry: Entry
+    ) -> Outcome:
         until = now + told.expires_in_s * SECOND if told.expires_in_s else 0
         return self._with_key(who, entry, entry.tenant.keys, told.name, Scope(told.scope), now, until, "key-made")
 
-    def _rotate_key(self, call: Call, registry: Registry, who: Who, now: int, told: d.RotationDocument, entry: Entry,
-                    name: str) -> Outcome:
+    def _rotate_key(
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.RotationDocument, entry: Entry, name: str
+    ) -> Outcome:
         old = next((key for key in entry.tenant.keys if key.name == name), None)
         if old is None:
             raise NotThere(name)
@@ -373,8 +425,9 @@
         left = tuple(key for key in left if not key.until or key.until > now)  # what has expired makes room
         return self._with_key(who, entry, left, told.name, old.scope, now, 0, "key-rotated")
 
-    def _remove_key(self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: Entry,
-                    name: str) -> Outcome:
+    def _remove_key(
+        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: Entry, name: str
+    ) -> Outcome:
         left = tuple(key for key in entry.tenant.keys if key.name != name)
         if len(left) == len(entry.tenant.keys):
             raise NotThere(name)
@@ -385,5 +438,4 @@
 def started(old: tuple[Server, ...], new: tuple[Server, ...], now: int) -> tuple[Server, ...]:
     """A cache host that a change adds is cold from then on, unless it is said since when it holds copies."""
     known = {server.place: server.started for server in old}
-    return tuple(
-        server if server.started else replace(server, started=known.get(server.place, now)) for server in new)
+    return tuple(server if server.started else replace(server, started=known.get(server.place, now)) for server in new)
--- a/ternquay/hosted/administration/caller.py
+++ b/ternquay/hosted/administration/caller.py
@@ -13,8 +13,24 @@
 TRIES, PAUSE = 4, 0.5
 # What scripts may tell apart.
 BAD, DENIED, NOT_THERE, CONFLICT, NOT_NOW = 2, 3, 4, 5, 6
-CODES = {400: BAD, 401: DENIED, 403: DENIED, 404: NOT_THERE, 405: BAD, 409: CONFLICT, 412: CONFLICT, 413: BAD,
-         415: BAD, 422: BAD, 428: CONFLICT, 429: NOT_NOW, 500: NOT_NOW, 503: NOT_NOW, 504: NOT_NOW, 507: NOT_NOW}
+CODES = {
+    400: BAD,
+    401: DENIED,
+    403: DENIED,
+    404: NOT_THERE,
+    405: BAD,
+    409: CONFLICT,
+    412: CONFLICT,
+    413: BAD,
+    415: BAD,
+    422: BAD,
+    428: CONFLICT,
+    429: NOT_NOW,
+    500: NOT_NOW,
+    503: NOT_NOW,
+    504: NOT_NOW,
+    507: NOT_NOW,
+}
 
 
 class CallFailed(Exception):
@@ -94,8 +110,9 @@
             return _read(status, found, told)
         raise AssertionError
 
-    def _once(self, method: str, path: str, text: str | None,
-              headers: Mapping[str, str]) -> tuple[int, bytes, dict[str, str]]:
+    def _once(
+        self, method: str, path: str, text: str | None, headers: Mapping[str, str]
+    ) -> tuple[int, bytes, dict[str, str]]:
         if self.connection is None:
             self.connection = self._connect()
         self.connection.request(method, path, text, dict(headers))
--- a/ternquay/hosted/administration/changes.py
+++ b/ternquay/hosted/administration/changes.py
@@ -92,8 +92,12 @@
         if isinstance(outcome, Reply):
             if outcome.status in (401, 403):
                 self.note(call, outcome)
-            if self.fleet is not None and outcome.status in REPEATED and call.method != "GET" and \
-                    not self.fleet.leads():
+            if (
+                self.fleet is not None
+                and outcome.status in REPEATED
+                and call.method != "GET"
+                and not self.fleet.leads()
+            ):
                 return self._passed_on(call)  # this member may be behind
             # A repeated call finds things as it left them, and is to be answered as it was then.
             if outcome.status not in REPEATED or "idempotency-key" not in call.headers:
@@ -270,14 +274,28 @@
         if look.what in ("fleet", "leave", "join"):
             if self.fleet is None:
                 return problem(404, "this process is a member of no fleet")
-            return Reply(200, self.fleet.status()) if look.what == "fleet" else (
-                self.fleet.leave(look.tenant) if look.what == "leave" else self.fleet.join(look.tenant))
+            return (
+                Reply(200, self.fleet.status())
+                if look.what == "fleet"
+                else (self.fleet.leave(look.tenant) if look.what == "leave" else self.fleet.join(look.tenant))
+            )
         if look.what == "process":
             return Reply(200, self.applier.process())
         if look.what == "audit":
             rows = yield self.stored.do(self.stored.store.audit, look.after, look.most)
-            lines = [{"id": id, "at_ms": one.at // 1_000_000, "who": one.who, "peer": one.peer, "call": one.call,
-                      "status": one.status, "why": one.why, "many": one.many} for id, one in rows]
+            lines = [
+                {
+                    "id": id,
+                    "at_ms": one.at // 1_000_000,
+                    "who": one.who,
+                    "peer": one.peer,
+                    "call": one.call,
+                    "status": one.status,
+                    "why": one.why,
+                    "many": one.many,
+                }
+                for id, one in rows
+            ]
             return Reply(200, {"audit": lines})
         until = self.clock() + look.wait
         while True:
@@ -289,8 +307,17 @@
             if changes or left <= 0 or len(self.watches) >= WATCHES_MOST or self.ended:
                 break
             yield self._new(left)
-        lines = [{"version": one.version, "at_ms": one.at // 1_000_000, "who": one.who, "tenant": one.tenant,
-                  "kind": one.kind, "detail": orjson.loads(one.body)} for one in changes]
+        lines = [
+            {
+                "version": one.version,
+                "at_ms": one.at // 1_000_000,
+                "who": one.who,
+                "tenant": one.tenant,
+                "kind": one.kind,
+                "detail": orjson.loads(one.body),
+            }
+            for one in changes
+        ]
         return Reply(200, {"changes": lines, "version": self.registry.version})
 
     def _new(self, most: int) -> "Deferred[None]":
@@ -328,7 +355,8 @@
         notes, self.notes = list(self.notes.values()), {}
         if notes and not self.ended:
             self.stored.do(self.stored.store.note, notes).addErrback(
-                lambda failure: logger.error("denied calls could not be noted: {}", failure.value))
+                lambda failure: logger.error("denied calls could not be noted: {}", failure.value)
+            )
 
     def end(self) -> None:
         """No further change is begun; what waits is told so."""
--- a/ternquay/hosted/administration/http.py
+++ b/ternquay/hosted/administration/http.py
@@ -28,8 +28,10 @@
     path, _, query = call_in.uri.decode("latin-1").partition("?")
     if len(path) > PATH_MOST or len(query) > QUERY_MOST:
         return problem(400, "the path is too long")
-    headers = {name.decode("latin-1").lower(): values[-1].decode("latin-1")
-               for name, values in call_in.requestHeaders.getAllRawHeaders()}
+    headers = {
+        name.decode("latin-1").lower(): values[-1].decode("latin-1")
+        for name, values in call_in.requestHeaders.getAllRawHeaders()
+    }
     try:
         told = dict(parse_qsl(query, max_num_fields=16, errors="strict"))
     except ValueError:
@@ -93,6 +95,7 @@
         try:
             if self.api.tls is not None:
                 from ternquay.hosted.administration.tls import Certificate
+
                 self.certificate = Certificate(self.api, Path(self.service.path).parent)
                 self.port = self.reactor.listenSSL(where.port, self, self.certificate, 64, where.host)
             else:
@@ -127,4 +130,5 @@
         if isinstance(call, Reply):
             return answer(call_in, call)
         self.keeper.call(call).addCallback(lambda reply: answer(call_in, reply)).addErrback(
-            lambda failure: logger.error("an answer failed: {}", failure.getTraceback()))
+            lambda failure: logger.error("an answer failed: {}", failure.getTraceback())
+        )
--- a/ternquay/hosted/administration/openapi.py
+++ b/ternquay/hosted/administration/openapi.py
@@ -10,12 +10,20 @@
 from ternquay.hosted.tenants.documents import TenantDocument
 
 PROBLEM = {
-    "type": "object", "required": ["type", "title", "status", "detail"],
-    "properties": {"type": {"type": "string"}, "title": {"type": "string"}, "status": {"type": "integer"},
-                   "detail": {"type": "string"}, "field": {"type": "string"}},
+    "type": "object",
+    "required": ["type", "title", "status", "detail"],
+    "properties": {
+        "type": {"type": "string"},
+        "title": {"type": "string"},
+        "status": {"type": "integer"},
+        "detail": {"type": "string"},
+        "field": {"type": "string"},
+    },
 }
 LINES = {
-    "cursor": "Where the page before ended", "limit": "Of a page", "after": "What comes after it",
+    "cursor": "Where the page before ended",
+    "limit": "Of a page",
+    "after": "What comes after it",
     "wait_s": "For something new, in seconds",
 }
 
@@ -23,27 +31,58 @@
 def _operation(route: Route) -> dict[str, Any]:
     names = [part[1:-1] for part in route.path.split("/") if part.startswith("{")]
     told: list[dict[str, Any]] = [
-        {"name": name, "in": "path", "required": True, "schema": {"type": "string"}} for name in names]
-    told += [{"name": name, "in": "query", "description": LINES[name],
-              "schema": {"type": "string" if name == "cursor" else "integer"}} for name in route.query]
+        {"name": name, "in": "path", "required": True, "schema": {"type": "string"}} for name in names
+    ]
+    told += [
+        {
+            "name": name,
+            "in": "query",
+            "description": LINES[name],
+            "schema": {"type": "string" if name == "cursor" else "integer"},
+        }
+        for name in route.query
+    ]
     if route.changes:
-        told.append({"name": "Idempotency-Key", "in": "header", "schema": {"type": "string", "maxLength": 255},
-                     "description": "A call that is repeated with it changes nothing twice"})
+        told.append(
+            {
+                "name": "Idempotency-Key",
+                "in": "header",
+                "schema": {"type": "string", "maxLength": 255},
+                "description": "A call that is repeated with it changes nothing twice",
+            }
+        )
         if route.method != "POST":
-            told.append({"name": "If-Match", "in": "header", "required": True, "schema": {"type": "string"},
-                         "description": "The version that the change is meant for"})
-    problems = {"description": "A problem", "content": {
-        "application/problem+json": {"schema": {"$ref": "#/components/schemas/Problem"}}}}
+            told.append(
+                {
+                    "name": "If-Match",
+                    "in": "header",
+                    "required": True,
+                    "schema": {"type": "string"},
+                    "description": "The version that the change is meant for",
+                }
+            )
+    problems = {
+        "description": "A problem",
+        "content": {"application/problem+json": {"schema": {"$ref": "#/components/schemas/Problem"}}},
+    }
     found: dict[str, Any] = {
-        "operationId": route.name, "summary": route.line, "parameters": told,
+        "operationId": route.name,
+        "summary": route.line,
+        "parameters": told,
         "description": f"For keys of scope {route.scope.value} and above.",
-        "responses": {str(route.status): {"description": "Done" if route.changes else "Found",
-                                          "content": {"application/json": {"schema": {"type": "object"}}}},
-                      "default": problems},
+        "responses": {
+            str(route.status): {
+                "description": "Done" if route.changes else "Found",
+                "content": {"application/json": {"schema": {"type": "object"}}},
+            },
+            "default": problems,
+        },
     }
     if route.takes is not None:
-        found["requestBody"] = {"required": True, "content": {
-            "application/json": {"schema": {"$ref": f"#/components/schemas/{route.takes.__name__}"}}}}
+        found["requestBody"] = {
+            "required": True,
+            "content": {"application/json": {"schema": {"$ref": f"#/components/schemas/{route.takes.__name__}"}}},
+        }
     return found
 
 
@@ -55,8 +94,12 @@
     for route in ROUTES:
         paths.setdefault(route.path, {})[route.method.lower()] = _operation(route)
     return {
-        "openapi": "3.1.0", "info": {"title": "ternquay administration", "version": VERSION},
-        "security": [{"token": []}], "paths": paths,
-        "components": {"schemas": {**dict(sorted(schemas.items())), "Problem": PROBLEM},
-                       "securitySchemes": {"token": {"type": "http", "scheme": "bearer"}}},
+        "openapi": "3.1.0",
+        "info": {"title": "ternquay administration", "version": VERSION},
+        "security": [{"token": []}],
+        "paths": paths,
+        "components": {
+            "schemas": {**dict(sorted(schemas.items())), "Problem": PROBLEM},
+            "securitySchemes": {"token": {"type": "http", "scheme": "bearer"}},
+        },
     }
--- a/ternquay/hosted/administration/plan.py
+++ b/ternquay/hosted/administration/plan.py
@@ -1,6 +1,6 @@
 """What a file of tenants would change, as calls of the administration API, with the lines that differ.
 
-    steps = planned(file, there, remove=False)   # pure
+steps = planned(file, there, remove=False)   # pure
 """
 
 from dataclasses import dataclass
@@ -25,12 +25,16 @@
 def differing(old: Any, new: Any, at: str = "") -> list[str]:
     """Each field that differs, with what it was and what it would be."""
     if isinstance(old, dict) and isinstance(new, dict):
-        return [line for name in sorted({*old, *new})
-                for line in differing(old.get(name), new.get(name), f"{at}.{name}" if at else name)]
+        return [
+            line
+            for name in sorted({*old, *new})
+            for line in differing(old.get(name), new.get(name), f"{at}.{name}" if at else name)
+        ]
     if isinstance(old, list) and isinstance(new, list) and _named(old) and _named(new):
         was, will = ({one["name"]: one for one in those} for those in (old, new))
-        return [line for name in sorted({*was, *will})
-                for line in differing(was.get(name), will.get(name), f"{at}[{name}]")]
+        return [
+            line for name in sorted({*was, *will}) for line in differing(was.get(name), will.get(name), f"{at}[{name}]")
+        ]
     return [] if old == new else [f"{at}: {_short(old)} -> {_short(new)}"]
 
 
@@ -80,6 +84,15 @@
         steps.append(Step("replace", name, "PUT", path, body, there["version"], lines))
     if state != there["state"]:
         # After a change before it the version is another one, which only that call tells.
-        steps.append(Step("state", name, "PUT", f"{path}/state", {"state": state}, -1 if lines else there["version"],
-                          (f"state: {there['state']} -> {state}",)))
+        steps.append(
+            Step(
+                "state",
+                name,
+                "PUT",
+                f"{path}/state",
+                {"state": state},
+                -1 if lines else there["version"],
+                (f"state: {there['state']} -> {state}",),
+            )
+        )
     return steps
--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -82,10 +82,16 @@
 def change_of(commit: Commit) -> Change:
     one, answered, noted = commit.logged, commit.answered, commit.noted
     return Change(
-        one.tenant, one.version, one.at, one.who, one.kind, one.body,
+        one.tenant,
+        one.version,
+        one.at,
+        one.who,
+        one.kind,
+        one.body,
         (kept(commit.entry.tenant), commit.entry.version, commit.entry.incarnation) if commit.entry else None,
         (answered.who, answered.key, answered.asked, answered.status, answered.body) if answered else None,
-        (noted.who, noted.peer, noted.call, noted.status, noted.why) if noted else None)
+        (noted.who, noted.peer, noted.call, noted.status, noted.why) if noted else None,
+    )
 
 
 def commit_of(told: Change) -> Commit:
@@ -95,8 +101,12 @@
     if told.answered is not None:
         who, key, asked, status, body = told.answered
         answered = Answered(who, key, asked, status, told.version, body)
-    return Commit(Logged(told.version, told.at, told.who, told.tenant, told.kind, told.detail), entry, answered,
-                  Noted(told.at, *told.noted) if told.noted else None)
+    return Commit(
+        Logged(told.version, told.at, told.who, told.tenant, told.kind, told.detail),
+        entry,
+        answered,
+        Noted(told.at, *told.noted) if told.noted else None,
+    )
 
 
 def clock() -> int:
@@ -104,16 +114,29 @@
 
 
 class Fleet:
-    def __init__(self, reactor: Any, fellows: Fellows, host: Any, stored: Any, store: FleetStore, life: Life,
-                 clock: Callable[[], int] = clock) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        fellows: Fellows,
+        host: Any,
+        stored: Any,
+        store: FleetStore,
+        life: Life,
+        clock: Callable[[], int] = clock,
+    ) -> None:
         self.reactor, self.fellows, self.host, self.stored, self.store = reactor, fellows, host, stored, store
         self.clock, self.random = clock, Random()
         self.figures = Figures.of(fellows.lease, fellows.go_on)
         self.patience = PATIENCE + 3 * fellows.lease / SECOND
         others = {name: place for name, place in fellows.places.items() if name != fellows.me}
         self.members = Members(tuple(others), SUSPECT)
-        self.links = Links(reactor, (fellows.listen.host, fellows.listen.port),
-                           {name: (place.host, place.port) for name, place in others.items()}, self._taken, self.random)
+        self.links = Links(
+            reactor,
+            (fellows.listen.host, fellows.listen.port),
+            {name: (place.host, place.port) for name, place in others.items()},
+            self._taken,
+            self.random,
+        )
         self.jobs: deque[Job] = deque()
         self.writing = self.reading = False
         self.trouble = ""
@@ -216,8 +239,21 @@
 
     def _frame(self, to: str, what: What, body: bytes) -> bytes:
         founded = self.founded.id if self.founded is not None else ""
-        return sealed(Frame(VERSION, self.fellows.fleet, founded, self.me.name, self.me.disk, self.life.boot, to,
-                            self.marks, what, body), self.fellows.key)
+        return sealed(
+            Frame(
+                VERSION,
+                self.fellows.fleet,
+                founded,
+                self.me.name,
+                self.me.disk,
+                self.life.boot,
+                to,
+                self.marks,
+                what,
+                body,
+            ),
+            self.fellows.key,
+        )
 
     def _taken(self, text: bytes) -> bool:
         """Whatever it is, it ends nothing here. Whether it came from a member."""
@@ -255,8 +291,9 @@
         if self.ended:
             return
         self.reactor.callLater(PING, self._ping)
-        body = msgspec.msgpack.encode(Ping(self.agreed.version, self.founded, self.why_not(), self.trouble,
-                                           self.core.leader))
+        body = msgspec.msgpack.encode(
+            Ping(self.agreed.version, self.founded, self.why_not(), self.trouble, self.core.leader)
+        )
         for name in self.members.others:
             self.links.ping(name, self._frame(name, What.PING, body))
 
@@ -415,8 +452,9 @@
         except Exception as fault:  # of the program: this member is without the change, so it takes nothing
             logger.bind(tenant=logged.tenant, version=logged.version).exception("a change could not be applied")
             self._cannot(logged.tenant, Unfit("", f"a fault of the program: {fault}"))
-        logger.bind(tenant=logged.tenant, version=logged.version, who=logged.who, kind=logged.kind,
-                    clock=time.monotonic_ns()).info("changed")
+        logger.bind(
+            tenant=logged.tenant, version=logged.version, who=logged.who, kind=logged.kind, clock=time.monotonic_ns()
+        ).info("changed")
         self.news()
 
     def _cannot(self, name: str, fault: Unfit) -> None:
@@ -580,8 +618,13 @@
         """A change that was asked for here goes to who leads; its reply comes back the same way."""
         leader = self.core.leader
         if not leader or leader == self.me.name or len(self.passed) >= PASSED_MOST:
-            return succeed(problem(503, "nobody leads: no majority of the fleet is in reach" if not leader else
-                                   "too many changes wait", headers={"retry-after": "1"}))
+            return succeed(
+                problem(
+                    503,
+                    "nobody leads: no majority of the fleet is in reach" if not leader else "too many changes wait",
+                    headers={"retry-after": "1"},
+                )
+            )
         id = self.random.getrandbits(53)
         reply: Deferred[Reply] = Deferred()
         self.passed[id] = leader, reply
@@ -602,8 +645,11 @@
     def _passed_on(self, sender: str, told: Passed) -> None:
         if told.call is not None:
             call = Call(*told.call)
-            done = self.carry_out(call) if self.leads() else succeed(
-                problem(503, f"{self.me.name} leads no more", headers={"retry-after": "1"}))
+            done = (
+                self.carry_out(call)
+                if self.leads()
+                else succeed(problem(503, f"{self.me.name} leads no more", headers={"retry-after": "1"}))
+            )
             done.addCallback(self._reply, sender, told.id)
         elif told.reply is not None and told.id in self.passed:
             status, body, headers = told.reply
@@ -645,18 +691,36 @@
         for name in sorted({*self.fellows.places, *disks}):
             mine, ping = name == self.me.name, self.pings.get(name)
             why = self.why_not() if mine else ping.why_not if ping else ""
-            rows.append({
-                "name": name, "member": name in disks, "leads": name == self.core.leader,
-                "reach": "here" if mine else believed.get(name, "not in the file"),
-                "version": self.agreed.version if mine else ping.version if ping else None,
-                "fenced": bool(why), "why": why, "disk": self.trouble if mine else ping.trouble if ping else "",
-                "heard_ms": 0 if mine else self._age(name, now)})
+            rows.append(
+                {
+                    "name": name,
+                    "member": name in disks,
+                    "leads": name == self.core.leader,
+                    "reach": "here" if mine else believed.get(name, "not in the file"),
+                    "version": self.agreed.version if mine else ping.version if ping else None,
+                    "fenced": bool(why),
+                    "why": why,
+                    "disk": self.trouble if mine else ping.trouble if ping else "",
+                    "heard_ms": 0 if mine else self._age(name, now),
+                }
+            )
         open_at = self.core.log.undecided()
-        return {"fleet": self.fellows.fleet, "me": self.me.name, "leader": self.core.leader, "term": self.core.term,
-                "version": self.agreed.version, "log": self.core.log.last, "committed": self.core.commit,
-                "under_way": bool(open_at), "waits_for": self.core.missing(now) if self.leads() else [],
-                "alone": "go-on" if self.fellows.go_on else "stop", "lease_ms": self.fellows.lease // MS,
-                "members": rows, "out": list(roster.out), "dropped": dict(sorted(self.links.dropped.items()))}
+        return {
+            "fleet": self.fellows.fleet,
+            "me": self.me.name,
+            "leader": self.core.leader,
+            "term": self.core.term,
+            "version": self.agreed.version,
+            "log": self.core.log.last,
+            "committed": self.core.commit,
+            "under_way": bool(open_at),
+            "waits_for": self.core.missing(now) if self.leads() else [],
+            "alone": "go-on" if self.fellows.go_on else "stop",
+            "lease_ms": self.fellows.lease // MS,
+            "members": rows,
+            "out": list(roster.out),
+            "dropped": dict(sorted(self.links.dropped.items())),
+        }
 
     def _age(self, name: str, now: int) -> int | None:
         known = self.members.others.get(name)
--- a/ternquay/hosted/fleet/store.py
+++ b/ternquay/hosted/fleet/store.py
@@ -175,14 +175,17 @@
         if job.install is not None:
             one = job.install
             db.execute("DELETE FROM fleet_log")
-            self._tell(db, base=one.index, base_term=one.term, roster=msgspec.msgpack.encode(one.roster),
-                       applied=one.index)
+            self._tell(
+                db, base=one.index, base_term=one.term, roster=msgspec.msgpack.encode(one.roster), applied=one.index
+            )
             if one.data:
                 self._install(db, carried_of(one.data))
         elif job.cut >= 0:
             db.execute("DELETE FROM fleet_log WHERE at > ?", (job.cut,))
-            db.executemany("INSERT INTO fleet_log VALUES (?, ?, ?, ?, ?)", [
-                (job.cut + 1 + n, e.term, int(e.kind), e.about, e.body) for n, e in enumerate(job.entries)])
+            db.executemany(
+                "INSERT INTO fleet_log VALUES (?, ?, ?, ?, ?)",
+                [(job.cut + 1 + n, e.term, int(e.kind), e.about, e.body) for n, e in enumerate(job.entries)],
+            )
 
     def _install(self, db: sqlite3.Connection, one: Carried) -> None:
         for table in ("tenants", "answers", "changes"):
@@ -201,10 +204,14 @@
             db.execute("BEGIN")
             try:
                 tenants = db.execute("SELECT name, version, incarnation, body FROM tenants ORDER BY name").fetchall()
-                answers = db.execute("SELECT who, key, asked, at, status, version, body FROM answers ORDER BY at DESC "
-                                     "LIMIT ?", (ANSWERS_MOST,)).fetchall()
-                changes = db.execute("SELECT version, at, who, tenant, kind, body FROM changes ORDER BY version DESC "
-                                     "LIMIT ?", (CHANGES_SENT,)).fetchall()
+                answers = db.execute(
+                    "SELECT who, key, asked, at, status, version, body FROM answers ORDER BY at DESC LIMIT ?",
+                    (ANSWERS_MOST,),
+                ).fetchall()
+                changes = db.execute(
+                    "SELECT version, at, who, tenant, kind, body FROM changes ORDER BY version DESC LIMIT ?",
+                    (CHANGES_SENT,),
+                ).fetchall()
                 one = Carried(self._meta(db, "version"), tuple(tenants), tuple(answers), tuple(changes))
                 return int(self._told(db, "applied") or b"0"), msgspec.msgpack.encode(one)
             finally:
--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -43,8 +43,15 @@
         self.lent = Lent(max(16, service.process.sockets - OWN_DESCRIPTORS))
         self.memory = service.process.memory_mb << 20
         self.own = service.fellows.address if service.fellows is not None else ""
-        self.common = Common(reactor, service.process, self.loop, Ledger(), self.lent,
-                             lambda: time.time_ns() - int(reactor.seconds() * SECOND), self._retell)
+        self.common = Common(
+            reactor,
+            service.process,
+            self.loop,
+            Ledger(),
+            self.lent,
+            lambda: time.time_ns() - int(reactor.seconds() * SECOND),
+            self._retell,
+        )
         self.tenancies: dict[str, Tenancy] = {}
         self.by_id: dict[str, Tenancy] = {}
         self.removing: set[str] = set()
@@ -90,7 +97,7 @@
         try:
             return bound(self.reactor, new, self.own)
         except Unfit as fault:
-            at = after.tenant.listeners.index(new[int(fault.field[len("listeners["):-1])])
+            at = after.tenant.listeners.index(new[int(fault.field[len("listeners[") : -1])])
             raise Unfit(f"listeners[{at}]", fault.why) from fault
 
     def apply(self, registry: Registry, name: str, prepared: Prepared) -> None:
@@ -202,10 +209,15 @@
 
     def process(self) -> dict[str, Any]:
         use = time.process_time()
-        return {"name": self.service.name, "up_s": round(self.reactor.seconds() - self.began, 1),
-                "version": self.registry.version, "cpu_s": round(use, 3), "sockets": self.lent.total,
-                "sockets_most": self.lent.whole,
-                "tenants": {name: tenancy.use() for name, tenancy in sorted(self.tenancies.items())}}
+        return {
+            "name": self.service.name,
+            "up_s": round(self.reactor.seconds() - self.began, 1),
+            "version": self.registry.version,
+            "cpu_s": round(use, 3),
+            "sockets": self.lent.total,
+            "sockets_most": self.lent.whole,
+            "tenants": {name: tenancy.use() for name, tenancy in sorted(self.tenancies.items())},
+        }
 
     # ---- the operators' file again, where there is no store ----
 
@@ -218,7 +230,8 @@
                 name = change.tenant.name if isinstance(change, Make | Replace) else change.name
                 expected = isinstance(fault, Unfit | NotThere | Stale)
                 logger.opt(exception=not expected).bind(tenant=name, cause=str(fault)).error(
-                    "the file's change was not made")
+                    "the file's change was not made"
+                )
 
     # ---- the end ----
 
@@ -318,11 +331,13 @@
         from ternquay.hosted.administration.api import Api
         from ternquay.hosted.administration.changes import Keeper, Stored
         from ternquay.hosted.store import Store, StoreError
+
         fellows, life = self.service.fellows, None
         store: Store
         try:
             if fellows is not None:
                 from ternquay.hosted.fleet.store import FleetStore
+
                 store = member = FleetStore(self.service.store)
                 life = member.begin_life()
             else:
@@ -338,6 +353,7 @@
         self.host.remove = self.keeper.remove
         if fellows is not None:
             from ternquay.hosted.fleet.member import Fleet
+
             assert life is not None
             self.fleet = Fleet(self.reactor, fellows, self.host, self.stored, member, life)
             self.keeper.join(self.fleet)
@@ -350,6 +366,7 @@
             self.host.begin()
             if self.service.api is not None:
                 from ternquay.hosted.administration.http import ApiPort
+
                 self.api = ApiPort(self.reactor, self.service, self.keeper)
                 self.api.begin()
         except Unfit as fault:
@@ -405,8 +422,11 @@
         # What is there now stays: to look through it again and again held all transactions up for 50 to 80 ms.
         gc.collect()
         gc.freeze()
-        for number, what in ((signal.SIGTERM, running.end), (signal.SIGINT, running.end),
-                             (signal.SIGHUP, running.reload)):
+        for number, what in (
+            (signal.SIGTERM, running.end),
+            (signal.SIGINT, running.end),
+            (signal.SIGHUP, running.reload),
+        ):
             reactor.callWhenRunning(_heed, reactor, number, what)
         reactor.run()
     finally:
--- a/ternquay/hosted/logs.py
+++ b/ternquay/hosted/logs.py
@@ -11,8 +11,11 @@
 
 def line_of(record: dict[str, Any]) -> str:
     """One line of what loguru hands in; what is bound and not known here is left out, so no value slips in."""
-    told: dict[str, Any] = {"at": record["time"].isoformat(timespec="milliseconds"), "level": record["level"].name,
-                            "message": record["message"]}
+    told: dict[str, Any] = {
+        "at": record["time"].isoformat(timespec="milliseconds"),
+        "level": record["level"].name,
+        "message": record["message"],
+    }
     told.update({name: record["extra"][name] for name in FIELDS if name in record["extra"]})
     if record["exception"] is not None:
         fault = record["exception"]
--- a/ternquay/hosted/service.py
+++ b/ternquay/hosted/service.py
@@ -174,10 +174,17 @@
         raise Unfit("api", "a store is wanted, as what is acknowledged has to last")
     fellows = _fellows(path, told)
     return Service(
-        path=str(path), name=told.name, process=_process(told.process, fellows), fellows=fellows,
+        path=str(path),
+        name=told.name,
+        process=_process(told.process, fellows),
+        fellows=fellows,
         store=_beside(path, told.store),
-        api=told.api, listen=_listen(path, told.api), operators=_operators(told.api), log=told.log,
-        registry=registry_of(told.tenants))
+        api=told.api,
+        listen=_listen(path, told.api),
+        operators=_operators(told.api),
+        log=told.log,
+        registry=registry_of(told.tenants),
+    )
 
 
 def _fellows(path: Path, told: ServiceDocument) -> Fellows | None:
@@ -207,8 +214,17 @@
         address = str(ip_address(peers.address)) if peers.address else ""
     except ValueError as fault:
         raise Unfit("peers.address", "an address is wanted") from fault
-    return Fellows(peers.fleet, peers.me, places, listen, _key(path, peers), peers.lease_ms * MS,
-                   peers.alone == "go-on", address, peers.log_kept)
+    return Fellows(
+        peers.fleet,
+        peers.me,
+        places,
+        listen,
+        _key(path, peers),
+        peers.lease_ms * MS,
+        peers.alone == "go-on",
+        address,
+        peers.log_kept,
+    )
 
 
 def _key(path: Path, told: PeersDocument) -> bytes:
@@ -224,7 +240,8 @@
 def _process(told: ProcessDocument, fellows: Fellows | None) -> Process:
     if fellows is not None:
         told = msgspec.structs.replace(
-            told, balancers=len(fellows.places), number=sorted(fellows.places).index(fellows.me))
+            told, balancers=len(fellows.places), number=sorted(fellows.places).index(fellows.me)
+        )
     if told.number >= told.balancers:
         raise Unfit("process.number", f"there are {told.balancers} balancers, from 0")
     seed = told.seed if told.seed is not None else Random().getrandbits(64)
--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -198,8 +198,9 @@
 class TenantFront(Front):
     """`shut`: nought, or how long what comes is told to wait, as the tenant takes nothing now."""
 
-    def __init__(self, reactor: Any, door: Door, limits: Limits, sockets: Sockets, turn: Turn, loop: Loop, name: str,
-                 dues: Dues) -> None:
+    def __init__(
+        self, reactor: Any, door: Door, limits: Limits, sockets: Sockets, turn: Turn, loop: Loop, name: str, dues: Dues
+    ) -> None:
         super().__init__(reactor, door, limits, sockets, turn)
         self.loop, self.name, self.dues = loop, name, dues
         self.by_address: dict[str, dict[TenantClient, None]] = {}
@@ -242,8 +243,15 @@
 
     def _half(self, clients: "Iterable[TenantClient]") -> "Iterable[TenantClient]":
         """Those that are owed nothing and have written a part of a command; not who waits for a turn to be read."""
-        return (client for client in clients if client not in self.resting and not client.owed and not client.queued
-                and not client.ended and not client.waits)
+        return (
+            client
+            for client in clients
+            if client not in self.resting
+            and not client.owed
+            and not client.queued
+            and not client.ended
+            and not client.waits
+        )
 
     def _close_some(self, clients: "Iterable[TenantClient]", most: int) -> int:
         """Closes so many at most, none on which bytes have come that were not read: they may be a request's last."""
--- a/ternquay/hosted/store.py
+++ b/ternquay/hosted/store.py
@@ -188,18 +188,26 @@
         return Registry(MappingProxyType(tenants), version)
 
     def answered(self, who: str, key: bytes) -> Answered | None:
-        row = self._rows("SELECT who, key, asked, status, version, body FROM answers WHERE who = ? AND key = ?",
-                         (who, key))
+        row = self._rows(
+            "SELECT who, key, asked, status, version, body FROM answers WHERE who = ? AND key = ?", (who, key)
+        )
         return Answered(*row[0]) if row else None
 
     def changes(self, after: int, most: int, tenant: str = "") -> list[Logged]:
-        return [Logged(*row) for row in self._rows(
-            "SELECT version, at, who, tenant, kind, body FROM changes WHERE version > ? AND (? = '' OR tenant = ?) "
-            "ORDER BY version LIMIT ?", (after, tenant, tenant, most))]
+        return [
+            Logged(*row)
+            for row in self._rows(
+                "SELECT version, at, who, tenant, kind, body FROM changes WHERE version > ? AND (? = '' OR tenant = ?) "
+                "ORDER BY version LIMIT ?",
+                (after, tenant, tenant, most),
+            )
+        ]
 
     def audit(self, after: int, most: int) -> list[tuple[int, Noted]]:
-        rows = self._rows("SELECT id, at, who, peer, call, status, why, many FROM audit WHERE id > ? "
-                          "ORDER BY id LIMIT ?", (after, most))
+        rows = self._rows(
+            "SELECT id, at, who, peer, call, status, why, many FROM audit WHERE id > ? ORDER BY id LIMIT ?",
+            (after, most),
+        )
         return [(row[0], Noted(*row[1:])) for row in rows]
 
     def _rows(self, text: str, terms: tuple[Any, ...]) -> list[Any]:
@@ -258,13 +266,17 @@
         if change.entry is None:
             db.execute("DELETE FROM tenants WHERE name = ?", (logged.tenant,))
         else:
-            db.execute("INSERT OR REPLACE INTO tenants VALUES (?, ?, ?, ?)", (
-                logged.tenant, change.entry.version, change.entry.incarnation, kept(change.entry.tenant)))
+            db.execute(
+                "INSERT OR REPLACE INTO tenants VALUES (?, ?, ?, ?)",
+                (logged.tenant, change.entry.version, change.entry.incarnation, kept(change.entry.tenant)),
+            )
         self.step("tenant")
         db.execute("UPDATE meta SET value = ? WHERE name = 'version'", (logged.version,))
         self.step("version")
-        db.execute("INSERT INTO changes VALUES (?, ?, ?, ?, ?, ?)", (
-            logged.version, logged.at, logged.who, logged.tenant, logged.kind, logged.body))
+        db.execute(
+            "INSERT INTO changes VALUES (?, ?, ?, ?, ?, ?)",
+            (logged.version, logged.at, logged.who, logged.tenant, logged.kind, logged.body),
+        )
         db.execute("DELETE FROM changes WHERE version <= ?", (logged.version - CHANGES_MOST,))
         self.step("logged")
         if change.answered is not None:
@@ -275,15 +287,18 @@
         self.step("noted")
 
     def _answer(self, db: sqlite3.Connection, at: int, one: Answered) -> None:
-        db.execute("INSERT INTO answers VALUES (?, ?, ?, ?, ?, ?, ?)", (
-            one.who, one.key, one.asked, at, one.status, one.version, one.body))
+        db.execute(
+            "INSERT INTO answers VALUES (?, ?, ?, ?, ?, ?, ?)",
+            (one.who, one.key, one.asked, at, one.status, one.version, one.body),
+        )
         db.execute("DELETE FROM answers WHERE at < ?", (at - ANSWERS_KEPT,))
         if one.version % 64 == 0:  # it looks through all of them
-            db.execute("DELETE FROM answers WHERE rowid IN (SELECT rowid FROM answers ORDER BY at DESC LIMIT -1 "
-                            "OFFSET ?)", (ANSWERS_MOST,))
+            db.execute(
+                "DELETE FROM answers WHERE rowid IN (SELECT rowid FROM answers ORDER BY at DESC LIMIT -1 OFFSET ?)",
+                (ANSWERS_MOST,),
+            )
 
     def _note(self, db: sqlite3.Connection, lines: Iterable[Noted]) -> None:
         rows = [(one.at, one.who, one.peer, one.call, one.status, one.why, one.many) for one in lines]
-        db.executemany("INSERT INTO audit (at, who, peer, call, status, why, many) VALUES (?, ?, ?, ?, ?, ?, ?)",
-                            rows)
+        db.executemany("INSERT INTO audit (at, who, peer, call, status, why, many) VALUES (?, ?, ?, ?, ?, ?, ?)", rows)
         db.execute("DELETE FROM audit WHERE id <= (SELECT max(id) FROM audit) - ?", (AUDIT_MOST,))
--- a/ternquay/hosted/tenants/documents.py
+++ b/ternquay/hosted/tenants/documents.py
@@ -166,8 +166,9 @@
 
 
 def server_of(told: ServerDocument, field: str) -> Server:
-    return Server(told.name, place_of(told.place, f"{field}.place"), told.zone, told.weight, told.started_ms * MS,
-                  told.draining)
+    return Server(
+        told.name, place_of(told.place, f"{field}.place"), told.zone, told.weight, told.started_ms * MS, told.draining
+    )
 
 
 def servers_of(told: tuple[ServerDocument, ...]) -> tuple[Server, ...]:
@@ -175,63 +176,107 @@
 
 
 def server_document(server: Server) -> ServerDocument:
-    return ServerDocument(server.name, place_text(server.place), server.zone, server.weight, server.started // MS,
-                          server.draining)
+    return ServerDocument(
+        server.name, place_text(server.place), server.zone, server.weight, server.started // MS, server.draining
+    )
 
 
 def profile_of(told: ProfileDocument) -> NamedProfile:
-    return NamedProfile(told.name, m.Profile(
-        KINDS[told.kind], SCOPES[told.scope], told.memory_ms * MS, told.service_goal_ms * MS,
-        told.hard_limit_ms * MS, told.overdue_revenue))
+    return NamedProfile(
+        told.name,
+        m.Profile(
+            KINDS[told.kind],
+            SCOPES[told.scope],
+            told.memory_ms * MS,
+            told.service_goal_ms * MS,
+            told.hard_limit_ms * MS,
+            told.overdue_revenue,
+        ),
+    )
 
 
 def profile_document(one: NamedProfile) -> ProfileDocument:
     p = one.profile
-    return ProfileDocument(one.name, KIND_WORDS[p.kind], p.service_goal // MS,  # type: ignore[arg-type]
-                           p.hard_limit // MS, SCOPE_WORDS[p.scope], p.memory // MS,  # type: ignore[arg-type]
-                           p.overdue_revenue)
+    return ProfileDocument(
+        one.name,
+        KIND_WORDS[p.kind],  # type: ignore[arg-type]
+        p.service_goal // MS,
+        p.hard_limit // MS,
+        SCOPE_WORDS[p.scope],  # type: ignore[arg-type]
+        p.memory // MS,
+        p.overdue_revenue,
+    )
 
 
 def limits_of(told: LimitsDocument) -> TenantLimits:
     cpu, sockets, memory = (Guarantee(part.least, part.most) for part in (told.cpu, told.sockets, told.memory))
-    return TenantLimits(told.txs_a_second, told.burst, told.open_txs, told.held_bytes, told.clients,
-                        told.host_connections, cpu, sockets, memory)
+    return TenantLimits(
+        told.txs_a_second,
+        told.burst,
+        told.open_txs,
+        told.held_bytes,
+        told.clients,
+        told.host_connections,
+        cpu,
+        sockets,
+        memory,
+    )
 
 
 def limits_document(limits: TenantLimits) -> LimitsDocument:
-    cpu, sockets, memory = (PartDocument(part.least, part.most) for part in (
-        limits.cpu, limits.sockets, limits.memory))
-    return LimitsDocument(limits.txs_a_second, limits.burst, limits.open_txs, limits.held, limits.clients,
-                          limits.host_connections, cpu, sockets, memory)
+    cpu, sockets, memory = (PartDocument(part.least, part.most) for part in (limits.cpu, limits.sockets, limits.memory))
+    return LimitsDocument(
+        limits.txs_a_second,
+        limits.burst,
+        limits.open_txs,
+        limits.held,
+        limits.clients,
+        limits.host_connections,
+        cpu,
+        sockets,
+        memory,
+    )
 
 
 def rules_of(told: RulesDocument) -> RuleFigures:
-    return RuleFigures(told.drain_grace_ms * MS, told.cold_share, told.warm_within_ms * MS, told.tip_multiple,
-                       told.tip_window_ms * MS)
+    return RuleFigures(
+        told.drain_grace_ms * MS, told.cold_share, told.warm_within_ms * MS, told.tip_multiple, told.tip_window_ms * MS
+    )
 
 
 def rules_document(rules: RuleFigures) -> RulesDocument:
-    return RulesDocument(rules.drain_grace // MS, rules.cold_share, rules.warm_within // MS, rules.tip_multiple,
-                         rules.tip_window // MS)
+    return RulesDocument(
+        rules.drain_grace // MS, rules.cold_share, rules.warm_within // MS, rules.tip_multiple, rules.tip_window // MS
+    )
 
 
 def tenant_of(told: TenantDocument) -> Tenant:
     """Raises Unfit at the first thing that is wrong with it by itself."""
     tenant = Tenant(
-        told.name, tuple(place_of(one, f"listeners[{i}]") for i, one in enumerate(told.listeners)),
-        servers_of(told.servers), tuple(map(profile_of, told.profiles)), rules_of(told.rules),
-        limits_of(told.limits), tuple(Share(one.name, one.txs_a_second) for one in told.shares),
-        source=place_of(told.source, "source") if told.source is not None else None)
+        told.name,
+        tuple(place_of(one, f"listeners[{i}]") for i, one in enumerate(told.listeners)),
+        servers_of(told.servers),
+        tuple(map(profile_of, told.profiles)),
+        rules_of(told.rules),
+        limits_of(told.limits),
+        tuple(Share(one.name, one.txs_a_second) for one in told.shares),
+        source=place_of(told.source, "source") if told.source is not None else None,
+    )
     fit(tenant)
     return tenant
 
 
 def document_of(tenant: Tenant) -> TenantDocument:
     return TenantDocument(
-        tenant.name, tuple(map(place_text, tenant.listeners)), tuple(map(profile_document, tenant.profiles)),
-        tuple(map(server_document, tenant.servers)), place_text(tenant.source) if tenant.source else None,
-        rules_document(tenant.rules), limits_document(tenant.limits),
-        tuple(ShareDocument(one.name, one.txs_a_second) for one in tenant.shares))
+        tenant.name,
+        tuple(map(place_text, tenant.listeners)),
+        tuple(map(profile_document, tenant.profiles)),
+        tuple(map(server_document, tenant.servers)),
+        place_text(tenant.source) if tenant.source else None,
+        rules_document(tenant.rules),
+        limits_document(tenant.limits),
+        tuple(ShareDocument(one.name, one.txs_a_second) for one in tenant.shares),
+    )
 
 
 # ---- as the store keeps it: with keys (by their digests) and state ----
--- a/ternquay/hosted/tenants/ledger.py
+++ b/ternquay/hosted/tenants/ledger.py
@@ -63,8 +63,12 @@
 
     def _beside(self, tenant: str) -> set[str]:
         """Whoever names a machine that this one names too."""
-        return {other for named in self.lists.get(tenant, {}).values()
-                for other in self.machines[named.place].named if len(self.machines[named.place].named) > 1}
+        return {
+            other
+            for named in self.lists.get(tenant, {}).values()
+            for other in self.machines[named.place].named
+            if len(self.machines[named.place].named) > 1
+        }
 
     def told(self, now: int, tenant: str, hosts: Mapping[str, Named], gone: Iterable[Place] = ()) -> set[str]:
         """Its list is this one; `gone`: machines of which its source says that they are no more."""
--- a/ternquay/hosted/tenants/registry.py
+++ b/ternquay/hosted/tenants/registry.py
@@ -94,7 +94,9 @@
 NO_TENANTS: Mapping[str, Entry] = MappingProxyType({})
 # From which state which others may follow; what is ending does not come back.
 FOLLOWS = {
-    State.ACTIVE: {State.SUSPENDED, State.ENDING}, State.SUSPENDED: {State.ACTIVE, State.ENDING}, State.ENDING: set(),
+    State.ACTIVE: {State.SUSPENDED, State.ENDING},
+    State.SUSPENDED: {State.ACTIVE, State.ENDING},
+    State.ENDING: set(),
 }
 
 
@@ -136,8 +138,9 @@
             return replace(there, state=change.state)
         if isinstance(change, SetServers):
             return replace(there, servers=change.servers)
-        return replace(there, limits=change.limits) if isinstance(change, SetLimits) else replace(
-            there, keys=change.keys)
+        return (
+            replace(there, limits=change.limits) if isinstance(change, SetLimits) else replace(there, keys=change.keys)
+        )
 
     def _there(self, name: str, meant: int) -> Tenant:
         entry = self.tenants.get(name)
@@ -161,8 +164,7 @@
         own: set[Place] = set()
         for i, place in enumerate(tenant.listeners):
             if place in taken or place in own:
-                raise Unfit(f"listeners[{i}]", f"{place.host}:{place.port} is taken by "
-                                               f"{taken.get(place, tenant.name)}")
+                raise Unfit(f"listeners[{i}]", f"{place.host}:{place.port} is taken by {taken.get(place, tenant.name)}")
             own.add(place)
         for i, server in enumerate(tenant.servers):
             if server.place in taken or server.place in own:
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -76,17 +76,34 @@
     """What the tenant's decisions are told. Its last share is of those who crowd others: beyond it from the first."""
     rules = tenant.rules
     return m.Started(
-        seed=process.seed, balancers=process.balancers, number=process.number,
+        seed=process.seed,
+        balancers=process.balancers,
+        number=process.number,
         profiles=tuple(one.profile for one in tenant.profiles),
         quotas=(*(share.txs_a_second for share in tenant.shares), 0.0),
-        aside=False, origin_kind=-1, watch_list=False, cancel=True, parallel=True, most_hops=MOST_HOPS,
-        weights=m.Weights.SIZES, max_backoff=BACKOFF_MOST, quantum=0, cold_share=rules.cold_share,
-        warm_within=rules.warm_within, tip_multiple=rules.tip_multiple, tip_window=rules.tip_window)
+        aside=False,
+        origin_kind=-1,
+        watch_list=False,
+        cancel=True,
+        parallel=True,
+        most_hops=MOST_HOPS,
+        weights=m.Weights.SIZES,
+        max_backoff=BACKOFF_MOST,
+        quantum=0,
+        cold_share=rules.cold_share,
+        warm_within=rules.warm_within,
+        tip_multiple=rules.tip_multiple,
+        tip_window=rules.tip_window,
+    )
 
 
 def names_of(tenant: Tenant, zones: Numbers) -> Names:
-    names = Names({"Profiles": [{"Name": one.name} for one in tenant.profiles],
-                   "Tenants": [{"Name": share.name} for share in tenant.shares]})
+    names = Names(
+        {
+            "Profiles": [{"Name": one.name} for one in tenant.profiles],
+            "Tenants": [{"Name": share.name} for share in tenant.shares],
+        }
+    )
     names.shares[CROWDING] = len(tenant.shares)
     names.zones = zones
     return names
@@ -96,18 +113,33 @@
     """The sizes, counts and times of one tenant; its own limits, within what the process has."""
     own = tenant.limits
     facts = {
-        "Limits": {"RetryAfter": True, "MaxRetryAfter": BACKOFF_MOST // 1000, "StreamsPerConn": 16,
-                   "DialTimeout": 250_000, "ConnIdle": 5_000_000, "MostHeld": 2 * own.open_txs},
-        "Profiles": [{"HardLimit": one.profile.hard_limit // 1000, "ServiceGoal": one.profile.service_goal // 1000}
-                     for one in tenant.profiles],
+        "Limits": {
+            "RetryAfter": True,
+            "MaxRetryAfter": BACKOFF_MOST // 1000,
+            "StreamsPerConn": 16,
+            "DialTimeout": 250_000,
+            "ConnIdle": 5_000_000,
+            "MostHeld": 2 * own.open_txs,
+        },
+        "Profiles": [
+            {"HardLimit": one.profile.hard_limit // 1000, "ServiceGoal": one.profile.service_goal // 1000}
+            for one in tenant.profiles
+        ],
         "Invariants": {"MustAskIn": 10_000_000},
     }
     whole = fill(facts, process.sockets, process.memory_mb)
     memory = int(own.memory.most * process.memory_mb * (1 << 20))
     return replace(
-        whole, sockets=max(4, int(own.sockets.most * process.sockets) - SPARE), spare=SPARE, clients=own.clients,
-        value=65536, answer=1 << 20, whole=1 << 20,  # kept whole, as a tenant's memory is counted
-        held=max(1 << 20, min(own.held, memory)), resting=max(8, own.clients // 2))
+        whole,
+        sockets=max(4, int(own.sockets.most * process.sockets) - SPARE),
+        spare=SPARE,
+        clients=own.clients,
+        value=65536,
+        answer=1 << 20,
+        whole=1 << 20,  # kept whole, as a tenant's memory is counted
+        held=max(1 << 20, min(own.held, memory)),
+        resting=max(8, own.clients // 2),
+    )
 
 
 class TenantConnection(HostConnection):
@@ -212,12 +244,14 @@
         self.door = TenantDoor(reactor, started_of(common.process, tenant), names_of(tenant, self.zones), self.limits)
         self.door.told, self.door.machine_ended = self._told, self._machine_ended
         self.pool = self.door.pool = TenantPool(
-            common.loop, self.id, reactor, self.door, self.limits, self.sockets, True)
+            common.loop, self.id, reactor, self.door, self.limits, self.sockets, True
+        )
         self.turn = OwnTurn(turn, self.limits.turn)
         self.door.stood_still = self.turn.stood_still
         self.dues = Dues(tenant.limits.txs_a_second, tenant.limits.burst)
         self.front = TenantFront(
-            reactor, self.door, self.limits, self.sockets, self.turn, common.loop, self.id, self.dues)
+            reactor, self.door, self.limits, self.sockets, self.turn, common.loop, self.id, self.dues
+        )
         self.front.open_most = tenant.limits.open_txs
         self.front.gate = self._gate
         self.front.fenced = partial(common.wait, tenant.name) if common.wait is not None else None
@@ -351,8 +385,9 @@
         taken = {_place(member.where) for member in self.members.values()}
         named = {id: Named(_place(member.where), member.standing, member.since) for id, member in self.members.items()}
         source = self.entry.tenant.source is not None
-        told = self.common.ledger.told(self.door.now(), self.id, named,
-                                       [place for place in places if source and place not in taken])
+        told = self.common.ledger.told(
+            self.door.now(), self.id, named, [place for place in places if source and place not in taken]
+        )
         self.settle()
         self.common.retell(told - {self.id})
 
@@ -360,9 +395,11 @@
         """Its list as the ledger has it goes to the decisions."""
         lines = self.common.ledger.lines(self.door.now(), self.id)
         members = tuple(
-            replace(member, standing=lines[id].standing, since=lines[id].since, part=lines[id].part,
-                    zone=member.zone or id)
-            for id, member in self.members.items())
+            replace(
+                member, standing=lines[id].standing, since=lines[id].since, part=lines[id].part, zone=member.zone or id
+            )
+            for id, member in self.members.items()
+        )
         self.door.settled(members, {id: line.place for id, line in lines.items() if line.shared})
 
     def _machine_ended(self, place: Place, end: m.End) -> None:
@@ -384,9 +421,14 @@
 
     def use(self) -> dict[str, Any]:
         part = self.common.loop.parts.get(self.id)
-        return {"clients": self.sockets.clients, "host_connections": self.sockets.hosts, "open": len(self.door.txs),
-                "held_bytes": self.held(), "cpu_s": round(part.spent / SECOND, 3) if part else 0.0,
-                "servers": len(self.members)}
+        return {
+            "clients": self.sockets.clients,
+            "host_connections": self.sockets.hosts,
+            "open": len(self.door.txs),
+            "held_bytes": self.held(),
+            "cpu_s": round(part.spent / SECOND, 3) if part else 0.0,
+            "servers": len(self.members),
+        }
 
 
 def _place(where: Address) -> Place:
--- a/ternquay/net/__main__.py
+++ b/ternquay/net/__main__.py
@@ -16,6 +16,7 @@
     try:
         launch = read_launch(config)
         from ternquay.net.serve import run  # the reactor is chosen as it starts
+
         run(launch)
     except LaunchError as fault:
         return str(fault)
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -262,8 +262,17 @@
 
     def arrives(self, command: meta.Command, owed: Owed, unread: int) -> None:
         names, left = command.names, max(0, command.ttl_ms * MS - unread)
-        arrival = Arrival(names["c"], self.share(command), command.key.decode("latin-1"),
-                          left, names.get("r") == "1", command.write, command, self.coming, unread)
+        arrival = Arrival(
+            names["c"],
+            self.share(command),
+            command.key.decode("latin-1"),
+            left,
+            names.get("r") == "1",
+            command.write,
+            command,
+            self.coming,
+            unread,
+        )
         owed.tx = self.front.door.arrived(arrival, owed)
         if owed.tx < 0:
             owed.put(b"CLIENT_ERROR unknown profile\r\n")
--- a/ternquay/net/discovery.py
+++ b/ternquay/net/discovery.py
@@ -95,8 +95,15 @@
 class Discovery:
     """Follows the list at one address until end(); for another address there is another of these."""
 
-    def __init__(self, reactor: Any, door: Door, limits: Limits, where: Address, start_times: StartTimes,
-                 instead: "Discovery | None" = None) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        door: Door,
+        limits: Limits,
+        where: Address,
+        start_times: StartTimes,
+        instead: "Discovery | None" = None,
+    ) -> None:
         self.reactor, self.door, self.limits, self.start_times = reactor, door, limits, start_times
         self.where = where
         self.url = f"http://{where}/api/targets"
--- a/ternquay/net/door.py
+++ b/ternquay/net/door.py
@@ -120,8 +120,9 @@
 
 
 class Door:
-    def __init__(self, clock: Clock, start: m.Started, names: Names, limits: Limits,
-                 decisions: type[Balancer] = Balancer) -> None:
+    def __init__(
+        self, clock: Clock, start: m.Started, names: Names, limits: Limits, decisions: type[Balancer] = Balancer
+    ) -> None:
         self.clock, self.names, self.limits = clock, names, limits
         self.start = start
         self.tell = Flood(clock.seconds, limits.flood).tell
@@ -223,8 +224,9 @@
         profile = self.names.profiles.get(arrival.profile)
         if profile is None:
             return -1
-        tx = OpenTx(self.next_tx, asker, arrival.message, flow=arrival.flow, came=self.now(),
-                    whole=arrival.flow is None)
+        tx = OpenTx(
+            self.next_tx, asker, arrival.message, flow=arrival.flow, came=self.now(), whole=arrival.flow is None
+        )
         self.next_tx += 1
         if len(self.txs) >= self.limits.open_txs or self.held > self.limits.held:
             self.safety.refuses(RefuseReason.REQUESTS, asker.id)
@@ -241,8 +243,18 @@
         if tx.whole:
             # The decisions answer in time; this is against one that they forget.
             tx.call = self.later(self.now() + ttl, self._overdue, tx)
-        self.happened(m.TxArrived(tx.id, profile, self.names.shares.get(arrival.share, -1), arrival.key,
-                                  ttl, again, arrival.write, tx.whole))
+        self.happened(
+            m.TxArrived(
+                tx.id,
+                profile,
+                self.names.shares.get(arrival.share, -1),
+                arrival.key,
+                ttl,
+                again,
+                arrival.write,
+                tx.whole,
+            )
+        )
         return tx.id
 
     def whole(self, number: int) -> None:
@@ -321,8 +333,13 @@
         which it is known as one; and nothing for a client that has gone, of which a loop that is behind, or that reads
         no more of it for now, has not been told.
         """
-        attempt = Attempt(hop.tx.answered, hop.tx.whole, hop.not_past, hop.begin_by,
-                          stale=not hop.waited and self.stood_still(self.now()))
+        attempt = Attempt(
+            hop.tx.answered,
+            hop.tx.whole,
+            hop.not_past,
+            hop.begin_by,
+            stale=not hop.waited and self.stood_still(self.now()),
+        )
         return self.safety.may_begin(attempt, lambda: self._departed(hop.tx), hop.tx.asker.id) is None
 
     def _departed(self, tx: OpenTx) -> bool:
@@ -445,8 +462,13 @@
             self.hosts[member.id] = self.next_host
             self.next_host += 1
         return m.Listed(
-            host=self.hosts[member.id], address=member.id,
-            zone=self.names.zones.get(member.zone, -1), kind=self.names.kinds.get(member.kind, -1),
-            cell=member.cell, standing=member.standing, hint=member.hint, since=member.since,
+            host=self.hosts[member.id],
+            address=member.id,
+            zone=self.names.zones.get(member.zone, -1),
+            kind=self.names.kinds.get(member.kind, -1),
+            cell=member.cell,
+            standing=member.standing,
+            hint=member.hint,
+            since=member.since,
             part=member.part * self.part,
         )
--- a/ternquay/net/flow.py
+++ b/ternquay/net/flow.py
@@ -14,8 +14,9 @@
 
 
 class Flow:
-    def __init__(self, length: int, most: int, hold: Callable[[bool], None],
-                 drop: Callable[[], None] = nothing) -> None:
+    def __init__(
+        self, length: int, most: int, hold: Callable[[bool], None], drop: Callable[[], None] = nothing
+    ) -> None:
         self.length, self.most, self.hold, self.drop = length, most, hold, drop
         self.sink: Callable[[], None] = nothing
         self.pieces: deque[bytes] = deque()
--- a/ternquay/net/follow.py
+++ b/ternquay/net/follow.py
@@ -93,8 +93,9 @@
             # Not longer each time, as the time that is left is short; and not for ever, as discovery may be down.
             pause, self.pause = self.pause, min(self.limits.hasten, self.limits.again)
             return self._about(pause)
-        least, most = (self.limits.breath // 2, self.limits.again) if self.pushed else (
-            self.limits.anew, self.limits.anew_most)
+        least, most = (
+            (self.limits.breath // 2, self.limits.again) if self.pushed else (self.limits.anew, self.limits.anew_most)
+        )
         self.pause = max(least, min(most, self.pause * 2))
         return self._about(self.pause)
 
--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -212,8 +212,9 @@
     def silent(self) -> bool:
         """A large value has begun, and nothing more of it comes though nobody holds it back."""
         flow = self.flow
-        return flow is not None and not flow.held_back and (
-            self.pool.door.now() - self.moved > self.pool.limits.stalled)
+        return (
+            flow is not None and not flow.held_back and (self.pool.door.now() - self.moved > self.pool.limits.stalled)
+        )
 
     def takes_nothing(self) -> bool:
         """A large value goes out, and the cache host takes no more of it: its client is held back meanwhile.
--- a/ternquay/net/http.py
+++ b/ternquay/net/http.py
@@ -130,8 +130,12 @@
         body, headers = self.port.told(status, detail)
         head = b"HTTP/1.1 %d %b\r\n" % (status, http.RESPONSES.get(status, b"Turned away"))
         lines = {**headers, "content-length": str(len(body)), "connection": "close"}
-        self.transport.write(head + b"".join(b"%b: %b\r\n" % (name.encode(), value.encode())
-                                             for name, value in lines.items()) + b"\r\n" + body)
+        self.transport.write(
+            head
+            + b"".join(b"%b: %b\r\n" % (name.encode(), value.encode()) for name, value in lines.items())
+            + b"\r\n"
+            + body
+        )
         self.transport.loseConnection()
 
 
--- a/ternquay/net/launch.py
+++ b/ternquay/net/launch.py
@@ -89,8 +89,11 @@
     memory = whole_number(bounds.get("memory_mb"), "limits.memory_mb", two * LEAST_MEMORY)
     told_at = told.get("management", env.get("EDGE_MANAGEMENT") or None)
     try:
-        start, names, limits = read_start(read_seed(told.get("seed")), facts), Names(facts), fill(
-            facts, sockets, memory, managed=told_at is not None, two=two > 1)
+        start, names, limits = (
+            read_start(read_seed(told.get("seed")), facts),
+            Names(facts),
+            fill(facts, sockets, memory, managed=told_at is not None, two=two > 1),
+        )
     except KeyError as fault:
         raise LaunchError(f"settings: {fault.args[0]} is missing or not known") from fault
     except (TypeError, AttributeError, ValueError, OverflowError) as fault:
@@ -107,7 +110,13 @@
     except ToldWrong as fault:
         raise LaunchError(str(fault)) from fault
     return Launch(
-        path=path, name=str(told.get("name") or env.get("EDGE_NAME", "")), listen=listen, management=management,
+        path=path,
+        name=str(told.get("name") or env.get("EDGE_NAME", "")),
+        listen=listen,
+        management=management,
         discovery=discovery,
-        start=start, names=names, known=known, limits=limits,
+        start=start,
+        names=names,
+        known=known,
+        limits=limits,
     )
--- a/ternquay/net/listener.py
+++ b/ternquay/net/listener.py
@@ -34,8 +34,22 @@
 from ternquay.net.transports import PatientServer
 
 # Errors of the connection that was to be accepted, which accept(2) passes on, or of one that a firewall forbids.
-OF_ONE_CONNECTION = frozenset({ECONNABORTED, EHOSTDOWN, EHOSTUNREACH, EINTR, ENETDOWN, ENETUNREACH, ENONET,
-                               ENOPROTOOPT, EOPNOTSUPP, EPERM, EPROTO, ETIMEDOUT})
+OF_ONE_CONNECTION = frozenset(
+    {
+        ECONNABORTED,
+        EHOSTDOWN,
+        EHOSTUNREACH,
+        EINTR,
+        ENETDOWN,
+        ENETUNREACH,
+        ENONET,
+        ENOPROTOOPT,
+        EOPNOTSUPP,
+        EPERM,
+        EPROTO,
+        ETIMEDOUT,
+    }
+)
 # Seconds without accepting after any other error: doubled by each that follows before a connection was accepted.
 PAUSE_LEAST, PAUSE_MOST = 0.002, 0.064
 ACCEPT_QUEUE = Struct("=24xI")  # of the kernel's tcp_info: of a listening socket, what waits (tcpi_unacked)
--- a/ternquay/net/listing.py
+++ b/ternquay/net/listing.py
@@ -65,9 +65,13 @@
         raise ToldWrong(f"{at}.id: a name is wanted, not {name!r:.40}")
     since = int(number(told, "up_since_ms", at, 0, TIME_MOST, 0))
     return Member(
-        id=name, where=address(told.get("host_port"), f"{at}.host_port"), zone=str(told.get("locality", "")),
-        kind=str(told.get("flavor", "")), cell=int(number(told, "cell", at, 0, REVISION_MOST, 0)),
-        standing=choice(told, "phase", at, STANDINGS), hint=float(number(told, "size", at, 0, 1e6, 0.0)),
+        id=name,
+        where=address(told.get("host_port"), f"{at}.host_port"),
+        zone=str(told.get("locality", "")),
+        kind=str(told.get("flavor", "")),
+        cell=int(number(told, "cell", at, 0, REVISION_MOST, 0)),
+        standing=choice(told, "phase", at, STANDINGS),
+        hint=float(number(told, "size", at, 0, 1e6, 0.0)),
         since=since * MS - since_offset if since else 0,
     )
 
--- a/ternquay/net/meta.py
+++ b/ternquay/net/meta.py
@@ -149,12 +149,12 @@
     end = at + length
     if len(buffer) < end + 2:
         return -1
-    return end if buffer[end:end + 2] == b"\r\n" else -2
+    return end if buffer[end : end + 2] == b"\r\n" else -2
 
 
 def piece_of(buffer: bytearray, at: int, left: int) -> bytes:
     """What has come of a value that wants `left` more bytes."""
-    return bytes(memoryview(buffer)[at:at + min(left, len(buffer) - at)])
+    return bytes(memoryview(buffer)[at : at + min(left, len(buffer) - at)])
 
 
 def unexpected(verb: bytes, size: int) -> str:
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -68,8 +68,9 @@
         # Not to one that drains, though the decisions should know: they may have failed on the list that said so.
         # Nor what is partly written elsewhere: those bytes are gone.
         spent = hop.tx.flow is not None and hop.tx.flow.touched
-        connection = self._connection(place, hop.tx.flow is None) if place is not None and place.ready and (
-            not spent) else None
+        connection = (
+            self._connection(place, hop.tx.flow is None) if place is not None and place.ready and (not spent) else None
+        )
         if connection is None:
             # Not the cache host's fault, and never sent.
             self.door.hop_ended(hop, m.End.SKIPPED)
@@ -104,8 +105,9 @@
         connection = self.connects(self, place)
         place.all[connection] = None
         self.sockets.host_opened()
-        connection.connector = self.reactor.connectTCP(place.address.host, place.address.port, Dialer(connection),
-                                                       timeout=self.limits.dial / SECOND)
+        connection.connector = self.reactor.connectTCP(
+            place.address.host, place.address.port, Dialer(connection), timeout=self.limits.dial / SECOND
+        )
         return connection
 
     def idle(self, connection: HostConnection) -> None:
--- a/ternquay/net/replace.py
+++ b/ternquay/net/replace.py
@@ -136,8 +136,17 @@
             return
         self.told, self.wrote = told, now
         names = {index: name for name, index in door.hosts.items()}
-        self.slots.write(Note(now, service.sockets.ceiling, service.serves(), str(discovery.where), discovery.revision,
-                              tuple(door.members.values()), learned_text(door.balancer.learned(), names)))
+        self.slots.write(
+            Note(
+                now,
+                service.sockets.ceiling,
+                service.serves(),
+                str(discovery.where),
+                discovery.revision,
+                tuple(door.members.values()),
+                learned_text(door.balancer.learned(), names),
+            )
+        )
 
     def end(self) -> None:
         self.over = True
--- a/ternquay/net/safety.py
+++ b/ternquay/net/safety.py
@@ -72,8 +72,9 @@
 
 
 # Where the client is at fault, or memory has to be had, nothing holds the close up.
-UNCONDITIONAL = frozenset({CloseReason.ANSWERS_UNREAD, CloseReason.MEMORY, CloseReason.VALUE_BROKEN,
-                           CloseReason.REMOVED})
+UNCONDITIONAL = frozenset(
+    {CloseReason.ANSWERS_UNREAD, CloseReason.MEMORY, CloseReason.VALUE_BROKEN, CloseReason.REMOVED}
+)
 # Ordinary ends, which are counted and not logged.
 ROUTINE = frozenset({CloseReason.IDLE, CloseReason.LEAVING})
 
@@ -186,13 +187,16 @@
 
     def metrics(self) -> str:
         """All counts as text, a line each, in the exposition format of Prometheus."""
-        return "\n".join([
-            f"ternquay_attempts_repeated_total {self.retries}",
-            *counted("client_closes", self.closes, CloseReason),
-            *counted("server_closes", self.server_closes, ServerCloseReason),
-            *counted("attempts_not_begun", self.refusals, Refusal),
-            *counted("requests_refused", self.refused, RefuseReason),
-            *counted("violations", self.violations, Violation)])
+        return "\n".join(
+            [
+                f"ternquay_attempts_repeated_total {self.retries}",
+                *counted("client_closes", self.closes, CloseReason),
+                *counted("server_closes", self.server_closes, ServerCloseReason),
+                *counted("attempts_not_begun", self.refusals, Refusal),
+                *counted("requests_refused", self.refused, RefuseReason),
+                *counted("violations", self.violations, Violation),
+            ]
+        )
 
     def latest(self) -> str:
         """The latest events as text, a line each, the oldest first: seconds on the monotonic clock come first."""
@@ -200,8 +204,10 @@
 
     def summary(self) -> str:
         """One line for the log at the end."""
-        closes = ", ".join(f"{reason.name.lower()} {count}" for reason, count in sorted(
-            self.closes.items(), key=lambda item: item[0].name))
+        closes = ", ".join(
+            f"{reason.name.lower()} {count}"
+            for reason, count in sorted(self.closes.items(), key=lambda item: item[0].name)
+        )
         return f"closed clients: {closes or 'none'}; violations: {sum(self.violations.values())}"
 
     def _violated(self, rule: Violation, request: str) -> None:
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -146,6 +146,7 @@
     def _beside(self, then: Callable[[], None]) -> None:
         """Where the platform holds the socket, another process of this balancer may be here, or come."""
         from ternquay.net.replace import Replacement
+
         folder = os.environ.get("TMPDIR", "")
         try:
             self.replacement = Replacement(self, Path(folder)) if folder else None
@@ -203,9 +204,13 @@
         """Drains: an `mn` is told at once, clients are served for a moment, then each is closed after its answer."""
         if not self.drained:
             self.drained, self.front.hello = True, meta.OUT_OF_SERVICE
-            self.leaves = [self.reactor.callLater(at / SECOND, step) for at, step in (
-                (self.limits.lame, lambda: self.front.leave(self.limits.fresh)),
-                (self.limits.drained, self.front.cut_off))]
+            self.leaves = [
+                self.reactor.callLater(at / SECOND, step)
+                for at, step in (
+                    (self.limits.lame, lambda: self.front.leave(self.limits.fresh)),
+                    (self.limits.drained, self.front.cut_off),
+                )
+            ]
             logger.info("out of service, {} transactions open", len(self.door.txs))
         return ""
 
@@ -296,8 +301,9 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to read again: never an end
     logger.remove()
     # Without the values of variables in a traceback: keys and values would be among them.
-    logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", level="INFO", backtrace=False,
-               diagnose=False)
+    logger.add(
+        sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", level="INFO", backtrace=False, diagnose=False
+    )
     library_log.begin()
     reactor = MonotonicReactor()
     installReactor(reactor)
--- a/ternquay/net/start_times.py
+++ b/ternquay/net/start_times.py
@@ -56,7 +56,7 @@
     def _look(self) -> None:
         difference = self.difference()
         if all(abs(difference - one) > STEP for one in self.seen):
-            self.seen = [self.seen[0], *self.seen[1:][-(DIFFERENCES - 2):], difference]
+            self.seen = [self.seen[0], *self.seen[1:][-(DIFFERENCES - 2) :], difference]
 
     def _since(self, member: Member, now: int, earliest: int | None) -> int:
         """The start of one host, 0 for long ago; `earliest` bounds that of one that has started since the last list."""
--- a/ternquay/peers/frames.py
+++ b/ternquay/peers/frames.py
@@ -40,8 +40,10 @@
     last: int = 0
 
     def less_than(self, other: "Marks") -> bool:
-        return (self.term, self.voted) < (other.term, other.voted) or (
-            self.last_term, self.last) < (other.last_term, other.last)
+        return (self.term, self.voted) < (other.term, other.voted) or (self.last_term, self.last) < (
+            other.last_term,
+            other.last,
+        )
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
--- a/ternquay/peers/links.py
+++ b/ternquay/peers/links.py
@@ -208,8 +208,9 @@
 class Links:
     """`taken` is told each frame as it came, and says whether it was one."""
 
-    def __init__(self, reactor: Any, listen: Where, others: Mapping[str, Where], taken: Callable[[bytes], bool],
-                 random: Random) -> None:
+    def __init__(
+        self, reactor: Any, listen: Where, others: Mapping[str, Where], taken: Callable[[bytes], bool], random: Random
+    ) -> None:
         self.reactor, self.listen, self.others = reactor, listen, dict(others)
         self.dropped: Counter[str] = Counter()
         self.door = Door(reactor, taken, self.dropped)
--- a/ternquay/peers/members.py
+++ b/ternquay/peers/members.py
@@ -58,5 +58,7 @@
             raise Dropped("set back")
 
     def believed(self, now: int) -> dict[str, str]:
-        return {name: "never heard" if not known.heard else
-                "alive" if now - known.heard < self.suspect else "suspected" for name, known in self.others.items()}
+        return {
+            name: "never heard" if not known.heard else "alive" if now - known.heard < self.suspect else "suspected"
+            for name, known in self.others.items()
+        }
--- a/ternquay/rig/agree.py
+++ b/ternquay/rig/agree.py
@@ -56,8 +56,18 @@
 class Fellow(Hosted):
     """One member through all its lives."""
 
-    def __init__(self, stage: Stage, day: Day, number: int, seed: int, core: int, token: str, ports: dict[str, int],
-                 places: dict[str, str], own: str) -> None:
+    def __init__(
+        self,
+        stage: Stage,
+        day: Day,
+        number: int,
+        seed: int,
+        core: int,
+        token: str,
+        ports: dict[str, int],
+        places: dict[str, str],
+        own: str,
+    ) -> None:
         super().__init__(stage, day, seed, core)
         self.number, self.name, self.token = number, NAMES[number], token
         self.address = f"127.7.0.{number + 1}"
@@ -69,15 +79,22 @@
         (self.folder / "fleet.key").write_bytes(KEY)
         self.copy = self.folder / "copy"
         self.pauses: list[records.Pause] = []
-        rows = "".join(f'[[peers.members]]\nname = "{name}"\nplace = "{own if name == self.name else place}"\n'
-                       for name, place in places.items())
+        rows = "".join(
+            f'[[peers.members]]\nname = "{name}"\nplace = "{own if name == self.name else place}"\n'
+            for name, place in places.items()
+        )
         self.file.write_text(
             f'name = "{self.name}"\n[process]\nsockets = 1024\n[store]\npath = "registry.db"\n[api]\n'
             f'listen = "{self.api}"\ncalls_a_second = 500.0\nburst = 500\n[[api.operators]]\nname = "rig"\n'
-            f'digest = "{keys.digest_of(token).hex()}"\n' + (
+            f'digest = "{keys.digest_of(token).hex()}"\n'
+            + (
                 f'[peers]\nfleet = "rig"\nme = "{self.name}"\nkey_file = "fleet.key"\naddress = "{self.address}"\n'
                 f'lease_ms = {day.agreement.lease_ms}\nalone = "{day.agreement.alone}"\n{rows}'
-                if day.agreement.peers else "") + "[end]\n")
+                if day.agreement.peers
+                else ""
+            )
+            + "[end]\n"
+        )
 
     def start(self) -> None:
         super().start()
@@ -147,6 +164,7 @@
 def once(caller: Caller, method: str, path: str, body: Any = None, key: str = "") -> tuple[int, Any]:
     """One call, and never again by itself: its status and body. Raises OSError where there is no answer."""
     import http.client
+
     headers = {"authorization": f"Bearer {caller.target.token}", "content-type": "application/json"}
     if method != "GET":
         headers |= {"if-match": "*", "idempotency-key": key}
@@ -221,16 +239,30 @@
             self.carry(Made(kind, "", "PUT", f"{path}/servers/{one['name']}", one, one["name"]))
         elif kind == "limits":
             limits = {"burst": self.random.randint(140, 160)}
-            self.carry(Made(kind, "", "PUT", f"{path}/limits", {
-                **limits, "cpu": {"least": 0.1, "most": 0.9}, "sockets": {"least": 0.1, "most": 0.8},
-                "memory": {"least": 0.1, "most": 0.8}, "txs_a_second": 2000.0}))
+            self.carry(
+                Made(
+                    kind,
+                    "",
+                    "PUT",
+                    f"{path}/limits",
+                    {
+                        **limits,
+                        "cpu": {"least": 0.1, "most": 0.9},
+                        "sockets": {"least": 0.1, "most": 0.8},
+                        "memory": {"least": 0.1, "most": 0.8},
+                        "txs_a_second": 2000.0,
+                    },
+                )
+            )
         elif kind == "nowhere":
             # A listener that one member's machine has in use: nobody may have it.
             taken = self.random.choice(self.fellows)
             port = taken.api.rpartition(":")[2]
-            tenant = {"name": "este", "listeners": [f"{taken.api.rpartition(':')[0]}:{port}"],
-                      "profiles": [{"name": "read", "kind": "idempotent", "service_goal_ms": 300,
-                                    "hard_limit_ms": 900}]}
+            tenant = {
+                "name": "este",
+                "listeners": [f"{taken.api.rpartition(':')[0]}:{port}"],
+                "profiles": [{"name": "read", "kind": "idempotent", "service_goal_ms": 300, "hard_limit_ms": 900}],
+            }
             self.carry(Made(kind, "", "POST", "/v1/tenants", tenant))
 
     def carry(self, made: Made) -> None:
@@ -357,8 +389,12 @@
 # ---- a play ----
 
 
-def play_agreement(day: Day, seed: int, out: Path, progress: Callable[[float], None] = lambda at: None,
-                   ) -> tuple[dict[str, Any], list[Breach]]:
+def play_agreement(
+    day: Day,
+    seed: int,
+    out: Path,
+    progress: Callable[[float], None] = lambda at: None,
+) -> tuple[dict[str, Any], list[Breach]]:
     shutil.rmtree(out / "logs", ignore_errors=True)
     for last in (False,) * (TRIES - 1) + (True,):
         try:
@@ -370,21 +406,32 @@
     raise AssertionError
 
 
-def _play(stage: Stage, day: Day, seed: int,
-          progress: Callable[[float], None]) -> tuple[dict[str, Any], list[Breach]]:
+def _play(stage: Stage, day: Day, seed: int, progress: Callable[[float], None]) -> tuple[dict[str, Any], list[Breach]]:
     many = day.balancers.count
     cores = cores_for(many + 4)
     names = NAMES[:many]
     # At an address of each one's own: what lies between them listens elsewhere, and would be given the same ports.
     own = {name: free_place(f"127.7.1.{n + 1}") for n, name in enumerate(names)}
-    between = Between({name: (place.rpartition(":")[0], int(place.rpartition(":")[2]))
-                       for name, place in own.items()}, seed)
+    between = Between(
+        {name: (place.rpartition(":")[0], int(place.rpartition(":")[2])) for name, place in own.items()}, seed
+    )
     try:
         ports = {tenant: int(free_place("127.7.0.1").rpartition(":")[2]) for tenant in (STILL, CHANGED)}
         token = keys.made("", "rig")
-        fellows = [Fellow(stage, day, n, seed, cores[n], token, ports,
-                          {other: own[other] if other == name else between.place(name, other) for other in names},
-                          own[name]) for n, name in enumerate(names)]
+        fellows = [
+            Fellow(
+                stage,
+                day,
+                n,
+                seed,
+                cores[n],
+                token,
+                ports,
+                {other: own[other] if other == name else between.place(name, other) for other in names},
+                own[name],
+            )
+            for n, name in enumerate(names)
+        ]
         return _played(stage, day, seed, fellows, between, cores[many:], progress)
     finally:
         between.end()
@@ -399,16 +446,22 @@
     return found
 
 
-def _played(stage: Stage, day: Day, seed: int, fellows: list[Fellow], between: Between, cores: list[int],
-            progress: Callable[[float], None]) -> tuple[dict[str, Any], list[Breach]]:
+def _played(
+    stage: Stage,
+    day: Day,
+    seed: int,
+    fellows: list[Fellow],
+    between: Between,
+    cores: list[int],
+    progress: Callable[[float], None],
+) -> tuple[dict[str, Any], list[Breach]]:
     for fellow in fellows:
         fellow.start()
     parties = _parties(day, fellows)
     fleets = {party.terms.name: standins(stage, party, seed, n, cores[n]) for n, party in enumerate(parties)}
     for party in parties:
         known = json.loads(fleets[party.terms.name].told()["known"])
-        party.servers = [{"name": "-".join(m["id"].split("-")[:2]), "place": m["host_port"]}
-                         for m in known["members"]]
+        party.servers = [{"name": "-".join(m["id"].split("-")[:2]), "place": m["host_port"]} for m in known["members"]]
     for fellow in fellows:
         fellow.wait_ready()
     if day.agreement.peers:
@@ -419,9 +472,15 @@
             fellow.take_in([document(party) | {"listeners": [fellow.listens[party.terms.name]]} for party in parties])
     loads = {}
     for n, party in enumerate(parties):
-        plan = Plan(party.day, seed + 1000 * n, "", balancers=[fellow.listens[party.terms.name] for fellow in fellows],
-                    tail_ms=tail_ms(party.day), prefix=f"{party.terms.name}-",
-                    addresses=[f"127.5.{n}.{m + 1}" for m in range(party.terms.addresses)])
+        plan = Plan(
+            party.day,
+            seed + 1000 * n,
+            "",
+            balancers=[fellow.listens[party.terms.name] for fellow in fellows],
+            tail_ms=tail_ms(party.day),
+            prefix=f"{party.terms.name}-",
+            addresses=[f"127.5.{n}.{m + 1}" for m in range(party.terms.addresses)],
+        )
         loads[party.terms.name] = child(stage, f"load-{party.terms.name}", "ternquay.rig.load", cores[2 + n], plan)
     for load in loads.values():
         load.told()
@@ -430,8 +489,14 @@
     for running in children:
         running.say(f"begin {begin}\n")
     changed = next(party for party in parties if party.terms.name == CHANGED)
-    changes = Changes(fellows, seed, day.agreement.a_second, list(changed.servers or ()), begin,
-                      begin + int((day.seconds - 1) * SECOND if day.agreement.peers else 0))
+    changes = Changes(
+        fellows,
+        seed,
+        day.agreement.a_second,
+        list(changed.servers or ()),
+        begin,
+        begin + int((day.seconds - 1) * SECOND if day.agreement.peers else 0),
+    )
     changes.start()
     follow(day, begin, Troubles(day, seed, fellows, between).events, list(fellows), children, progress)
     between.heal()
@@ -549,13 +614,25 @@
     for one in sent.values():
         at = bisect_left(begins, one.sent + 1) - 1
         if at >= 0 and one.answer in ("value", "receipt") and suspended[at].holds(one.sent, one.ended):
-            found.append(Breach("mixed", one.ended, "taken though the tenant was suspended",
-                                {"try": msgspec.structs.asdict(one), "since": suspended[at].began}))
+            found.append(
+                Breach(
+                    "mixed",
+                    one.ended,
+                    "taken though the tenant was suspended",
+                    {"try": msgspec.structs.asdict(one), "since": suspended[at].began},
+                )
+            )
     for hop in saw.fleet.hops:
         taken, name = sent.get(hop.id), "-".join(hop.name.split("-")[:2])
         if taken is not None and any(span.holds(taken.sent, hop.whole) for span in out.get(name, ())):
-            found.append(Breach("mixed", hop.whole, "reached a cache host that was taken out before it was taken",
-                                {"try": msgspec.structs.asdict(taken), "hop": msgspec.structs.asdict(hop)}))
+            found.append(
+                Breach(
+                    "mixed",
+                    hop.whole,
+                    "reached a cache host that was taken out before it was taken",
+                    {"try": msgspec.structs.asdict(taken), "hop": msgspec.structs.asdict(hop)},
+                )
+            )
     return found
 
 
@@ -568,14 +645,22 @@
             one = kinds.get(line.get("version", 0)) if line.get("message") == "changed" else None
             if one is not None:
                 # Also of a change that it had again, after its disk was lost: then it is told of its end as well.
-                found.append(records.Told(fellow.number, line["clock"], one.server,
-                                          "removed" if one.kind == "remove" else "up"))
+                found.append(
+                    records.Told(fellow.number, line["clock"], one.server, "removed" if one.kind == "remove" else "up")
+                )
     return sorted(found, key=lambda told: told.at)
 
 
-def _gathered(stage: Stage, day: Day, seed: int, begin: int, parties: list[Party], fellows: list[Fellow],
-              changes: Changes, histories: dict[str, dict[int, tuple[str, str]]],
-              ) -> tuple[dict[str, Any], list[Breach]]:
+def _gathered(
+    stage: Stage,
+    day: Day,
+    seed: int,
+    begin: int,
+    parties: list[Party],
+    fellows: list[Fellow],
+    changes: Changes,
+    histories: dict[str, dict[int, tuple[str, str]]],
+) -> tuple[dict[str, Any], list[Breach]]:
     times = first_in_force(fellows)
     lives = [life for fellow in fellows for life in fellow.lives]
     samples = [sample for fellow in fellows for sample in fellow.samples]
@@ -591,8 +676,17 @@
         except (OSError, msgspec.DecodeError) as fault:
             raise PlayError(f"what was seen can't be read: {fault}") from fault
         told = told_of(changes.made, fellows) if name == CHANGED else []
-        saw = records.Saw(day=party.day.name, seed=seed, seconds=day.seconds, begin=begin, loads=[load],
-                          fleet=msgspec.structs.replace(fleet, told=told), lives=lives, samples=samples, pauses=pauses)
+        saw = records.Saw(
+            day=party.day.name,
+            seed=seed,
+            seconds=day.seconds,
+            begin=begin,
+            loads=[load],
+            fleet=msgspec.structs.replace(fleet, told=told),
+            lives=lives,
+            samples=samples,
+            pauses=pauses,
+        )
         found = judge(party.day, saw)
         if name == CHANGED:
             found += mixed(saw, changes.made, times)
@@ -602,11 +696,14 @@
         whole = one if name == STILL else whole
         rules = tenants[name]["rules"]
         rules["mixed"] = sum(breach.rule == "mixed" for breach in found)
-    result = whole | {"day": day.name, "tenants": tenants, "crashes": whole["crashes"],
-                      "rules": {rule: sum(one["rules"][rule] for one in tenants.values())
-                                for rule in tenants[STILL]["rules"]},
-                      "late": any(max(one["lateness"].values()) > 30 for one in tenants.values()),
-                      "agreement": agreement(fellows, changes.made, times, histories, len(fellows))}
+    result = whole | {
+        "day": day.name,
+        "tenants": tenants,
+        "crashes": whole["crashes"],
+        "rules": {rule: sum(one["rules"][rule] for one in tenants.values()) for rule in tenants[STILL]["rules"]},
+        "late": any(max(one["lateness"].values()) > 30 for one in tenants.values()),
+        "agreement": agreement(fellows, changes.made, times, histories, len(fellows)),
+    }
     result["agreement"]["mixed"] = result["rules"]["mixed"]
     return result, breaches
 
@@ -622,16 +719,31 @@
     return [round(d / max(1, a), 4) for d, a in zip(done, asked, strict=True)]
 
 
-def agreement(fellows: list[Fellow], made: list[Made], times: dict[int, list[int]],
-              histories: dict[str, dict[int, tuple[str, str]]], many: int) -> dict[str, Any]:
+def agreement(
+    fellows: list[Fellow],
+    made: list[Made],
+    times: dict[int, list[int]],
+    histories: dict[str, dict[int, tuple[str, str]]],
+    many: int,
+) -> dict[str, Any]:
     told = [one for one in made if one.version]
     lost = sum(any(one.version not in history for history in histories.values()) for one in told)
     decided = [one.ended - one.began for one in told]
     # Until a majority has it: the rest may be down, and adopts it as it comes back.
     switched = [at[many // 2] - at[0] for at in times.values() if len(at) > many // 2]
     fenced = sum(line.get("message") == "takes nothing" for fellow in fellows for line in fellow.lines())
-    figures = {name: {"p50": round(percentile(spent, 0.5) / MS, 2), "p99": round(percentile(spent, 0.99) / MS, 2)}
-               for name, spent in (("decided_ms", decided), ("switch_ms", switched))}
-    return {"changes": len(made), "in_force": len(told), "nowhere": sum(one.status == 422 for one in made),
-            "unknown": sum(not one.status for one in made), "mixed": 0, "lost": lost, "fenced": fenced,
-            "other": sorted({one.status for one in made if one.status not in (200, 201, 202, 422, 0)}), **figures}
+    figures = {
+        name: {"p50": round(percentile(spent, 0.5) / MS, 2), "p99": round(percentile(spent, 0.99) / MS, 2)}
+        for name, spent in (("decided_ms", decided), ("switch_ms", switched))
+    }
+    return {
+        "changes": len(made),
+        "in_force": len(told),
+        "nowhere": sum(one.status == 422 for one in made),
+        "unknown": sum(not one.status for one in made),
+        "mixed": 0,
+        "lost": lost,
+        "fenced": fenced,
+        "other": sorted({one.status for one in made if one.status not in (200, 201, 202, 422, 0)}),
+        **figures,
+    }
--- a/ternquay/rig/balancer_process.py
+++ b/ternquay/rig/balancer_process.py
@@ -55,8 +55,9 @@
 
     def start(self) -> None:
         command = self.contender.command(self.config.resolve())
-        self.running = self.stage.start(f"balancer-{self.number}", command, self.core, self.contender.tree, False,
-                                        self.machine_faults())
+        self.running = self.stage.start(
+            f"balancer-{self.number}", command, self.core, self.contender.tree, False, self.machine_faults()
+        )
         self.lives.append(records.Life(self.number, time.monotonic_ns()))
 
     def machine_faults(self) -> dict[str, str]:
@@ -119,9 +120,15 @@
         try:
             with self.running.meter.oneshot():
                 times = self.running.meter.cpu_times()
-                self.samples.append(records.Sample(
-                    now, self.number, self.spent + times.user + times.system,
-                    self.running.meter.memory_info().rss, self.running.meter.num_fds()))
+                self.samples.append(
+                    records.Sample(
+                        now,
+                        self.number,
+                        self.spent + times.user + times.system,
+                        self.running.meter.memory_info().rss,
+                        self.running.meter.num_fds(),
+                    )
+                )
         except psutil.Error:
             pass
 
@@ -141,8 +148,9 @@
         return True
 
 
-def balancer_events(faults: tuple[Planned, ...], balancers: list[Balancer],
-                    second: list[str]) -> list[tuple[int, Callable[[], bool | None]]]:
+def balancer_events(
+    faults: tuple[Planned, ...], balancers: list[Balancer], second: list[str]
+) -> list[tuple[int, Callable[[], bool | None]]]:
     """What is done to balancers, and when; `second` are the addresses that discovery moves to."""
     events: list[tuple[int, Callable[[], bool | None]]] = []
     for f in faults:
--- a/ternquay/rig/baselines/__init__.py
+++ b/ternquay/rig/baselines/__init__.py
@@ -8,8 +8,12 @@
 
 from ternquay.balance import Balancer
 
-NAMES = {"random": "random_choice", "highest-hash": "highest_hash", "bounded-load": "bounded_load",
-         "least-inflight": "least_inflight"}
+NAMES = {
+    "random": "random_choice",
+    "highest-hash": "highest_hash",
+    "bounded-load": "bounded_load",
+    "least-inflight": "least_inflight",
+}
 
 
 def load(name: str) -> type[Balancer]:
--- a/ternquay/rig/between.py
+++ b/ternquay/rig/between.py
@@ -155,7 +155,7 @@
     async def drip(self, frame: bytes, most: int) -> None:
         self.dripping = True
         for at in range(0, len(frame), most):
-            self.out.write(frame[at: at + most])
+            self.out.write(frame[at : at + most])
             await asyncio.sleep(0.001)
         self.dripping = False
         due, self.due = self.due, []
--- a/ternquay/rig/changer.py
+++ b/ternquay/rig/changer.py
@@ -105,8 +105,9 @@
             one = self.away[tenant].pop(0)
             self.change(kind, tenant, "PUT", f"{path}/servers/{one['name']}", one, (one["name"], "up"))
 
-    def change(self, kind: str, tenant: str, method: str, path: str, body: Any,
-               host: tuple[str, str] | None = None) -> None:
+    def change(
+        self, kind: str, tenant: str, method: str, path: str, body: Any, host: tuple[str, str] | None = None
+    ) -> None:
         began = time.monotonic_ns()
         try:
             status = self.caller.call(method, path, body, -1).status
--- a/ternquay/rig/child.py
+++ b/ternquay/rig/child.py
@@ -75,8 +75,9 @@
     return reactor
 
 
-def live(reactor: Any, plan: Plan, ready: dict[str, Any], begin: Callable[[int], None],
-         end: Callable[[], None]) -> None:
+def live(
+    reactor: Any, plan: Plan, ready: dict[str, Any], begin: Callable[[int], None], end: Callable[[], None]
+) -> None:
     """Runs until the play is over, then calls `end`; without it if the parent is gone before."""
     done = False
 
--- a/ternquay/rig/commands.py
+++ b/ternquay/rig/commands.py
@@ -25,8 +25,12 @@
 BROKEN, UNPLAYED, LATE = 1, 2, 3
 FLOODS = get_args(FloodShape)
 
-app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False,
-                  help="The project's own fleet on loopback: days, faults, a judge, experiments.")
+app = typer.Typer(
+    add_completion=False,
+    no_args_is_help=True,
+    pretty_exceptions_enable=False,
+    help="The project's own fleet on loopback: days, faults, a judge, experiments.",
+)
 Out = Annotated[Path, typer.Option("--out", help="Where results go.")]
 Seed = Annotated[int, typer.Option("--seed", min=0)]
 Seconds = Annotated[float | None, typer.Option("--seconds", min=1.0, max=3600.0, help="Instead of the day's.")]
@@ -55,8 +59,12 @@
 
 def day_with(name: str, seconds: float | None, balancers: int | None, hosts: int | None, rate: float | None) -> Day:
     over: dict[str, Any] = {}
-    for table_name, field, value in (("", "seconds", seconds), ("balancers", "count", balancers),
-                                     ("hosts", "count", hosts), ("clients", "rate", rate)):
+    for table_name, field, value in (
+        ("", "seconds", seconds),
+        ("balancers", "count", balancers),
+        ("hosts", "count", hosts),
+        ("clients", "rate", rate),
+    ):
         if value is not None:
             (over.setdefault(table_name, {}) if table_name else over)[field] = value
     return read_day(name, over)
@@ -87,11 +95,19 @@
 
 
 @app.command("play")
-def play_day(day: DayName, out: Out, seed: Seed = 1, seconds: Seconds = None, balancers: Balancers = None,
-             hosts: Hosts = None, rate: Rate = None, loads: Loads = 2,
-             decisions: Annotated[str, typer.Option("--decisions", help="pat, or a baseline's name.")] = "pat",
-             report: Annotated[bool, typer.Option("--report/--no-report", help="Draw report.html.")] = True,
-             flood: Annotated[str, typer.Option(help="Of a day with tenants: another shape, or none.")] = "") -> None:
+def play_day(
+    day: DayName,
+    out: Out,
+    seed: Seed = 1,
+    seconds: Seconds = None,
+    balancers: Balancers = None,
+    hosts: Hosts = None,
+    rate: Rate = None,
+    loads: Loads = 2,
+    decisions: Annotated[str, typer.Option("--decisions", help="pat, or a baseline's name.")] = "pat",
+    report: Annotated[bool, typer.Option("--report/--no-report", help="Draw report.html.")] = True,
+    flood: Annotated[str, typer.Option(help="Of a day with tenants: another shape, or none.")] = "",
+) -> None:
     """Play one day. Exit 0: no rule was broken; 1: one was; 2: it could not be played; 3: the rig was late."""
     with told_in_a_line():
         world = day_with(day, seconds, balancers, hosts, rate)
@@ -108,10 +124,13 @@
         write_result(out, result, breaches)
         if report:
             from ternquay.rig.report import write_report  # plots take their time to load
+
             write_report(out, world, saw, result, breaches)
     show("")
-    typer.echo(f"{world.name}: service {result['service']:.3f}, p99 {result['latency_ms']['p99']} ms, "
-               f"{result['txs']} txs, rules {result['rules']}" + (", late: void" if result["late"] else ""))
+    typer.echo(
+        f"{world.name}: service {result['service']:.3f}, p99 {result['latency_ms']['p99']} ms, "
+        f"{result['txs']} txs, rules {result['rules']}" + (", late: void" if result["late"] else "")
+    )
     for breach in breaches[:5]:
         typer.echo(f"  {breach.rule}: {breach.what}")
     raise typer.Exit(exit_code(result))
@@ -119,13 +138,16 @@
 
 def play_hosted(day: Day, seed: int, out: Path, flood: str) -> None:
     from ternquay.rig.tenants import play_tenants  # with what a hosted service wants
+
     if flood:
         day = flooded(day, flood)
     result, breaches = play_tenants(day, seed, out, lambda at: show(f"{day.name} {at:.0f} of {day.seconds:.0f} s"))
     write_result(out, result, breaches)
     show("")
-    typer.echo(f"{day.name}: service {result['service']:.3f}, rules {result['rules']}"
-               + (", late: void" if result["late"] else ""))
+    typer.echo(
+        f"{day.name}: service {result['service']:.3f}, rules {result['rules']}"
+        + (", late: void" if result["late"] else "")
+    )
     for name, one in result["tenants"].items():
         typer.echo(f"  {name:12} service {one['service']:.3f}  p99 {one['p99_ms']} ms  {one['txs']} txs")
     for part in ("flood", "changes"):
@@ -138,11 +160,13 @@
 
 def play_fleet(day: Day, seed: int, out: Path) -> None:
     from ternquay.rig.agree import play_agreement  # with what a hosted service wants
+
     result, breaches = play_agreement(day, seed, out, lambda at: show(f"{day.name} {at:.0f} of {day.seconds:.0f} s"))
     write_result(out, result, breaches)
     show("")
-    typer.echo(f"{day.name}: {result['agreement']}, rules {result['rules']}"
-               + (", late: void" if result["late"] else ""))
+    typer.echo(
+        f"{day.name}: {result['agreement']}, rules {result['rules']}" + (", late: void" if result["late"] else "")
+    )
     for name, one in result["tenants"].items():
         typer.echo(f"  {name:12} service {one['service']:.3f}  by member {one['service_by_member']}  {one['txs']} txs")
     for breach in breaches[:5]:
@@ -159,18 +183,28 @@
 
 
 @app.command("compare")
-def compare_day(day: DayName, a: Annotated[str, typer.Option("--a")], b: Annotated[str, typer.Option("--b")], out: Out,
-                repeat: Annotated[int, typer.Option("--repeat", min=1, max=100)] = 5, seed: Seed = 1,
-                seconds: Seconds = None, balancers: Balancers = None, hosts: Hosts = None, rate: Rate = None,
-                loads: Loads = 2) -> None:
+def compare_day(
+    day: DayName,
+    a: Annotated[str, typer.Option("--a")],
+    b: Annotated[str, typer.Option("--b")],
+    out: Out,
+    repeat: Annotated[int, typer.Option("--repeat", min=1, max=100)] = 5,
+    seed: Seed = 1,
+    seconds: Seconds = None,
+    balancers: Balancers = None,
+    hosts: Hosts = None,
+    rate: Rate = None,
+    loads: Loads = 2,
+) -> None:
     """Play two contenders, each a revision, a settings file, `now` or a baseline's name, paired by seed."""
     scratch = Path(tempfile.mkdtemp(prefix="ternquay-rig-"))
     try:
         with told_in_a_line():
             world = day_with(day, seconds, balancers, hosts, rate)
             warn_of_cores(world.balancers.count, loads)
-            found = compare(world, contender(a, scratch), contender(b, scratch),
-                            list(range(seed, seed + repeat)), out, loads, show)
+            found = compare(
+                world, contender(a, scratch), contender(b, scratch), list(range(seed, seed + repeat)), out, loads, show
+            )
             out.mkdir(parents=True, exist_ok=True)
             (out / "compare.json").write_text(json.dumps(found, indent=1) + "\n")
     finally:
@@ -182,11 +216,14 @@
 
 
 @app.command("survey")
-def survey_days(out: Out, names: Annotated[list[str] | None, typer.Argument(help="Days; all if none is named.")] = None,
-                seeds: Annotated[int, typer.Option("--seeds", min=1, max=100)] = 5,
-                decisions: Annotated[str, typer.Option("--decisions", help="Names, with commas between.")] = "pat",
-                lanes: Annotated[int, typer.Option("--lanes", min=1, max=64, help="Plays side by side.")] = 1,
-                seconds: Seconds = None) -> None:
+def survey_days(
+    out: Out,
+    names: Annotated[list[str] | None, typer.Argument(help="Days; all if none is named.")] = None,
+    seeds: Annotated[int, typer.Option("--seeds", min=1, max=100)] = 5,
+    decisions: Annotated[str, typer.Option("--decisions", help="Names, with commas between.")] = "pat",
+    lanes: Annotated[int, typer.Option("--lanes", min=1, max=64, help="Plays side by side.")] = 1,
+    seconds: Seconds = None,
+) -> None:
     """Many days and seeds: a table by day, and the product against baselines with intervals."""
     with told_in_a_line():
         chosen = [by_decisions(name).name for name in decisions.split(",")]
@@ -203,14 +240,17 @@
 
 
 @app.command("neighbours")
-def measure_neighbours(out: Out, day: Annotated[str, typer.Option("--day")] = "tenants",
-                       shapes: Annotated[str, typer.Option("--shapes", help="With commas between.")] = ",".join(
-                           FLOODS[1:]),
-                       seeds: Annotated[int, typer.Option("--seeds", min=1, max=100)] = 5,
-                       seconds: Seconds = None) -> None:
+def measure_neighbours(
+    out: Out,
+    day: Annotated[str, typer.Option("--day")] = "tenants",
+    shapes: Annotated[str, typer.Option("--shapes", help="With commas between.")] = ",".join(FLOODS[1:]),
+    seeds: Annotated[int, typer.Option("--seeds", min=1, max=100)] = 5,
+    seconds: Seconds = None,
+) -> None:
     """What a flood of one tenant, in each shape, does to the others: paired plays with intervals."""
     with told_in_a_line():
         from ternquay.rig.neighbours import lines, neighbours
+
         world = day_with(day, seconds, None, None, None)
         chosen = shapes.split(",")
         for shape in chosen:
@@ -224,12 +264,17 @@
 
 
 @app.command("size")
-def measure_size(out: Out, tenants: Annotated[int, typer.Option("--tenants", min=21, max=200)] = 200,
-                 active: Annotated[int, typer.Option("--active", min=2, max=100)] = 20,
-                 rounds: Annotated[int, typer.Option("--rounds", min=1, max=20)] = 2, seconds: Seconds = 10.0) -> None:
+def measure_size(
+    out: Out,
+    tenants: Annotated[int, typer.Option("--tenants", min=21, max=200)] = 200,
+    active: Annotated[int, typer.Option("--active", min=2, max=100)] = 20,
+    rounds: Annotated[int, typer.Option("--rounds", min=1, max=20)] = 2,
+    seconds: Seconds = 10.0,
+) -> None:
     """What many tenants cost: changes and starts, memory of idle ones, CPU a transaction."""
     with told_in_a_line():
         from ternquay.rig.size import size
+
         found = size(out, tenants, active, seconds or 10.0, rounds, show)
         (out / "size.json").write_text(json.dumps(found, indent=1) + "\n")
     show("")
@@ -237,9 +282,13 @@
 
 
 @app.command("saturate")
-def saturate_rate(out: Out, balancers: Annotated[int, typer.Option("--balancers", min=1, max=8)] = 1,
-                  loads: Loads = 2, shards: Shards = 2,
-                  decisions: Annotated[str, typer.Option("--decisions")] = "pat") -> None:
+def saturate_rate(
+    out: Out,
+    balancers: Annotated[int, typer.Option("--balancers", min=1, max=8)] = 1,
+    loads: Loads = 2,
+    shards: Shards = 2,
+    decisions: Annotated[str, typer.Option("--decisions")] = "pat",
+) -> None:
     """The highest rate at which p99 stays within the service goal, and what twice that does."""
     with told_in_a_line():
         warn_of_cores(balancers, loads, shards)
@@ -248,26 +297,39 @@
         (out / "saturate.json").write_text(json.dumps(found, indent=1) + "\n")
     show("")
     for point in found["points"]:
-        typer.echo(f"{point['rate']:8.0f} tx/s  p99 {point['p99_ms']:8.2f} ms  committed {point['committed']:.3f}  "
-                   f"rolled back {point['rolled_back']:.3f}  abandoned {point['abandoned']:.3f}  "
-                   f"CPU {point['cpu_us_per_tx']:6.1f} us/tx{'  late' if point['late'] else ''}")
+        typer.echo(
+            f"{point['rate']:8.0f} tx/s  p99 {point['p99_ms']:8.2f} ms  committed {point['committed']:.3f}  "
+            f"rolled back {point['rolled_back']:.3f}  abandoned {point['abandoned']:.3f}  "
+            f"CPU {point['cpu_us_per_tx']:6.1f} us/tx{'  late' if point['late'] else ''}"
+        )
     typer.echo(f"highest: {found['highest_rate']:.0f} tx/s" + (" (bound by the rig)" if found["bound_by_rig"] else ""))
 
 
 @app.command("soak")
-def soak_seeds(out: Out, seed: Seed = 1, seeds: Annotated[int, typer.Option("--seeds", min=1, max=1000)] = 5,
-               seconds: Annotated[float, typer.Option("--seconds", min=10.0, max=600.0)] = 20.0,
-               balancers: Annotated[int, typer.Option("--balancers", min=1, max=64)] = 24,
-               faults: Annotated[int, typer.Option("--faults", min=0, max=200)] = 30,
-               build: Annotated[str, typer.Option("--build", help="A revision, or `now`.")] = "now") -> None:
+def soak_seeds(
+    out: Out,
+    seed: Seed = 1,
+    seeds: Annotated[int, typer.Option("--seeds", min=1, max=1000)] = 5,
+    seconds: Annotated[float, typer.Option("--seconds", min=10.0, max=600.0)] = 20.0,
+    balancers: Annotated[int, typer.Option("--balancers", min=1, max=64)] = 24,
+    faults: Annotated[int, typer.Option("--faults", min=0, max=200)] = 30,
+    build: Annotated[str, typer.Option("--build", help="A revision, or `now`.")] = "now",
+) -> None:
     """Random faults that overlap, over many processes, a day of its own for each seed."""
     from ternquay.rig.soak import SoakTerms, soak, summary
+
     scratch = Path(tempfile.mkdtemp(prefix="ternquay-rig-"))
     try:
         with told_in_a_line():
             terms = SoakTerms(seconds=seconds, balancers=balancers, faults=faults)
-            found = soak(read_day("calm"), range(seed, seed + seeds), terms, contender(build, scratch), out,
-                         lambda result: typer.echo(result.line()))
+            found = soak(
+                read_day("calm"),
+                range(seed, seed + seeds),
+                terms,
+                contender(build, scratch),
+                out,
+                lambda result: typer.echo(result.line()),
+            )
     finally:
         shutil.rmtree(scratch, ignore_errors=True)
     typer.echo(summary(found))
@@ -275,11 +337,15 @@
 
 
 @app.command()
-def fleet(day: DayName = "calm", seed: Seed = 1, hosts: Hosts = None,
-          config: Annotated[Path, typer.Option("--config", help="Where a balancer's configuration goes.")] = Path(
-              "fleet.json"),
-          listen: Annotated[str, typer.Option("--listen", help="What it says of the balancer.")] = "127.0.0.1:11211",
-          ) -> None:
+def fleet(
+    day: DayName = "calm",
+    seed: Seed = 1,
+    hosts: Hosts = None,
+    config: Annotated[Path, typer.Option("--config", help="Where a balancer's configuration goes.")] = Path(
+        "fleet.json"
+    ),
+    listen: Annotated[str, typer.Option("--listen", help="What it says of the balancer.")] = "127.0.0.1:11211",
+) -> None:
     """Only the stand-ins, until Ctrl-C, and a configuration for a balancer before them."""
     from ternquay.rig.byhand import run
 
--- a/ternquay/rig/compare.py
+++ b/ternquay/rig/compare.py
@@ -41,9 +41,15 @@
 
 def figures(result: dict[str, Any]) -> dict[str, float]:
     """The figures of one play that are compared."""
-    found = {"service": result["service"], "worst_2s": result["worst_2s"], "hit_share": result["hit_share"],
-             "hops_per_tx": result["hops_per_tx"], "origin.peak_rate": result["origin"]["peak_rate"],
-             "origin.stops": float(result["origin"]["stops"]), "breaches": float(sum(result["rules"].values()))}
+    found = {
+        "service": result["service"],
+        "worst_2s": result["worst_2s"],
+        "hit_share": result["hit_share"],
+        "hops_per_tx": result["hops_per_tx"],
+        "origin.peak_rate": result["origin"]["peak_rate"],
+        "origin.stops": float(result["origin"]["stops"]),
+        "breaches": float(sum(result["rules"].values())),
+    }
     found |= {f"latency_ms.{name}": value for name, value in result["latency_ms"].items()}
     found |= {f"service.{name}": value for name, value in result["service_by_profile"].items()}
     balancers = result["balancers"]
@@ -61,8 +67,15 @@
     return result
 
 
-def compare(day: Day, a: Contender, b: Contender, seeds: list[int], out: Path, loads: int = 2,
-            progress: Callable[[str], None] = lambda text: None) -> dict[str, Any]:
+def compare(
+    day: Day,
+    a: Contender,
+    b: Contender,
+    seeds: list[int],
+    out: Path,
+    loads: int = 2,
+    progress: Callable[[str], None] = lambda text: None,
+) -> dict[str, Any]:
     pairs: list[tuple[dict[str, float], dict[str, float]]] = []
     late = 0
     for n, seed in enumerate(seeds):
@@ -77,19 +90,33 @@
         pairs.append((figures(found["a"]), figures(found["b"])))
     names = [name for name in pairs[0][0] if all(name in x and name in y for x, y in pairs)] if pairs else []
     return {
-        "day": day.name, "a": a.name, "b": b.name, "seeds": seeds, "pairs": len(pairs), "late": late,
-        "figures": {name: {"a": round(float(np.mean([x[name] for x, _ in pairs])), 4),
-                           "b": round(float(np.mean([y[name] for _, y in pairs])), 4),
-                           "b_less_a": verdict([y[name] - x[name] for x, y in pairs])} for name in names},
+        "day": day.name,
+        "a": a.name,
+        "b": b.name,
+        "seeds": seeds,
+        "pairs": len(pairs),
+        "late": late,
+        "figures": {
+            name: {
+                "a": round(float(np.mean([x[name] for x, _ in pairs])), 4),
+                "b": round(float(np.mean([y[name] for _, y in pairs])), 4),
+                "b_less_a": verdict([y[name] - x[name] for x, y in pairs]),
+            }
+            for name in names
+        },
     }
 
 
 def table(found: dict[str, Any]) -> list[str]:
     """For people: one line a figure."""
-    lines = [f"{found['day']}: a is {found['a']}, b is {found['b']}, {found['pairs']} pairs"
-             + (f", {found['late']} void for lateness" if found["late"] else "")]
+    lines = [
+        f"{found['day']}: a is {found['a']}, b is {found['b']}, {found['pairs']} pairs"
+        + (f", {found['late']} void for lateness" if found["late"] else "")
+    ]
     for name, row in found["figures"].items():
         d = row["b_less_a"]
-        lines.append(f"  {name:24} a {row['a']:10.4f}  b {row['b']:10.4f}  b-a {d['mean']:+.4f} "
-                     f"[{d['low']:+.4f}, {d['high']:+.4f}]  {d['told']}")
+        lines.append(
+            f"  {name:24} a {row['a']:10.4f}  b {row['b']:10.4f}  b-a {d['mean']:+.4f} "
+            f"[{d['low']:+.4f}, {d['high']:+.4f}]  {d['told']}"
+        )
     return lines
--- a/ternquay/rig/contender.py
+++ b/ternquay/rig/contender.py
@@ -58,14 +58,19 @@
 
 def unpacked(revision: str, scratch: Path) -> Path:
     """The tree of a revision of this repository."""
-    found = subprocess.run(["git", "-C", str(ROOT), "rev-parse", "--verify", "--quiet", "--end-of-options",
-                            f"{revision}^{{commit}}"], capture_output=True, text=True, check=False)
+    found = subprocess.run(
+        ["git", "-C", str(ROOT), "rev-parse", "--verify", "--quiet", "--end-of-options", f"{revision}^{{commit}}"],
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     if found.returncode:
         raise DayError(f"{revision}: no revision, settings file or baseline of that name")
     where = scratch / found.stdout.strip()[:12]
     if not where.exists():
-        packed = subprocess.run(["git", "-C", str(ROOT), "archive", found.stdout.strip()], capture_output=True,
-                                check=True).stdout
+        packed = subprocess.run(
+            ["git", "-C", str(ROOT), "archive", found.stdout.strip()], capture_output=True, check=True
+        ).stdout
         where.mkdir(parents=True)
         with tarfile.open(fileobj=BytesIO(packed)) as archive:
             archive.extractall(where, filter="data")
--- a/ternquay/rig/disk_faults.py
+++ b/ternquay/rig/disk_faults.py
@@ -45,16 +45,21 @@
             raise DayError(f"faults[{i}].end: {one.end} is not after the start")
         lines.append(f"{one.call} {_number(one, f'faults[{i}]')} {one.start} {one.end} {one.rate}\n")
     (scratch / "disk-plan").write_text("".join(lines))
-    return os.environ | {"LD_PRELOAD": str(built(scratch)), "TERNQUAY_DISK_PLAN": str(scratch / "disk-plan"),
-                         "TERNQUAY_DISK_LOG": str(scratch / "disk-log"), "TERNQUAY_DISK_FOLDER": str(folder.resolve())}
+    return os.environ | {
+        "LD_PRELOAD": str(built(scratch)),
+        "TERNQUAY_DISK_PLAN": str(scratch / "disk-plan"),
+        "TERNQUAY_DISK_LOG": str(scratch / "disk-log"),
+        "TERNQUAY_DISK_FOLDER": str(folder.resolve()),
+    }
 
 
 def built(scratch: Path) -> Path:
     """The library, built there."""
     library = scratch / "disk.so"
     if not library.exists():
-        subprocess.run(["cc", "-shared", "-fPIC", "-O1", "-o", str(library), str(SOURCE), "-ldl"], check=True,
-                       capture_output=True)
+        subprocess.run(
+            ["cc", "-shared", "-fPIC", "-O1", "-o", str(library), str(SOURCE), "-ldl"], check=True, capture_output=True
+        )
     return library
 
 
--- a/ternquay/rig/flood.py
+++ b/ternquay/rig/flood.py
@@ -152,7 +152,7 @@
                 self.turn += 1
                 self.command(self.all[self.turn % len(self.all)])
         elif self.shape == "halves":
-            for one in self.all[:: 50]:
+            for one in self.all[::50]:
                 one.transport.write(b"x")
 
     def dial(self) -> None:
@@ -176,8 +176,10 @@
             one.transport.write(b"ms half 60000 Of0 Pc=%b,d=900\r\n" % self.plan.profile.encode() + VALUE[:30_000])
         elif self.shape == "api":
             for _ in range(20):
-                one.transport.write(b"GET /v1/tenants HTTP/1.1\r\nhost: x\r\nauthorization: Bearer tq1.-.main."
-                                    b"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA\r\n\r\n")
+                one.transport.write(
+                    b"GET /v1/tenants HTTP/1.1\r\nhost: x\r\nauthorization: Bearer tq1.-.main."
+                    b"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA\r\n\r\n"
+                )
             self.saw.sent += 20
 
     def pour(self, one: Flooder, left: int) -> None:
@@ -225,8 +227,7 @@
 def run(plan: FloodPlan) -> None:
     reactor = install()
     flood = Flood(reactor, plan)
-    live(reactor, plan, {"ready": True}, flood.start,
-         lambda: finish(plan, flood.saw))
+    live(reactor, plan, {"ready": True}, flood.start, lambda: finish(plan, flood.saw))
 
 
 if __name__ == "__main__":
--- a/ternquay/rig/judge.py
+++ b/ternquay/rig/judge.py
@@ -71,18 +71,27 @@
 
     def ended(self, balancer: int, since: int, until: int) -> bool:
         """Whether it was killed, or crashed, in between."""
-        return any((life.killed or life.code) and life.ended and since <= life.ended <= until
-                   for life in self.lives[balancer])
+        return any(
+            (life.killed or life.code) and life.ended and since <= life.ended <= until for life in self.lives[balancer]
+        )
 
     def paused(self, balancer: int, since: int, until: int) -> bool:
         """Whether it was stopped in between: a process that does not run answers nobody, nor in time."""
-        return any(one.balancer == balancer and one.began <= until and since <= one.ended + self.slack
-                   for one in self.saw.pauses)
+        return any(
+            one.balancer == balancer and one.began <= until and since <= one.ended + self.slack
+            for one in self.saw.pauses
+        )
 
     def known(self, told: Told) -> int:
         """When that line was told, or if the process was stopped then, when it went on: it reads nothing before."""
-        return max([told.at] + [one.ended for one in self.saw.pauses
-                                if one.balancer == told.balancer and one.began <= told.at <= one.ended])
+        return max(
+            [told.at]
+            + [
+                one.ended
+                for one in self.saw.pauses
+                if one.balancer == told.balancer and one.began <= told.at <= one.ended
+            ]
+        )
 
     def life_at(self, balancer: int, at: int) -> Life | None:
         for life in self.lives[balancer]:
@@ -98,8 +107,18 @@
 
 def judge(day: Day, saw: Saw) -> list[Breach]:
     case = _Case(day, saw)
-    found = [*_lost(case), *_extras(case), *_after(case), *_twice(case), *_effects(case), *_drains(case),
-             *_cold(case), *_wrong(case), *_strange(case), *_stopped(case)]
+    found = [
+        *_lost(case),
+        *_extras(case),
+        *_after(case),
+        *_twice(case),
+        *_effects(case),
+        *_drains(case),
+        *_cold(case),
+        *_wrong(case),
+        *_strange(case),
+        *_stopped(case),
+    ]
     return sorted(found, key=lambda b: b.at)
 
 
@@ -184,8 +203,12 @@
             of[one.number] += [hop for hop in case.hops.get(one.id, []) if hop.effect]
     for number, hops in of.items():
         if len(hops) > 1:
-            yield Breach("twice", hops[1].effect, "an effect twice",
-                         {"number": number, "hops": [msgspec.structs.asdict(hop) for hop in hops[:6]]})
+            yield Breach(
+                "twice",
+                hops[1].effect,
+                "an effect twice",
+                {"number": number, "hops": [msgspec.structs.asdict(hop) for hop in hops[:6]]},
+            )
 
 
 # ---- rule 3 ----
@@ -211,8 +234,11 @@
             lines = [(line, at) for line, at in told[balancer, hop.host] if life.started <= at]
             until = bisect_right([at for _, at in lines], hop.came)
             if not _stood(lines[:until], hop.came - grace):
-                evidence = {"hop": msgspec.structs.asdict(hop), "balancer": balancer,
-                            "told": [msgspec.structs.asdict(t) for t, _ in lines[:until][-4:]]}
+                evidence = {
+                    "hop": msgspec.structs.asdict(hop),
+                    "balancer": balancer,
+                    "told": [msgspec.structs.asdict(t) for t, _ in lines[:until][-4:]],
+                }
                 yield Breach("drains", hop.came, "a hop past the grace after a notice", evidence)
 
 
--- a/ternquay/rig/laws/clients.py
+++ b/ternquay/rig/laws/clients.py
@@ -79,8 +79,15 @@
         leaves = 0
         if random.random() < terms.leaves_early:
             leaves = int(random.random() * self.day.profiles[profile].service_goal_ms * MS) + 1
-        return Arrival(number, at, profile, self._key(random, at, number), random.randint(*terms.value_bytes),
-                       leaves, random.random() < terms.pipelined)
+        return Arrival(
+            number,
+            at,
+            profile,
+            self._key(random, at, number),
+            random.randint(*terms.value_bytes),
+            leaves,
+            random.random() < terms.pipelined,
+        )
 
     def _key(self, random: Random, at: int, number: int) -> str:
         for i, f in enumerate(self.hot):
--- a/ternquay/rig/laws/fleet.py
+++ b/ternquay/rig/laws/fleet.py
@@ -1,11 +1,11 @@
 """All cache hosts, the origin behind them and their list, with the day's faults, as one law on one heap of times.
 
-    fleet = Fleet(day, faults, seed, places)     # places: where each host listens, as text
-    ticket = fleet.arrive(now, host, ask)        # a command came whole
-    fleet.cancel(now, ticket)                    # nobody waits for its answer any more
-    fleet.advance(now)                           # all that was due by now
-    fleet.take()                                 # what has come of it since: Answer, HostDown, HostUp, ListChanged
-    fleet.due()                                  # when advance() is wanted next, or None
+fleet = Fleet(day, faults, seed, places)     # places: where each host listens, as text
+ticket = fleet.arrive(now, host, ask)        # a command came whole
+fleet.cancel(now, ticket)                    # nobody waits for its answer any more
+fleet.advance(now)                           # all that was due by now
+fleet.take()                                 # what has come of it since: Answer, HostDown, HostUp, ListChanged
+fleet.due()                                  # when advance() is wanted next, or None
 """
 
 from dataclasses import dataclass, field
@@ -161,8 +161,14 @@
         heappush(self.heap, (at, self.pushes, what, host, fault))
 
     def _plan(self, f: Planned) -> None:
-        begins = {"host-slow": "slow", "host-silent": "mute", "host-crash": "crash", "host-replaced": "drain",
-                  "origin-slow": "origin", "host-drains": "drain"}
+        begins = {
+            "host-slow": "slow",
+            "host-silent": "mute",
+            "host-crash": "crash",
+            "host-replaced": "drain",
+            "origin-slow": "origin",
+            "host-drains": "drain",
+        }
         if f.kind == "rolling-release":
             self._plan_release(f)
         elif f.kind == "origin-slow":
@@ -179,7 +185,7 @@
         order = list(f.hosts)
         Random(f"{self.seed}/release").shuffle(order)
         size = max(1, round(f.part * self.day.hosts.count))
-        groups = [order[n: n + size] for n in range(0, len(order), size)]
+        groups = [order[n : n + size] for n in range(0, len(order), size)]
         each = (f.end - f.start) // len(groups)
         for n, group in enumerate(groups):
             for host in group:
@@ -217,9 +223,14 @@
 
     def _entry(self, host: CacheHost, phase: str) -> Entry:
         zones, held = self.day.hosts.zones, len(host.jobs) / self.day.hosts.cores
-        return Entry(host.name, self.places[host.index], phase, host.since,
-                     f"zone-{host.index % zones}" if zones > 1 else "here",
-                     1 / (1 + held) if self.day.list.weights_ms else 1.0)
+        return Entry(
+            host.name,
+            self.places[host.index],
+            phase,
+            host.since,
+            f"zone-{host.index % zones}" if zones > 1 else "here",
+            1 / (1 + held) if self.day.list.weights_ms else 1.0,
+        )
 
     def _tell_weights(self, at: int) -> None:
         for host in self.hosts:
@@ -368,8 +379,9 @@
 
     def _sample(self, at: int) -> None:
         for host in self.hosts:
-            self.states.append(HostState(at, host.index, host.up, host.warmth(at) if host.up else 0.0,
-                                         len(host.jobs), host.done_work))
+            self.states.append(
+                HostState(at, host.index, host.up, host.warmth(at) if host.up else 0.0, len(host.jobs), host.done_work)
+            )
         self._forget_marks(at)
         if at < self.day.seconds * SECOND:
             self._push(at + SAMPLE, "sample", 0)
--- a/ternquay/rig/laws/link.py
+++ b/ternquay/rig/laws/link.py
@@ -48,13 +48,15 @@
             return answer
         line, _, rest = answer.partition(b"\r\n")
         verb, _, words = line.partition(b" ")
-        return self.random.choice((
-            b"VX " + words + b"\r\n" + rest,  # no verb that there is
-            line.replace(b" O", b" Oz", 1) + b"\r\n" + rest,  # another one's id
-            answer[: len(answer) // 2] + RESET,  # cut off half way
-            b"\0\xff" * 9 + answer,
-            (b"VA 99999999" + line[line.find(b" O"):] if verb == b"VA" else b"HD") + b"\r\n" + rest,
-        ))
+        return self.random.choice(
+            (
+                b"VX " + words + b"\r\n" + rest,  # no verb that there is
+                line.replace(b" O", b" Oz", 1) + b"\r\n" + rest,  # another one's id
+                answer[: len(answer) // 2] + RESET,  # cut off half way
+                b"\0\xff" * 9 + answer,
+                (b"VA 99999999" + line[line.find(b" O") :] if verb == b"VA" else b"HD") + b"\r\n" + rest,
+            )
+        )
 
     def pieces(self, now: int, answer: bytes) -> list[tuple[int, bytes]]:
         """When which bytes of it arrive; RESET ends it."""
@@ -66,9 +68,10 @@
             cut = self.random.choice((1, 2, 3, 7, 40)) if len(answer) < 200 else self.random.choice((61, 333))
         if not drip and cut < len(answer):
             # Cut in odd pieces that follow at once: the first ones, as so many turns tell no more.
-            return [(at + n * MS, answer[n * cut: (n + 1) * cut if n < 3 else None]) for n in range(4)
-                    if answer[n * cut:]]
+            return [
+                (at + n * MS, answer[n * cut : (n + 1) * cut if n < 3 else None]) for n in range(4) if answer[n * cut :]
+            ]
         pause = drip.pause if drip else 0
         count = min(8, -(-len(answer) // cut))
         size = -(-len(answer) // count)
-        return [(at + n * pause, answer[n * size: (n + 1) * size]) for n in range(count)]
+        return [(at + n * pause, answer[n * size : (n + 1) * size]) for n in range(count)]
--- a/ternquay/rig/laws/listing.py
+++ b/ternquay/rig/laws/listing.py
@@ -21,8 +21,16 @@
 
     def told(self, epoch_ms: int) -> dict[str, Any]:
         """In discovery's form; `epoch_ms` is the wall's time at the begin of the play."""
-        return {"id": self.id, "host_port": self.where, "locality": self.zone, "flavor": "rig", "cell": 0,
-                "phase": self.phase, "size": self.size, "up_since_ms": epoch_ms + self.since // MS if self.since else 0}
+        return {
+            "id": self.id,
+            "host_port": self.where,
+            "locality": self.zone,
+            "flavor": "rig",
+            "cell": 0,
+            "phase": self.phase,
+            "size": self.size,
+            "up_since_ms": epoch_ms + self.since // MS if self.since else 0,
+        }
 
 
 @dataclass(slots=True)
@@ -75,4 +83,4 @@
 
     def since(self, now: int, index: int) -> list[Entry]:
         """What has changed after that revision, the latest of each host."""
-        return list({e.id: e for e in self.entries[index: self.revision(now)]}.values())
+        return list({e.id: e for e in self.entries[index : self.revision(now)]}.values())
--- a/ternquay/rig/laws/origin.py
+++ b/ternquay/rig/laws/origin.py
@@ -1,9 +1,9 @@
 """The slow origin: so many fetches at a time, all others wait; past its stopping load it stops for a while.
 
-    law = Origin(terms, seed)
-    law.ask(now, ticket, cold)     # -> False: it stands still, nothing was taken
-    law.advance(now)               # -> tickets that ended by now, each with True, or False where it stopped
-    law.due()                      # when advance() is wanted next, or None
+law = Origin(terms, seed)
+law.ask(now, ticket, cold)     # -> False: it stands still, nothing was taken
+law.advance(now)               # -> tickets that ended by now, each with True, or False where it stopped
+law.due()                      # when advance() is wanted next, or None
 """
 
 from collections import deque
--- a/ternquay/rig/load.py
+++ b/ternquay/rig/load.py
@@ -93,8 +93,8 @@
             size += int(words[1]) + 2
             if len(self.buffer) < size:
                 return 0
-            body = bytes(self.buffer[end + 2: size - 2])
-            if self.buffer[size - 2: size] != b"\r\n":
+            body = bytes(self.buffer[end + 2 : size - 2])
+            if self.buffer[size - 2 : size] != b"\r\n":
                 line = b"a value without its end"
                 words = [b""]
         if not self.owed:
@@ -215,8 +215,9 @@
         # Ours alone: that a connection comes up late is the balancer's doing.
         self.late.append(self.clock() - at)
         id = f"{self.plan.prefix}t{arrival.number}.{tries}"
-        seen = records.Try(arrival.number, tries, id, arrival.profile, -1, -1, -1, self.begin + arrival.due,
-                           at, 0, limit)
+        seen = records.Try(
+            arrival.number, tries, id, arrival.profile, -1, -1, -1, self.begin + arrival.due, at, 0, limit
+        )
         self.tries.append(seen)
         sent = Sent(arrival, seen)
         sent.timer = self.reactor.callLater(max(0, at + limit + GRACE - self.clock()) / SECOND, self._over, sent)
--- a/ternquay/rig/measure.py
+++ b/ternquay/rig/measure.py
@@ -65,8 +65,10 @@
 
 def lateness(saw: Saw) -> dict[str, float]:
     """Of the rig itself, in milliseconds: how late tries were sent, and how late answers of cache hosts."""
-    return {"load_ms": round(percentile([x for load in saw.loads for x in load.late], 0.99) / MS, 2),
-            "standins_ms": round(percentile(saw.fleet.late, 0.99) / MS, 2)}
+    return {
+        "load_ms": round(percentile([x for load in saw.loads for x in load.late], 0.99) / MS, 2),
+        "standins_ms": round(percentile(saw.fleet.late, 0.99) / MS, 2),
+    }
 
 
 def is_late(saw: Saw) -> bool:
@@ -107,19 +109,21 @@
     for number in sorted({life.balancer for life in saw.lives}):
         samples = [s for s in saw.samples if s.balancer == number]
         cpu = samples[-1].cpu - samples[0].cpu if samples else 0.0
-        figures.append({
-            "cpu_us_per_tx": round(1e6 * cpu / max(1, taken[number]), 1), "txs": taken[number],
-            "cpu_share": round(cpu / saw.seconds, 3),
-            "memory_mb": round(max((s.memory for s in samples), default=0) / (1 << 20), 1),
-            "descriptors": max((s.descriptors for s in samples), default=0),
-        })
+        figures.append(
+            {
+                "cpu_us_per_tx": round(1e6 * cpu / max(1, taken[number]), 1),
+                "txs": taken[number],
+                "cpu_share": round(cpu / saw.seconds, 3),
+                "memory_mb": round(max((s.memory for s in samples), default=0) / (1 << 20), 1),
+                "descriptors": max((s.descriptors for s in samples), default=0),
+            }
+        )
     return figures
 
 
 def crashes(saw: Saw) -> int:
     """Balancers that ended by themselves, or badly."""
-    return sum(bool(life.code) or bool(life.ended and not life.killed and not life.told_to_end)
-               for life in saw.lives)
+    return sum(bool(life.code) or bool(life.ended and not life.killed and not life.told_to_end) for life in saw.lives)
 
 
 def after(saw: Saw, seconds: float) -> Saw:
@@ -142,16 +146,31 @@
     rules = Counter(breach.rule for breach in breaches)
     tenths = saw.fleet.origin
     return {
-        "day": day.name, "seed": saw.seed, "seconds": saw.seconds, "late": is_late(saw), "lateness": lateness(saw),
-        "txs": len(found), "committed": ends["committed"], "rolled_back": ends["rolled_back"],
-        "abandoned": ends["abandoned"], "tries": sum(len(tries) for tries in found.values()),
-        "service": round(whole, 4), "service_by_profile": by, "worst_2s": round(worst_span(day, found), 4),
-        "rules": {rule: rules[rule] for rule in RULES}, "crashes": crashes(saw),
-        "latency_ms": {name: round(latency.get_value_at_percentile(p) / 1000, 2)
-                       for name, p in (("p50", 50.0), ("p99", 99.0), ("p999", 99.9))},
+        "day": day.name,
+        "seed": saw.seed,
+        "seconds": saw.seconds,
+        "late": is_late(saw),
+        "lateness": lateness(saw),
+        "txs": len(found),
+        "committed": ends["committed"],
+        "rolled_back": ends["rolled_back"],
+        "abandoned": ends["abandoned"],
+        "tries": sum(len(tries) for tries in found.values()),
+        "service": round(whole, 4),
+        "service_by_profile": by,
+        "worst_2s": round(worst_span(day, found), 4),
+        "rules": {rule: rules[rule] for rule in RULES},
+        "crashes": crashes(saw),
+        "latency_ms": {
+            name: round(latency.get_value_at_percentile(p) / 1000, 2)
+            for name, p in (("p50", 50.0), ("p99", 99.0), ("p999", 99.9))
+        },
         "hops_per_tx": round(len(saw.fleet.hops) / max(1, len(found)), 4),
         "hit_share": round(sum(hop.note == 1 for hop in reads) / max(1, len(reads)), 4),
-        "origin": {"peak_rate": float(max((sum(tenths[n: n + 10]) for n in range(len(tenths))), default=0)),
-                   "stopping_rate": day.origin.stopping_rate, "stops": len(saw.fleet.stopped)},
+        "origin": {
+            "peak_rate": float(max((sum(tenths[n : n + 10]) for n in range(len(tenths))), default=0)),
+            "stopping_rate": day.origin.stopping_rate,
+            "stops": len(saw.fleet.stopped),
+        },
         "balancers": balancer_figures(saw),
     }
--- a/ternquay/rig/neighbours.py
+++ b/ternquay/rig/neighbours.py
@@ -29,20 +29,26 @@
     return result
 
 
-def neighbours(day: Day, shapes: list[str], seeds: list[int], out: Path,
-               progress: Callable[[str], None] = lambda text: None) -> dict[str, Any]:
+def neighbours(
+    day: Day, shapes: list[str], seeds: list[int], out: Path, progress: Callable[[str], None] = lambda text: None
+) -> dict[str, Any]:
     plays: dict[tuple[str, int], dict[str, Any]] = {}
     for n, seed in enumerate(seeds):
         turn = [NONE, *shapes]
-        for shape in turn[n % len(turn):] + turn[: n % len(turn)]:
+        for shape in turn[n % len(turn) :] + turn[: n % len(turn)]:
             progress(f"{day.name}, seed {seed}, {shape}")
             plays[shape, seed] = played(day, shape, seed, out / shape / str(seed))
-    return {"day": day.name, "seconds": day.seconds, "seeds": seeds, "flooded": day.flood.tenant,
-            "late": sum(play["late"] for play in plays.values()),
-            "breaches": sum(sum(play["rules"].values()) for play in plays.values()),
-            "crashes": sum(play["crashes"] for play in plays.values()),
-            "origin_stops": sum(t["origin_stops"] for play in plays.values() for t in play["tenants"].values()),
-            "shapes": {shape: of_shape(day, shape, seeds, plays) for shape in shapes}}
+    return {
+        "day": day.name,
+        "seconds": day.seconds,
+        "seeds": seeds,
+        "flooded": day.flood.tenant,
+        "late": sum(play["late"] for play in plays.values()),
+        "breaches": sum(sum(play["rules"].values()) for play in plays.values()),
+        "crashes": sum(play["crashes"] for play in plays.values()),
+        "origin_stops": sum(t["origin_stops"] for play in plays.values() for t in play["tenants"].values()),
+        "shapes": {shape: of_shape(day, shape, seeds, plays) for shape in shapes},
+    }
 
 
 def of_shape(day: Day, shape: str, seeds: list[int], plays: dict[tuple[str, int], dict[str, Any]]) -> dict[str, Any]:
@@ -56,9 +62,14 @@
         own.append(flooded[day.flood.tenant]["service"] / max(1e-9, calm[day.flood.tenant]["service"]))
     sent = [plays[shape, seed].get("flood", {}).get("sent", 0) for seed in seeds]
     dialled = [plays[shape, seed].get("flood", {}).get("connections", 0) for seed in seeds]
-    return {"others_service": spread(service), "others_p99_ratio": spread(ratio), "own_service_ratio": spread(own),
-            "cpu_share": round(float(np.mean([plays[shape, s]["balancers"][0]["cpu_share"] for s in seeds])), 3),
-            "flood_sent": int(np.mean(sent)), "flood_connections": int(np.mean(dialled))}
+    return {
+        "others_service": spread(service),
+        "others_p99_ratio": spread(ratio),
+        "own_service_ratio": spread(own),
+        "cpu_share": round(float(np.mean([plays[shape, s]["balancers"][0]["cpu_share"] for s in seeds])), 3),
+        "flood_sent": int(np.mean(sent)),
+        "flood_connections": int(np.mean(dialled)),
+    }
 
 
 def spread(values: list[float]) -> dict[str, float]:
@@ -68,13 +79,20 @@
 
 def lines(found: dict[str, Any]) -> list[str]:
     """For people: a Markdown table."""
-    told = [f"{found['day']}, {len(found['seeds'])} pairs of {found['seconds']:.0f} s, breaches {found['breaches']}, "
-            f"crashes {found['crashes']}, origins stopped {found['origin_stops']}, late {found['late']}", "",
-            "| flood | others' service, difference | others' p99, ratio | own other clients' service, ratio | CPU | "
-            "sent | connections |", "| --- | --- | --- | --- | --- | --- | --- |"]
+    told = [
+        f"{found['day']}, {len(found['seeds'])} pairs of {found['seconds']:.0f} s, breaches {found['breaches']}, "
+        f"crashes {found['crashes']}, origins stopped {found['origin_stops']}, late {found['late']}",
+        "",
+        "| flood | others' service, difference | others' p99, ratio | own other clients' service, ratio | CPU | "
+        "sent | connections |",
+        "| --- | --- | --- | --- | --- | --- | --- |",
+    ]
     for shape, row in found["shapes"].items():
-        cells = [f"{row[name]['mean']:.3f} [{row[name]['low']:.3f}, {row[name]['high']:.3f}]"
-                 for name in ("others_service", "others_p99_ratio", "own_service_ratio")]
-        told.append(f"| {shape} | {' | '.join(cells)} | {row['cpu_share']} | {row['flood_sent']} | "
-                    f"{row['flood_connections']} |")
+        cells = [
+            f"{row[name]['mean']:.3f} [{row[name]['low']:.3f}, {row[name]['high']:.3f}]"
+            for name in ("others_service", "others_p99_ratio", "own_service_ratio")
+        ]
+        told.append(
+            f"| {shape} | {' | '.join(cells)} | {row['cpu_share']} | {row['flood_sent']} | {row['flood_connections']} |"
+        )
     return told
--- a/ternquay/rig/play.py
+++ b/ternquay/rig/play.py
@@ -28,8 +28,14 @@
 TRIES = 3  # ports may be taken between the moment we find them free and the moment a balancer listens
 
 
-def follow(day: Day, begin: int, events: list[tuple[int, Callable[[], bool | None]]], balancers: list[Balancer],
-           children: list[Running], progress: Callable[[float], None]) -> None:
+def follow(
+    day: Day,
+    begin: int,
+    events: list[tuple[int, Callable[[], bool | None]]],
+    balancers: list[Balancer],
+    children: list[Running],
+    progress: Callable[[float], None],
+) -> None:
     """Until stand-ins and load have ended by themselves; raises PlayError if one ended otherwise."""
     last = begin + int((day.seconds + tail_ms(day) / 1000 + 15) * SECOND)
     sampled = 0
@@ -58,8 +64,15 @@
     return not day.faults and all(not p.write for p in day.profiles)
 
 
-def play(day: Day, seed: int, contender: Contender, out: Path, loads: int = 2,
-         progress: Callable[[float], None] = lambda at: None, shards: int = 1) -> records.Saw:
+def play(
+    day: Day,
+    seed: int,
+    contender: Contender,
+    out: Path,
+    loads: int = 2,
+    progress: Callable[[float], None] = lambda at: None,
+    shards: int = 1,
+) -> records.Saw:
     """Plays the day once. Other ports are used where one was taken.
 
     `shards` processes have the cache hosts, on days without writes and faults alone.
@@ -79,13 +92,28 @@
     raise AssertionError
 
 
-def _play(stage: Stage, day: Day, seed: int, contender: Contender, processes: tuple[int, int],
-          progress: Callable[[float], None]) -> records.Saw:
+def _play(
+    stage: Stage,
+    day: Day,
+    seed: int,
+    contender: Contender,
+    processes: tuple[int, int],
+    progress: Callable[[float], None],
+) -> records.Saw:
     shards, loads = processes
     cores = share_cores(day.balancers.count, loads, shards)
     balancers = [Balancer(stage, day, n, contender, seed, cores.balancers[n]) for n in range(day.balancers.count)]
-    plan = Plan(day, seed, "", epoch_ms=time.time_ns() // MS, balancers=[b.listen for b in balancers], loads=loads,
-                tail_ms=tail_ms(day), places=host_places(day), shards=shards)
+    plan = Plan(
+        day,
+        seed,
+        "",
+        epoch_ms=time.time_ns() // MS,
+        balancers=[b.listen for b in balancers],
+        loads=loads,
+        tail_ms=tail_ms(day),
+        places=host_places(day),
+        shards=shards,
+    )
 
     def child(name: str, module: str, core: int, **terms: Any) -> Running:
         saw = stage.out / f"{name}.saw"
@@ -94,8 +122,10 @@
         path.write_bytes(msgspec.json.encode(msgspec.structs.replace(plan, out=str(saw.resolve()), **terms)))
         return stage.start(name, [sys.executable, "-m", module, str(path.resolve())], core)
 
-    standins = [child("standins" if not n else f"standins-{n}", "ternquay.rig.standins", core, shard=n)
-                for n, core in enumerate(cores.standins)]
+    standins = [
+        child("standins" if not n else f"standins-{n}", "ternquay.rig.standins", core, shard=n)
+        for n, core in enumerate(cores.standins)
+    ]
     clients = [child(f"load-{n}", "ternquay.rig.load", core, index=n) for n, core in enumerate(cores.loads)]
     if has_stopping_clients(day):
         clients.append(child("stopping", "ternquay.rig.stopping", cores.loads[-1]))
@@ -118,8 +148,9 @@
     return gathered(stage, day, seed, begin, balancers, [one.name for one in standins], loads)
 
 
-def gathered(stage: Stage, day: Day, seed: int, begin: int, balancers: list[Balancer], standins: list[str],
-             loads: int) -> records.Saw:
+def gathered(
+    stage: Stage, day: Day, seed: int, begin: int, balancers: list[Balancer], standins: list[str], loads: int
+) -> records.Saw:
     try:
         fleet = records.together([records.read_fleet(stage.out / f"{name}.saw") for name in standins])
         clients = [records.read_load(stage.out / f"load-{n}.saw") for n in range(loads)]
@@ -130,7 +161,14 @@
         (stage.out / f"{name}.saw").unlink()
         (stage.out / f"{name}.json").unlink()
     return records.Saw(
-        day=day.name, seed=seed, seconds=day.seconds, begin=begin, loads=clients, fleet=fleet,
-        lives=[life for b in balancers for life in b.lives], samples=[s for b in balancers for s in b.samples],
-        pauses=[pause for b in balancers for pause in b.pauses], stops=stops,
+        day=day.name,
+        seed=seed,
+        seconds=day.seconds,
+        begin=begin,
+        loads=clients,
+        fleet=fleet,
+        lives=[life for b in balancers for life in b.lives],
+        samples=[s for b in balancers for s in b.samples],
+        pauses=[pause for b in balancers for pause in b.pauses],
+        stops=stops,
     )
--- a/ternquay/rig/processes.py
+++ b/ternquay/rig/processes.py
@@ -111,14 +111,27 @@
     out: Path
     all: list[Running] = field(default_factory=list)
 
-    def start(self, name: str, command: list[str], core: int, tree: Path = ROOT, piped: bool = True,
-              environment: dict[str, str] | None = None) -> Running:
+    def start(
+        self,
+        name: str,
+        command: list[str],
+        core: int,
+        tree: Path = ROOT,
+        piped: bool = True,
+        environment: dict[str, str] | None = None,
+    ) -> Running:
         log = self.out / "logs" / f"{name}.log"
         pipe = subprocess.PIPE if piped else subprocess.DEVNULL
         with open(log, "ab") as errors:
             process = subprocess.Popen(
-                command, cwd=tree, stdin=pipe, stdout=pipe, stderr=errors, preexec_fn=bound_to(core),
-                env=os.environ | {"PYTHONPATH": str(tree), "PYTHONDONTWRITEBYTECODE": "1"} | (environment or {}))
+                command,
+                cwd=tree,
+                stdin=pipe,
+                stdout=pipe,
+                stderr=errors,
+                preexec_fn=bound_to(core),
+                env=os.environ | {"PYTHONPATH": str(tree), "PYTHONDONTWRITEBYTECODE": "1"} | (environment or {}),
+            )
         running = Running(name, process, log, psutil.Process(process.pid))
         self.all.append(running)
         return running
--- a/ternquay/rig/report.py
+++ b/ternquay/rig/report.py
@@ -18,8 +18,9 @@
 from ternquay.rig.terms import SECOND, Day, Planned, planned
 
 matplotlib.use("Agg")
-STYLE = ("body{font:14px sans-serif;margin:2em;max-width:70em}img{max-width:100%}"
-         "td,th{padding:.2em .8em;text-align:left}")
+STYLE = (
+    "body{font:14px sans-serif;margin:2em;max-width:70em}img{max-width:100%}td,th{padding:.2em .8em;text-align:left}"
+)
 
 
 class Plots:
@@ -62,8 +63,11 @@
         axes = self.axes("within the goal")
         for profile, counts in sorted(asked.items()):
             spans = sorted(counts)
-            axes.plot([s + 0.5 for s in spans], [earned[profile][s] / counts[s] for s in spans],
-                      label=self.day.profiles[profile].name)
+            axes.plot(
+                [s + 0.5 for s in spans],
+                [earned[profile][s] / counts[s] for s in spans],
+                label=self.day.profiles[profile].name,
+            )
         axes.set_ylim(-0.02, 1.02)
         self.keep("Service by profile", axes)
 
@@ -75,8 +79,11 @@
         axes = self.axes("ms")
         for part in (50.0, 99.0, 99.9):
             spans = sorted(by)
-            axes.plot([s + 0.5 for s in spans],
-                      [histogram(by[s]).get_value_at_percentile(part) / 1000 for s in spans], label=f"p{part:g}")
+            axes.plot(
+                [s + 0.5 for s in spans],
+                [histogram(by[s]).get_value_at_percentile(part) / 1000 for s in spans],
+                label=f"p{part:g}",
+            )
         self.keep("Latency of committed transactions", axes)
 
     def hops(self) -> None:
@@ -90,8 +97,11 @@
     def origin(self) -> None:
         tenths = self.saw.fleet.origin
         axes = self.axes("a second")
-        axes.plot([n / 10 for n in range(len(tenths))],
-                  [sum(tenths[max(0, n - 9): n + 1]) for n in range(len(tenths))], label="fetches and writes")
+        axes.plot(
+            [n / 10 for n in range(len(tenths))],
+            [sum(tenths[max(0, n - 9) : n + 1]) for n in range(len(tenths))],
+            label="fetches and writes",
+        )
         axes.axhline(self.day.origin.stopping_rate, color="black", linestyle="--", label="stopping load")
         self.keep("The origin's load", axes)
 
@@ -102,10 +112,15 @@
         load, warmth = self.axes("cores busy"), self.axes("warmth")
         for host, samples in sorted(states.items()):
             pairs = list(zip(samples, samples[1:], strict=False))
-            load.plot([self.seconds(b.at) for _, b in pairs],
-                      [max(0, b.work - a.work) / (b.at - a.at) for a, b in pairs], linewidth=0.8, label=str(host))
-            warmth.plot([self.seconds(s.at) for s in samples], [s.warmth for s in samples], linewidth=0.8,
-                        label=str(host))
+            load.plot(
+                [self.seconds(b.at) for _, b in pairs],
+                [max(0, b.work - a.work) / (b.at - a.at) for a, b in pairs],
+                linewidth=0.8,
+                label=str(host),
+            )
+            warmth.plot(
+                [self.seconds(s.at) for s in samples], [s.warmth for s in samples], linewidth=0.8, label=str(host)
+            )
         self.keep("Each cache host's work", load)
         self.keep("Each cache host's warmth", warmth)
 
@@ -132,21 +147,28 @@
 
 def fault_row(fault: Planned) -> str:
     on = ", ".join(map(str, fault.hosts)) if fault.kind.startswith(("host", "link", "answers", "rolling")) else ""
-    return (f"<tr><td>{escape(fault.kind)}</td><td>{fault.start / SECOND:.1f} s</td>"
-            f"<td>{fault.end / SECOND:.1f} s</td><td>{on}</td></tr>")
+    return (
+        f"<tr><td>{escape(fault.kind)}</td><td>{fault.start / SECOND:.1f} s</td>"
+        f"<td>{fault.end / SECOND:.1f} s</td><td>{on}</td></tr>"
+    )
 
 
 def page(result: dict[str, Any], breaches: list[Breach], plots: Plots) -> str:
     faults = "".join(fault_row(fault) for fault in plots.faults)
-    rows = "".join(f"<tr><td>{b.rule}</td><td>{plots.seconds(b.at):.3f} s</td><td>{escape(b.what)}</td></tr>"
-                   for b in breaches[:EVIDENCE_MOST])
-    images = "".join(f'<h2>{title}</h2><img alt="{title}" src="data:image/png;base64,{data}">'
-                     for title, data in plots.draw())
+    rows = "".join(
+        f"<tr><td>{b.rule}</td><td>{plots.seconds(b.at):.3f} s</td><td>{escape(b.what)}</td></tr>"
+        for b in breaches[:EVIDENCE_MOST]
+    )
+    images = "".join(
+        f'<h2>{title}</h2><img alt="{title}" src="data:image/png;base64,{data}">' for title, data in plots.draw()
+    )
     verdict = "No rule was broken." if not breaches else f"{len(breaches)} breaches of rules."
-    return (f"<!doctype html><meta charset=utf-8><title>{escape(result['day'])}</title><style>{STYLE}</style>"
-            f"<h1>{escape(result['day'])}, seed {result['seed']}</h1><p>{escape(plots.day.line)}.</p><p>{verdict}</p>"
-            f"<table><tr><th>fault</th><th>from</th><th>to</th><th>hosts</th></tr>{faults}</table>"
-            f"<table>{rows}</table>{images}<h2>Figures</h2><pre>{escape(json.dumps(result, indent=1))}</pre>")
+    return (
+        f"<!doctype html><meta charset=utf-8><title>{escape(result['day'])}</title><style>{STYLE}</style>"
+        f"<h1>{escape(result['day'])}, seed {result['seed']}</h1><p>{escape(plots.day.line)}.</p><p>{verdict}</p>"
+        f"<table><tr><th>fault</th><th>from</th><th>to</th><th>hosts</th></tr>{faults}</table>"
+        f"<table>{rows}</table>{images}<h2>Figures</h2><pre>{escape(json.dumps(result, indent=1))}</pre>"
+    )
 
 
 def write_report(out: Path, day: Day, saw: Saw, result: dict[str, Any], breaches: list[Breach]) -> None:
--- a/ternquay/rig/size.py
+++ b/ternquay/rig/size.py
@@ -28,15 +28,35 @@
 IDLE_FIRST = 20  # tenants made before memory is counted: what the first ones bring is the program's
 
 
-def size(out: Path, tenants: int = 200, active: int = 20, seconds: float = 10.0, rounds: int = 2,
-         progress: Callable[[str], None] = lambda text: None) -> dict[str, Any]:
-    day = read_day("calm", {"seconds": seconds, "hosts": {"count": HOSTS}, "clients": {"rate": RATE, "keys": 1500},
-                            "balancers": {"count": 1}})
+def size(
+    out: Path,
+    tenants: int = 200,
+    active: int = 20,
+    seconds: float = 10.0,
+    rounds: int = 2,
+    progress: Callable[[str], None] = lambda text: None,
+) -> dict[str, Any]:
+    day = read_day(
+        "calm",
+        {
+            "seconds": seconds,
+            "hosts": {"count": HOSTS},
+            "clients": {"rate": RATE, "keys": 1500},
+            "balancers": {"count": 1},
+        },
+    )
     with staged(out) as stage:
         hosted = Hosted(stage, day, 1, cores_for(1)[0])
         hosted.prepare(1)
-        parties = [Party(TenantTerms(f"t{n}", least=0.0, most=1.0, txs_a_second=100_000.0, burst=100_000,
-                                     open_txs=20_000), day, free_place(f"127.3.2.{n + 1}"), 0) for n in range(tenants)]
+        parties = [
+            Party(
+                TenantTerms(f"t{n}", least=0.0, most=1.0, txs_a_second=100_000.0, burst=100_000, open_txs=20_000),
+                day,
+                free_place(f"127.3.2.{n + 1}"),
+                0,
+            )
+            for n in range(tenants)
+        ]
         found = _made(hosted, parties, progress)
         found |= _started_again(hosted, progress)
         plays: dict[str, list[float]] = {"one": [], "several": []}
@@ -72,10 +92,17 @@
         took.append(time.monotonic_ns() - began)
         time.sleep(0.02)  # as an operator's script, and not as a flood
     each = (meter.memory_info().rss - before) / max(1, len(parties) - IDLE_FIRST)
-    return {"tenants": len(parties), "servers_each": HOSTS, "memory_kb_per_idle_tenant": round(each / 1024, 1),
-            "memory_mb": round(meter.memory_info().rss / (1 << 20), 1),
-            "change_ms": {"p50": round(percentile(took, 0.5) / MS, 2), "p99": round(percentile(took, 0.99) / MS, 2),
-                          "max": round(max(took) / MS, 2)}}
+    return {
+        "tenants": len(parties),
+        "servers_each": HOSTS,
+        "memory_kb_per_idle_tenant": round(each / 1024, 1),
+        "memory_mb": round(meter.memory_info().rss / (1 << 20), 1),
+        "change_ms": {
+            "p50": round(percentile(took, 0.5) / MS, 2),
+            "p99": round(percentile(took, 0.99) / MS, 2),
+            "max": round(max(took) / MS, 2),
+        },
+    }
 
 
 def _started_again(hosted: Hosted, progress: Callable[[str], None]) -> dict[str, Any]:
@@ -103,8 +130,10 @@
     known = fleet.told()
     caller = Caller(Target(f"http://{hosted.api}", hosted.token))
     for party in parties:
-        servers = [{"name": f"host-{n}", "place": member["host_port"], "started_ms": 1}
-                   for n, member in enumerate(_members(known))]
+        servers = [
+            {"name": f"host-{n}", "place": member["host_port"], "started_ms": 1}
+            for n, member in enumerate(_members(known))
+        ]
         caller.call("PUT", f"/v1/tenants/{party.terms.name}/servers", {"servers": servers}, -1)
     plan = Plan(day, number, "", balancers=[party.listen for party in parties], tail_ms=tail_ms(day), prefix="s-")
     load = child(stage, "load-size", "ternquay.rig.load", cores[3], plan)
