--- a/ternquay/rig/soak.py
+++ b/ternquay/rig/soak.py
@@ -117,9 +117,11 @@
     struck: int  # system calls that failed and steps of the clock, as proof that they did
 
     def line(self) -> str:
-        return (f"seed {self.seed}: service {self.service:.3f}, rules {self.rules}, crashes {self.crashes}, "
-                f"violations {self.violations}, uncaught {self.uncaught}, {self.stops} stopped clients, "
-                f"{self.struck} calls failed" + (", late" if self.late else ""))
+        return (
+            f"seed {self.seed}: service {self.service:.3f}, rules {self.rules}, crashes {self.crashes}, "
+            f"violations {self.violations}, uncaught {self.uncaught}, {self.stops} stopped clients, "
+            f"{self.struck} calls failed" + (", late" if self.late else "")
+        )
 
     def broken(self) -> bool:
         return bool(any(self.rules.values()) or self.crashes or self.violations or self.uncaught)
@@ -130,9 +132,17 @@
     ranges = KINDS[kind]
     length = min(random.uniform(*ranges.seconds) / seconds, 1.0 - 2 * QUIET)
     start = random.uniform(QUIET, 1.0 - QUIET - length)
-    return Fault(kind=kind, start=start, end=start + length, balancer=balancer, count=ranges.count,
-                 share=random.uniform(*ranges.share) if ranges.share else None, part=random.uniform(*ranges.part),
-                 ms=random.randint(*ranges.ms), factor=random.uniform(*ranges.factor))
+    return Fault(
+        kind=kind,
+        start=start,
+        end=start + length,
+        balancer=balancer,
+        count=ranges.count,
+        share=random.uniform(*ranges.share) if ranges.share else None,
+        part=random.uniform(*ranges.part),
+        ms=random.randint(*ranges.ms),
+        factor=random.uniform(*ranges.factor),
+    )
 
 
 def overlaps(one: Fault, other: Fault, gap: float) -> bool:
@@ -164,12 +174,17 @@
         faults.append(one)
     replaced = msgspec.structs.replace
     return replaced(
-        base, name=f"soak-{seed}", line="random faults that overlap", seconds=terms.seconds, faults=tuple(faults),
+        base,
+        name=f"soak-{seed}",
+        line="random faults that overlap",
+        seconds=terms.seconds,
+        faults=tuple(faults),
         hosts=replaced(base.hosts, count=terms.hosts),
         balancers=replaced(base.balancers, count=terms.balancers, sockets=terms.sockets),
         clients=replaced(base.clients, rate=terms.rate, stops=terms.stops),
         calls=tuple(drawn_call(random, terms.seconds) for _ in range(terms.calls)),
-        clock=tuple(ClockStep(random.uniform(0.0, terms.seconds), random.choice(STEPS)) for _ in range(terms.steps)))
+        clock=tuple(ClockStep(random.uniform(0.0, terms.seconds), random.choice(STEPS)) for _ in range(terms.steps)),
+    )
 
 
 def own_findings(logs: Path) -> tuple[int, int]:
@@ -183,8 +198,9 @@
     return violations, uncaught
 
 
-def play_seed(base: Day, seed: int, terms: SoakTerms, contender: Contender,
-              out: Path) -> tuple[SoakResult, list[Breach]]:
+def play_seed(
+    base: Day, seed: int, terms: SoakTerms, contender: Contender, out: Path
+) -> tuple[SoakResult, list[Breach]]:
     """Plays and judges one seed; its results lie in `out`."""
     day = soak_day(base, seed, terms)
     saw = play(day, seed, contender, out, LOADS)
@@ -192,12 +208,22 @@
     result = measure(day, saw, breaches)
     write_result(out, result, breaches)
     violations, uncaught = own_findings(out / "logs")
-    return SoakResult(seed, result["service"], result["late"], result["rules"], result["crashes"], violations, uncaught,
-                      len(saw.stops), struck(out / "logs").total()), breaches
-
-
-def soak(base: Day, seeds: range, terms: SoakTerms, contender: Contender, out: Path,
-         told: Callable[[SoakResult], Any]) -> list[SoakResult]:
+    return SoakResult(
+        seed,
+        result["service"],
+        result["late"],
+        result["rules"],
+        result["crashes"],
+        violations,
+        uncaught,
+        len(saw.stops),
+        struck(out / "logs").total(),
+    ), breaches
+
+
+def soak(
+    base: Day, seeds: range, terms: SoakTerms, contender: Contender, out: Path, told: Callable[[SoakResult], Any]
+) -> list[SoakResult]:
     """Plays all seeds, one after the other."""
     found = []
     for seed in seeds:
@@ -211,5 +237,7 @@
     """One line over all seeds."""
     broken = [result.seed for result in found if result.broken()]
     service = math.fsum(result.service for result in found) / max(1, len(found))
-    return (f"{len(found)} seeds, {len(broken)} broken {broken}, {sum(result.late for result in found)} late, "
-            f"service {service:.3f}, {sum(result.stops for result in found)} clients stopped in a request")
+    return (
+        f"{len(found)} seeds, {len(broken)} broken {broken}, {sum(result.late for result in found)} late, "
+        f"service {service:.3f}, {sum(result.stops for result in found)} clients stopped in a request"
+    )
--- a/ternquay/rig/standins/__main__.py
+++ b/ternquay/rig/standins/__main__.py
@@ -13,11 +13,20 @@
 
 def run(plan: Plan) -> None:
     reactor = install()
-    hosts = FleetDriver(reactor, plan.day, planned(plan.day, plan.seed), plan.seed, time.monotonic_ns, plan.places,
-                        plan.shard, plan.shards)
+    hosts = FleetDriver(
+        reactor,
+        plan.day,
+        planned(plan.day, plan.seed),
+        plan.seed,
+        time.monotonic_ns,
+        plan.places,
+        plan.shard,
+        plan.shards,
+    )
     balancers = plan.day.balancers.count if plan.shard == 0 else 0  # discovery is the first one's
-    discovery = DiscoveryDriver(reactor, lambda: hosts.law.listing, time.monotonic_ns, balancers, plan.epoch_ms,
-                                plan.day.list.must_ask_ms * MS)
+    discovery = DiscoveryDriver(
+        reactor, lambda: hosts.law.listing, time.monotonic_ns, balancers, plan.epoch_ms, plan.day.list.must_ask_ms * MS
+    )
     hosts.on_list = discovery.changed
     listing = hosts.law.listing
     known = discovery.shown(listing.revision(0), True, listing.whole(0)).decode()
--- a/ternquay/rig/standins/discovery.py
+++ b/ternquay/rig/standins/discovery.py
@@ -47,8 +47,15 @@
 
 
 class DiscoveryDriver:
-    def __init__(self, reactor: Any, listing: Callable[[], Listing], clock: Callable[[], int], balancers: int,
-                 epoch_ms: int, must_ask: int = 10 * SECOND) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        listing: Callable[[], Listing],
+        clock: Callable[[], int],
+        balancers: int,
+        epoch_ms: int,
+        must_ask: int = 10 * SECOND,
+    ) -> None:
         self.reactor, self.listing, self.clock, self.epoch_ms = reactor, listing, clock, epoch_ms
         self.begin = 0
         self.watches: set[Watch] = set()
@@ -92,7 +99,7 @@
         for balancer, counted in enumerate(self.counted):
             due = counted.due(now, listing.visible)
             if due > counted.version:
-                entries = listing.entries[counted.version: due]
+                entries = listing.entries[counted.version : due]
                 self.told += [records.Told(balancer, now + self.begin, entry.id, entry.phase) for entry in entries]
                 counted.version = due
         self.reactor.callLater(COUNT_EVERY, self._count)
--- a/ternquay/rig/standins/hosts.py
+++ b/ternquay/rig/standins/hosts.py
@@ -186,8 +186,17 @@
 class FleetDriver:
     """The law of the fleet on the reactor: what arrives goes in, what is due comes out."""
 
-    def __init__(self, reactor: Any, day: Day, faults: tuple[Planned, ...], seed: int, clock: Callable[[], int],
-                 places: list[str], shard: int = 0, shards: int = 1) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        day: Day,
+        faults: tuple[Planned, ...],
+        seed: int,
+        clock: Callable[[], int],
+        places: list[str],
+        shard: int = 0,
+        shards: int = 1,
+    ) -> None:
         self.reactor, self.day, self.clock = reactor, day, clock
         self.begin = 0
         self.ports = [HostPort(self, i, place, faults, seed) for i, place in enumerate(places)]
@@ -228,8 +237,16 @@
             self.strangers.append(text)
 
     def note(self, port: HostPort, command: Command, now: int) -> records.Hop:
-        hop = records.Hop(command.id, command.mark, self.profiles.get(command.profile, -1), command.write,
-                          port.index, self.law.hosts[port.index].name, command.came + self.begin, now + self.begin)
+        hop = records.Hop(
+            command.id,
+            command.mark,
+            self.profiles.get(command.profile, -1),
+            command.write,
+            port.index,
+            self.law.hosts[port.index].name,
+            command.came + self.begin,
+            now + self.begin,
+        )
         self.hops.append(hop)
         return hop
 
@@ -302,9 +319,17 @@
             hop.answer, hop.stamp = seen.answer, seen.stamp
         b, law, mine = self.begin, self.law, {port.index for port in self.mine}
         return records.FleetSaw(
-            hops=self.hops, told=told, late=self.late, cpu=cpu, strange=self.strangers, origin=law.origin.asked,
+            hops=self.hops,
+            told=told,
+            late=self.late,
+            cpu=cpu,
+            strange=self.strangers,
+            origin=law.origin.asked,
             tipped=[records.Tipped(t.at + b, t.host, t.name, t.warmth, t.pushed) for t in law.tips],
             stopped=[records.Stopped(s.at + b, s.asked, s.by_cold) for s in law.origin.stops],
-            samples=[records.HostSample(s.at + b, s.host, s.up, s.warmth, s.open, s.work) for s in law.states
-                     if s.host in mine],
+            samples=[
+                records.HostSample(s.at + b, s.host, s.up, s.warmth, s.open, s.work)
+                for s in law.states
+                if s.host in mine
+            ],
         )
--- a/ternquay/rig/standins/reader.py
+++ b/ternquay/rig/standins/reader.py
@@ -38,8 +38,9 @@
     try:
         names = dict(pair.split("=", 1) for pair in told[0].decode("ascii").split(","))
         wait = int(names["d"])
-        command = Command(ids[0].decode("ascii"), names["c"], write, words[1].decode("ascii"),
-                          names.get("k", ""), wait, came)
+        command = Command(
+            ids[0].decode("ascii"), names["c"], write, words[1].decode("ascii"), names.get("k", ""), wait, came
+        )
     except (ValueError, KeyError, UnicodeDecodeError) as fault:
         raise Strange(f"names: {fault!r}") from fault
     if wait <= 0:
@@ -80,7 +81,7 @@
                 end = at + self.length
                 if len(self.buffer) < end + 2:
                     break
-                if self.buffer[end: end + 2] != b"\r\n":
+                if self.buffer[end : end + 2] != b"\r\n":
                     raise Strange("a value without its end")
                 found.append(self.wanted)
                 self.wanted, self.came, at = None, now, end + 2
--- a/ternquay/rig/stopping.py
+++ b/ternquay/rig/stopping.py
@@ -128,8 +128,9 @@
         """Reads of one client that takes no answers; with small values the system may have room for all of those."""
         profile = next(one.name for one in self.plan.day.profiles if not one.write)
         number = self.random.getrandbits(48)
-        return b"".join(b"mg k%d v Ou%x.%d Pc=%s,d=900\r\n" % (one, number, one, profile.encode())
-                        for one in range(UNREAD_REQUESTS))
+        return b"".join(
+            b"mg k%d v Ou%x.%d Pc=%s,d=900\r\n" % (one, number, one, profile.encode()) for one in range(UNREAD_REQUESTS)
+        )
 
     def _dial(self, balancer: int, client: Protocol) -> None:
         host, _, port = self.plan.balancers[balancer].rpartition(":")
--- a/ternquay/rig/system_calls.py
+++ b/ternquay/rig/system_calls.py
@@ -45,14 +45,20 @@
 
 def prepared(plan: CallPlan, folder: Path, name: str = "call", path: str = "") -> dict[str, str]:
     """The environment of a process that fares by that plan; `path` is where its program is found, if not by ours."""
-    lines = [f"{one.call} {-1 if one.error == SHORT else getattr(errno, one.error)} {one.start} {one.end} {one.rate}\n"
-             for one in checked(plan, "the plan").faults]
+    lines = [
+        f"{one.call} {-1 if one.error == SHORT else getattr(errno, one.error)} {one.start} {one.end} {one.rate}\n"
+        for one in checked(plan, "the plan").faults
+    ]
     lines += [f"clock {one.at} {one.by}\n" for one in plan.steps]
     plan_file, log = folder / f"{name}-plan", folder / f"{name}-log"
     plan_file.write_text("".join(lines))
     paths = [str(INTERPOSE), *filter(None, [path or os.environ.get("PYTHONPATH")])]
-    return os.environ | {"PYTHONPATH": os.pathsep.join(paths), "TERNQUAY_CALL_PLAN": str(plan_file.resolve()),
-                         "TERNQUAY_CALL_LOG": str(log.resolve()), "TERNQUAY_CALL_SEED": str(plan.seed)}
+    return os.environ | {
+        "PYTHONPATH": os.pathsep.join(paths),
+        "TERNQUAY_CALL_PLAN": str(plan_file.resolve()),
+        "TERNQUAY_CALL_LOG": str(log.resolve()),
+        "TERNQUAY_CALL_SEED": str(plan.seed),
+    }
 
 
 def struck(folder: Path) -> Counter[str]:
--- a/ternquay/rig/tenants.py
+++ b/ternquay/rig/tenants.py
@@ -65,11 +65,16 @@
     owner = next(one for one in day.tenants if one.name == (terms.fleet or terms.name))
     sharing = sum(1 for one in day.tenants if (one.fleet or one.name) == owner.name)
     return msgspec.structs.replace(
-        day, name=f"{day.name}/{terms.name}", tenants=(), hosts=msgspec.structs.replace(day.hosts, count=owner.hosts),
+        day,
+        name=f"{day.name}/{terms.name}",
+        tenants=(),
+        hosts=msgspec.structs.replace(day.hosts, count=owner.hosts),
         clients=msgspec.structs.replace(day.clients, rate=terms.rate),
         balancers=msgspec.structs.replace(day.balancers, count=sharing),
-        faults=tuple(f for f in day.faults if f.tenant == owner.name), flood=type(day.flood)(),
-        changes=type(day.changes)())
+        faults=tuple(f for f in day.faults if f.tenant == owner.name),
+        flood=type(day.flood)(),
+        changes=type(day.changes)(),
+    )
 
 
 def parties(day: Day) -> list[Party]:
@@ -85,15 +90,38 @@
     """The tenant as the administration API takes it."""
     terms, day = party.terms, party.day
     part = {"least": terms.least, "most": terms.most}
-    profiles = [{"name": p.name, "kind": p.kind, "service_goal_ms": p.service_goal_ms,
-                 "hard_limit_ms": p.hard_limit_ms, "memory_ms": p.memory_ms} for p in day.profiles]
+    profiles = [
+        {
+            "name": p.name,
+            "kind": p.kind,
+            "service_goal_ms": p.service_goal_ms,
+            "hard_limit_ms": p.hard_limit_ms,
+            "memory_ms": p.memory_ms,
+        }
+        for p in day.profiles
+    ]
     told: dict[str, Any] = {
-        "name": terms.name, "listeners": [party.listen], "profiles": profiles,
-        "rules": {"drain_grace_ms": day.rules.drain_grace_ms, "cold_share": day.hosts.cold_share,
-                  "warm_within_ms": day.hosts.warm_within_ms, "tip_multiple": day.hosts.tip_multiple,
-                  "tip_window_ms": day.hosts.tip_window_ms},
-        "limits": {"txs_a_second": terms.txs_a_second, "burst": terms.burst, "open_txs": terms.open_txs,
-                   "clients": terms.clients, "host_connections": 150, "cpu": part, "sockets": part, "memory": part}}
+        "name": terms.name,
+        "listeners": [party.listen],
+        "profiles": profiles,
+        "rules": {
+            "drain_grace_ms": day.rules.drain_grace_ms,
+            "cold_share": day.hosts.cold_share,
+            "warm_within_ms": day.hosts.warm_within_ms,
+            "tip_multiple": day.hosts.tip_multiple,
+            "tip_window_ms": day.hosts.tip_window_ms,
+        },
+        "limits": {
+            "txs_a_second": terms.txs_a_second,
+            "burst": terms.burst,
+            "open_txs": terms.open_txs,
+            "clients": terms.clients,
+            "host_connections": 150,
+            "cpu": part,
+            "sockets": part,
+            "memory": part,
+        },
+    }
     return told | ({"servers": party.servers} if party.servers is not None else {"source": party.source})
 
 
@@ -112,7 +140,8 @@
         self.file.write_text(
             f'name = "rig"\n[process]\nseed = {seed}\nsockets = 1024\n[store]\npath = "registry.db"\n'
             f'[api]\nlisten = "{self.api}"\n[[api.operators]]\nname = "rig"\n'
-            f'digest = "{keys.digest_of(self.token).hex()}"\n[end]\n')
+            f'digest = "{keys.digest_of(self.token).hex()}"\n[end]\n'
+        )
 
     def start(self) -> None:
         command = [sys.executable, "-m", "ternquay", "host", "--config", str(self.file.resolve())]
@@ -151,8 +180,12 @@
             raise (PortTaken if "in use" in str(fault) else PlayError)(f"the API: {fault}") from fault
 
 
-def play_tenants(day: Day, seed: int, out: Path, progress: Callable[[float], None] = lambda at: None,
-                 ) -> tuple[dict[str, Any], list[Breach]]:
+def play_tenants(
+    day: Day,
+    seed: int,
+    out: Path,
+    progress: Callable[[float], None] = lambda at: None,
+) -> tuple[dict[str, Any], list[Breach]]:
     shutil.rmtree(out / "logs", ignore_errors=True)
     for last in (False,) * (TRIES - 1) + (True,):
         try:
@@ -169,8 +202,7 @@
     return [cores[n % len(cores)] for n in range(many)]
 
 
-def _play(stage: Stage, day: Day, seed: int,
-          progress: Callable[[float], None]) -> tuple[dict[str, Any], list[Breach]]:
+def _play(stage: Stage, day: Day, seed: int, progress: Callable[[float], None]) -> tuple[dict[str, Any], list[Breach]]:
     all = parties(day)
     owners = [party for party in all if not party.terms.fleet]
     cores = cores_for(2 + len(owners) + len(all))
@@ -183,8 +215,10 @@
         told = known[party.terms.fleet or party.terms.name]
         party.source = told["discovery"][party.number][0]
         if party.terms.name in day.changes.tenants:
-            party.servers = [{"name": "-".join(m["id"].split("-")[:2]), "place": m["host_port"]}
-                             for m in json.loads(told["known"])["members"]]
+            party.servers = [
+                {"name": "-".join(m["id"].split("-")[:2]), "place": m["host_port"]}
+                for m in json.loads(told["known"])["members"]
+            ]
     hosted.wait_ready()
     hosted.take_in([document(party) for party in all])
     loads = {party.terms.name: _load(stage, party, seed, n, cores[2 + len(owners) + n]) for n, party in enumerate(all)}
@@ -218,8 +252,15 @@
 
 def _load(stage: Stage, party: Party, seed: int, number: int, core: int) -> Running:
     name = party.terms.name
-    plan = Plan(party.day, seed + 1000 * number, "", balancers=[party.listen], tail_ms=tail_ms(party.day),
-                prefix=f"{name}-", addresses=[f"127.5.{number}.{n + 1}" for n in range(party.terms.addresses)])
+    plan = Plan(
+        party.day,
+        seed + 1000 * number,
+        "",
+        balancers=[party.listen],
+        tail_ms=tail_ms(party.day),
+        prefix=f"{name}-",
+        addresses=[f"127.5.{number}.{n + 1}" for n in range(party.terms.addresses)],
+    )
     return child(stage, f"load-{name}", "ternquay.rig.load", core, plan)
 
 
@@ -228,9 +269,19 @@
     if day.flood.shape != "none":
         party = next(one for one in all if one.terms.name == day.flood.tenant)
         read = next(p for p in day.profiles if not p.write)
-        plan = FloodPlan(party.day, seed, "", balancers=[party.listen], tail_ms=tail_ms(day), flood=day.flood,
-                         rate=day.flood.factor * party.terms.txs_a_second, api=hosted.api, profile=read.name,
-                         keys=day.clients.keys, value_goal_ms=read.hard_limit_ms)
+        plan = FloodPlan(
+            party.day,
+            seed,
+            "",
+            balancers=[party.listen],
+            tail_ms=tail_ms(day),
+            flood=day.flood,
+            rate=day.flood.factor * party.terms.txs_a_second,
+            api=hosted.api,
+            profile=read.name,
+            keys=day.clients.keys,
+            value_goal_ms=read.hard_limit_ms,
+        )
         found["flood"] = child(stage, "flood", "ternquay.rig.flood", core, plan)
     if day.changes.a_second:
         # One that nobody changes and nobody looks at, if there is one, is suspended and resumed.
@@ -240,26 +291,57 @@
     return found
 
 
-def _saw_of(party: Party, seed: int, begin: int, fleet: records.FleetSaw, load: records.LoadSaw, hosted: Hosted,
-            told: list[records.Told]) -> records.Saw:
+def _saw_of(
+    party: Party,
+    seed: int,
+    begin: int,
+    fleet: records.FleetSaw,
+    load: records.LoadSaw,
+    hosted: Hosted,
+    told: list[records.Told],
+) -> records.Saw:
     mine = [msgspec.structs.replace(one, balancer=0) for one in fleet.told if one.balancer == party.number]
     whole = msgspec.structs.replace(fleet, told=told or mine)
-    return records.Saw(day=party.day.name, seed=seed, seconds=party.day.seconds, begin=begin, loads=[load],
-                       fleet=whole, lives=hosted.lives, samples=hosted.samples)
-
-
-def _gathered(stage: Stage, day: Day, seed: int, begin: int, all: list[Party], hosted: Hosted,
-              extra: dict[str, Running]) -> tuple[dict[str, Any], list[Breach]]:
+    return records.Saw(
+        day=party.day.name,
+        seed=seed,
+        seconds=party.day.seconds,
+        begin=begin,
+        loads=[load],
+        fleet=whole,
+        lives=hosted.lives,
+        samples=hosted.samples,
+    )
+
+
+def _gathered(
+    stage: Stage, day: Day, seed: int, begin: int, all: list[Party], hosted: Hosted, extra: dict[str, Running]
+) -> tuple[dict[str, Any], list[Breach]]:
     out = stage.out
     try:
-        changes = (msgspec.json.decode((out / "changer.saw").read_bytes(), type=ChangesSaw)
-                   if "changer" in extra else ChangesSaw())
-        flood = (msgspec.json.decode((out / "flood.saw").read_bytes(), type=FloodSaw) if "flood" in extra else None)
-        fleets = {party.terms.name: records.read_fleet(out / f"standins-{party.terms.name}.saw")
-                  for party in all if not party.terms.fleet}
-        saws = {party.terms.name: _saw_of(party, seed, begin, fleets[party.terms.fleet or party.terms.name],
-                                          records.read_load(out / f"load-{party.terms.name}.saw"), hosted,
-                                          changes.told.get(party.terms.name, [])) for party in all}
+        changes = (
+            msgspec.json.decode((out / "changer.saw").read_bytes(), type=ChangesSaw)
+            if "changer" in extra
+            else ChangesSaw()
+        )
+        flood = msgspec.json.decode((out / "flood.saw").read_bytes(), type=FloodSaw) if "flood" in extra else None
+        fleets = {
+            party.terms.name: records.read_fleet(out / f"standins-{party.terms.name}.saw")
+            for party in all
+            if not party.terms.fleet
+        }
+        saws = {
+            party.terms.name: _saw_of(
+                party,
+                seed,
+                begin,
+                fleets[party.terms.fleet or party.terms.name],
+                records.read_load(out / f"load-{party.terms.name}.saw"),
+                hosted,
+                changes.told.get(party.terms.name, []),
+            )
+            for party in all
+        }
     except (OSError, msgspec.DecodeError) as fault:
         raise PlayError(f"what was seen can't be read: {fault}") from fault
     breaches, tenants = [], {}
@@ -279,36 +361,60 @@
 
 
 def tenant_figures(result: dict[str, Any]) -> dict[str, Any]:
-    return {"service": result["service"], "p99_ms": result["latency_ms"]["p99"], "p50_ms": result["latency_ms"]["p50"],
-            "worst_2s": result["worst_2s"], "txs": result["txs"], "committed": result["committed"],
-            "rolled_back": result["rolled_back"], "abandoned": result["abandoned"], "rules": result["rules"],
-            "origin_stops": result["origin"]["stops"], "hops_per_tx": result["hops_per_tx"]}
+    return {
+        "service": result["service"],
+        "p99_ms": result["latency_ms"]["p99"],
+        "p50_ms": result["latency_ms"]["p50"],
+        "worst_2s": result["worst_2s"],
+        "txs": result["txs"],
+        "committed": result["committed"],
+        "rolled_back": result["rolled_back"],
+        "abandoned": result["abandoned"],
+        "rules": result["rules"],
+        "origin_stops": result["origin"]["stops"],
+        "hops_per_tx": result["hops_per_tx"],
+    }
 
 
-def together(day: Day, seed: int, saws: dict[str, records.Saw], tenants: dict[str, dict[str, Any]],
-             hosted: Hosted) -> dict[str, Any]:
+def together(
+    day: Day, seed: int, saws: dict[str, records.Saw], tenants: dict[str, dict[str, Any]], hosted: Hosted
+) -> dict[str, Any]:
     """The figures of the whole play; each tenant's under `tenants`."""
     names = list(saws)
     asked = sum(t["txs"] for t in tenants.values())
     rules = {rule: sum(t["rules"][rule] for t in tenants.values()) for rule in tenants[names[0]]["rules"]}
-    times = [at - tries[0].due for name in names for tries in tries_of(saws[name]).values()
-             if (at := committed_at(tries))]
+    times = [
+        at - tries[0].due for name in names for tries in tries_of(saws[name]).values() if (at := committed_at(tries))
+    ]
     spread = histogram(times)
     samples = hosted.samples
     cpu = samples[-1].cpu - samples[0].cpu if samples else 0.0
     late = [lateness(saw) for saw in saws.values()]
     first = saws[names[0]]
     return {
-        "day": day.name, "seed": seed, "seconds": day.seconds, "late": any(is_late(saw) for saw in saws.values()),
-        "lateness": {name: max(one[name] for one in late) for name in late[0]}, "txs": asked,
-        "service": round(sum(t["service"] * t["txs"] for t in tenants.values()) / max(1, asked), 4), "rules": rules,
-        "crashes": crashes(first), "latency_ms": {name: round(spread.get_value_at_percentile(p) / 1000, 2)
-                                                  for name, p in (("p50", 50.0), ("p99", 99.0), ("p999", 99.9))},
+        "day": day.name,
+        "seed": seed,
+        "seconds": day.seconds,
+        "late": any(is_late(saw) for saw in saws.values()),
+        "lateness": {name: max(one[name] for one in late) for name in late[0]},
+        "txs": asked,
+        "service": round(sum(t["service"] * t["txs"] for t in tenants.values()) / max(1, asked), 4),
+        "rules": rules,
+        "crashes": crashes(first),
+        "latency_ms": {
+            name: round(spread.get_value_at_percentile(p) / 1000, 2)
+            for name, p in (("p50", 50.0), ("p99", 99.0), ("p999", 99.9))
+        },
         "in_goal": sum(in_goal(day, tries) for saw in saws.values() for tries in tries_of(saw).values()),
         "tenants": tenants,
-        "balancers": [{"cpu_s": round(cpu, 3), "cpu_share": round(cpu / day.seconds, 3),
-                       "memory_mb": round(max((s.memory for s in samples), default=0) / (1 << 20), 1),
-                       "descriptors": max((s.descriptors for s in samples), default=0)}],
+        "balancers": [
+            {
+                "cpu_s": round(cpu, 3),
+                "cpu_share": round(cpu / day.seconds, 3),
+                "memory_mb": round(max((s.memory for s in samples), default=0) / (1 << 20), 1),
+                "descriptors": max((s.descriptors for s in samples), default=0),
+            }
+        ],
     }
 
 
@@ -317,7 +423,10 @@
     kinds: dict[str, int] = {}
     for one in saw.changes:
         kinds[one.kind] = kinds.get(one.kind, 0) + 1
-    return {"made": sum(one.status < 300 for one in saw.changes), "not_made": sum(one.status >= 300 or not one.status
-                                                                                 for one in saw.changes),
-            "p50_ms": round(percentile(took, 0.5) / MS, 2), "p99_ms": round(percentile(took, 0.99) / MS, 2),
-            "kinds": dict(sorted(kinds.items()))}
+    return {
+        "made": sum(one.status < 300 for one in saw.changes),
+        "not_made": sum(one.status >= 300 or not one.status for one in saw.changes),
+        "p50_ms": round(percentile(took, 0.5) / MS, 2),
+        "p99_ms": round(percentile(took, 0.99) / MS, 2),
+        "kinds": dict(sorted(kinds.items())),
+    }
--- a/ternquay/rig/terms.py
+++ b/ternquay/rig/terms.py
@@ -17,13 +17,52 @@
 Count = Annotated[int, msgspec.Meta(ge=1)]
 Millis = Annotated[int, msgspec.Meta(ge=0)]
 FaultKind = Literal[
-    "host-slow", "host-silent", "host-crash", "host-replaced", "rolling-release", "origin-slow", "hot-key", "burst",
-    "once-keys", "list-down", "list-late", "list-garbage", "link-refuse", "link-reset", "link-delay", "link-drip",
-    "link-cut", "link-silent", "answers-lost", "answers-spoilt", "balancer-kill", "balancer-restart", "reload",
-    "host-drains", "list-silent", "list-queue", "balancer-stop", "crowd-stops", "crowd-silent", "crowd-unread",
+    "host-slow",
+    "host-silent",
+    "host-crash",
+    "host-replaced",
+    "rolling-release",
+    "origin-slow",
+    "hot-key",
+    "burst",
+    "once-keys",
+    "list-down",
+    "list-late",
+    "list-garbage",
+    "link-refuse",
+    "link-reset",
+    "link-delay",
+    "link-drip",
+    "link-cut",
+    "link-silent",
+    "answers-lost",
+    "answers-spoilt",
+    "balancer-kill",
+    "balancer-restart",
+    "reload",
+    "host-drains",
+    "list-silent",
+    "list-queue",
+    "balancer-stop",
+    "crowd-stops",
+    "crowd-silent",
+    "crowd-unread",
 ]
-ON_HOSTS = {"host-slow", "host-silent", "host-crash", "host-replaced", "link-refuse", "link-reset", "link-delay",
-            "link-drip", "link-cut", "link-silent", "answers-lost", "answers-spoilt", "host-drains"}
+ON_HOSTS = {
+    "host-slow",
+    "host-silent",
+    "host-crash",
+    "host-replaced",
+    "link-refuse",
+    "link-reset",
+    "link-delay",
+    "link-drip",
+    "link-cut",
+    "link-silent",
+    "answers-lost",
+    "answers-spoilt",
+    "host-drains",
+}
 BALANCER_FAULTS = {"balancer-kill", "balancer-restart", "reload", "balancer-stop"}
 # Crowds of `count` clients of one balancer: each stops in a request and stays, says nothing, or takes no answers.
 CROWDS = {"crowd-stops", "crowd-silent", "crowd-unread"}
@@ -145,8 +184,21 @@
     tenants: tuple[str, ...] = ()  # those that are changed
 
 
-TroubleKind = Literal["kill", "stop", "restart", "kill-all", "cut", "cut-out", "cut-in", "halves", "late", "lossy",
-                      "drip", "disk-old", "disk-lost"]
+TroubleKind = Literal[
+    "kill",
+    "stop",
+    "restart",
+    "kill-all",
+    "cut",
+    "cut-out",
+    "cut-in",
+    "halves",
+    "late",
+    "lossy",
+    "drip",
+    "disk-old",
+    "disk-lost",
+]
 
 
 class Trouble(Terms, frozen=True):
@@ -184,8 +236,9 @@
     ms: Millis = 0
 
 
-Call = Literal["accept", "socket", "bind", "listen", "connect_ex", "send", "recv", "setsockopt", "shutdown", "close",
-               "epoll_ctl"]
+Call = Literal[
+    "accept", "socket", "bind", "listen", "connect_ex", "send", "recv", "setsockopt", "shutdown", "close", "epoll_ctl"
+]
 SHORT = "SHORT"  # in the place of an error: fewer bytes are read or written than could be
 
 
@@ -329,8 +382,9 @@
 
 def day_names() -> list[str]:
     folder = resources.files("ternquay.rig") / "days"
-    return sorted(entry.name[:-5] for entry in folder.iterdir()
-                  if entry.name.endswith(".toml") and entry.name != "base.toml")
+    return sorted(
+        entry.name[:-5] for entry in folder.iterdir() if entry.name.endswith(".toml") and entry.name != "base.toml"
+    )
 
 
 def read_toml(path: Path) -> dict[str, Any]:
@@ -372,8 +426,17 @@
         drawn = Random(f"{seed}/fault/{i}")
         many = f.count if f.count is not None else round((f.share or 0.0) * day.hosts.count)
         hosts = tuple(sorted(drawn.sample(range(day.hosts.count), min(max(1, many), day.hosts.count))))
-        found.append(Planned(f.kind, int(f.start * length), int(f.end * length), hosts, f.balancer, f.factor,
-                             f.part, f.ms * MS, f.count or 1))
+        found.append(
+            Planned(
+                f.kind,
+                int(f.start * length),
+                int(f.end * length),
+                hosts,
+                f.balancer,
+                f.factor,
+                f.part,
+                f.ms * MS,
+                f.count or 1,
+            )
+        )
     return tuple(found)
-
-
--- a/ternquay/rig/twins.py
+++ b/ternquay/rig/twins.py
@@ -18,8 +18,19 @@
     """Silence is noticed some seconds after what it missed counts as told, and followed by the usual pause."""
 
     def __init__(self, limits: Limits, draw: Random, pushed: bool) -> None:
-        super().__init__(replace(limits, watch=5 * SECOND, look=5 * SECOND, queue=6 * SECOND, call=6 * SECOND,
-                                 call_least=6 * SECOND, hurry=0), draw, pushed)
+        super().__init__(
+            replace(
+                limits,
+                watch=5 * SECOND,
+                look=5 * SECOND,
+                queue=6 * SECOND,
+                call=6 * SECOND,
+                call_least=6 * SECOND,
+                hurry=0,
+            ),
+            draw,
+            pushed,
+        )
 
 
 TWINS: dict[str, type[Follow]] = {"not-anew": NotAnew, "late": Late}
--- a/ternquay/rig/virtual.py
+++ b/ternquay/rig/virtual.py
@@ -85,8 +85,16 @@
             return
         profile = self.day.profiles[arrival.profile]
         mark = f"m{arrival.number}" if profile.kind == "journalled" else ""
-        hop = records.Hop(id, mark, arrival.profile, profile.write, host, self.fleet.hosts[host].name,
-                          self.now + BEGIN, self.now + BEGIN)
+        hop = records.Hop(
+            id,
+            mark,
+            arrival.profile,
+            profile.write,
+            host,
+            self.fleet.hosts[host].name,
+            self.now + BEGIN,
+            self.now + BEGIN,
+        )
         self.hops.append(hop)
         ask = Ask(id, arrival.profile, profile.write, arrival.key, mark, value_size(self.day, arrival.key))
         self.tickets[self.fleet.arrive(self.now, host, ask)] = hop
@@ -116,8 +124,20 @@
 
     def _try(self, arrival: Arrival, tries: int, at: int) -> None:
         id, limit = f"t{arrival.number}.{tries}", self.clients.left(arrival, at)
-        seen = records.Try(arrival.number, tries, id, arrival.profile, 0, len(self.saw.tries), 0, arrival.due + BEGIN,
-                           at + BEGIN, at + BEGIN, limit, True)
+        seen = records.Try(
+            arrival.number,
+            tries,
+            id,
+            arrival.profile,
+            0,
+            len(self.saw.tries),
+            0,
+            arrival.due + BEGIN,
+            at + BEGIN,
+            at + BEGIN,
+            limit,
+            True,
+        )
         self.saw.tries.append(seen)
         self.open[id] = Open(seen, arrival)
         self.later(at + limit + GRACE, self._over, id)
@@ -168,8 +188,13 @@
             hop.effect, hop.answer, hop.cold = seen.effect and seen.effect + BEGIN, seen.answer, seen.cold
         origin = self.fleet.origin
         saw = records.FleetSaw(
-            self.hops, self.told,
+            self.hops,
+            self.told,
             [records.Tipped(t.at + BEGIN, t.host, t.name, t.warmth, t.pushed) for t in self.fleet.tips],
-            [records.Stopped(s.at + BEGIN, s.asked, s.by_cold) for s in origin.stops], origin.asked, [], [])
+            [records.Stopped(s.at + BEGIN, s.asked, s.by_cold) for s in origin.stops],
+            origin.asked,
+            [],
+            [],
+        )
         lives = [records.Life(0, BEGIN - SECOND)]
         return records.Saw(self.day.name, self.seed, self.day.seconds, BEGIN, [self.saw], saw, lives, [])
--- a/ternquay/rig/walk.py
+++ b/ternquay/rig/walk.py
@@ -23,10 +23,17 @@
 FLIGHT_MOST = 40  # messages under way; the oldest are lost
 
 # How often what is done, by walk: most of a time in which little happens, and times of one kind of trouble.
-MOODS = [{"deliver": 50, "sync": 18, "time": 22, "propose": 4} | more for more in (
-    {"crash": 1, "start": 2, "stop": 1, "link": 1, "heal": 1}, {"crash": 3, "start": 6, "heal": 1},
-    {"alone": 1, "start": 1, "heal": 1}, {"alone": 1, "crash": 1, "start": 2}, {"link": 2, "crash": 1, "start": 2},
-    {"stop": 3, "alone": 1, "heal": 1})]
+MOODS = [
+    {"deliver": 50, "sync": 18, "time": 22, "propose": 4} | more
+    for more in (
+        {"crash": 1, "start": 2, "stop": 1, "link": 1, "heal": 1},
+        {"crash": 3, "start": 6, "heal": 1},
+        {"alone": 1, "start": 1, "heal": 1},
+        {"alone": 1, "crash": 1, "start": 2},
+        {"link": 2, "crash": 1, "start": 2},
+        {"stop": 3, "alone": 1, "heal": 1},
+    )
+]
 
 
 class Broken(AssertionError):
@@ -51,14 +58,17 @@
 
 
 class World:
-    def __init__(self, seed: int, members: int = 3, core: Callable[..., Core] = Core, go_on: bool = False,
-                 drift: float = 0.02) -> None:
+    def __init__(
+        self, seed: int, members: int = 3, core: Callable[..., Core] = Core, go_on: bool = False, drift: float = 0.02
+    ) -> None:
         self.random = Random(seed)
         self.make, self.figures = core, Figures.of(1000 * MS, go_on)
         self.time = 1000 * MS
         roster = Roster(tuple(Member(f"m{n}", f"d{n}") for n in range(members)))
-        self.nodes = [Node(one, self.random.randrange(10**12), 1 + drift * (n % 3 - 1),
-                           Kept(log=Log(base_roster=roster))) for n, one in enumerate(roster.members)]
+        self.nodes = [
+            Node(one, self.random.randrange(10**12), 1 + drift * (n % 3 - 1), Kept(log=Log(base_roster=roster)))
+            for n, one in enumerate(roster.members)
+        ]
         self.flight: list[tuple[int, Member, Message]] = []
         self.late: list[tuple[int, tuple[int, Member, Message]]] = []  # by when they come
         self.committed: dict[int, int] = {}  # which term's entry
@@ -80,8 +90,9 @@
         node.boot, node.stopped, node.queue, node.checked = node.boot + 1, False, [], 0
         kept = copy.deepcopy(node.disk)
         node.applied = {index: one for index, one in self.outcomes.items() if index <= kept.applied}
-        core = node.core = self.make(node.me, kept, self.figures, Random(self.random.random()), node.boot,
-                                     node.now(self.time))
+        core = node.core = self.make(
+            node.me, kept, self.figures, Random(self.random.random()), node.boot, node.now(self.time)
+        )
         core.entries_most = 1 + node.boot % 2  # so that what goes in one message elsewhere goes in several here
 
     def crash(self, node: Node) -> None:
@@ -364,9 +375,24 @@
 
 def _print(world: World) -> int:
     """Two worlds that are alike in all that the next step can meet."""
-    nodes = tuple((node.core is not None, node.disk.term, node.disk.voted, node.disk.log.last, node.disk.applied,
-                   len(node.queue)) + ((node.core.term, node.core.role, node.core.voted, node.core.log.last,
-                                        node.core.commit, tuple(node.core.held), node.core.lease_until, node.core.due,
-                                        node.core.verdict[0], tuple(sorted(node.core.votes))) if node.core else ())
-                  for node in world.nodes)
+    nodes = tuple(
+        (node.core is not None, node.disk.term, node.disk.voted, node.disk.log.last, node.disk.applied, len(node.queue))
+        + (
+            (
+                node.core.term,
+                node.core.role,
+                node.core.voted,
+                node.core.log.last,
+                node.core.commit,
+                tuple(node.core.held),
+                node.core.lease_until,
+                node.core.due,
+                node.core.verdict[0],
+                tuple(sorted(node.core.votes)),
+            )
+            if node.core
+            else ()
+        )
+        for node in world.nodes
+    )
     return hash((nodes, world.time, tuple((to, sender.name, message) for to, sender, message in world.flight)))
--- a/ternquay/state.py
+++ b/ternquay/state.py
@@ -57,8 +57,16 @@
 
     def learned(self, now: int) -> m.LearnedHost:
         return m.LearnedHost(
-            self.index, self.took, self.crowd, self.fails, self.out_for, max(0, self.out_until - now), self.trial,
-            self.size, self.room)
+            self.index,
+            self.took,
+            self.crowd,
+            self.fails,
+            self.out_for,
+            max(0, self.out_until - now),
+            self.trial,
+            self.size,
+            self.room,
+        )
 
     def take(self, told: m.LearnedHost, now: int) -> None:
         self.took, self.crowd, self.fails, self.seen = told.took, told.crowd, told.fails, now
@@ -204,5 +212,4 @@
     def learned(self) -> m.Learned:
         """What another process of this balancer takes over from this one."""
         hosts = tuple(h.learned(self.now) for h in self.hosts.values() if h.seen)
-        return m.Learned(
-            self.usual, self.rate, self.unit_rate, self.hits, self.origin_limit, self.origin_took, hosts)
+        return m.Learned(self.usual, self.rate, self.unit_rate, self.hits, self.origin_limit, self.origin_took, hosts)
--- a/ternquay/wirehost/serve.py
+++ b/ternquay/wirehost/serve.py
@@ -11,9 +11,15 @@
 from ternquay.facts import US, Names, read_start
 
 ENDS = {
-    "done": m.End.DONE, "err": m.End.ERROR, "busy": m.End.FULL, "etimedout": m.End.TIMED_OUT,
-    "econnrefused": m.End.UNREACHABLE, "econnreset": m.End.RESET, "ecanceled": m.End.CANCELLED,
-    "skipped": m.End.SKIPPED, "enoent": m.End.MISS,
+    "done": m.End.DONE,
+    "err": m.End.ERROR,
+    "busy": m.End.FULL,
+    "etimedout": m.End.TIMED_OUT,
+    "econnrefused": m.End.UNREACHABLE,
+    "econnreset": m.End.RESET,
+    "ecanceled": m.End.CANCELLED,
+    "skipped": m.End.SKIPPED,
+    "enoent": m.End.MISS,
 }
 STANDINGS = {"IN": m.Standing.READY, "LAME": m.Standing.DRAINING, "OUT": m.Standing.GONE}
 
@@ -44,10 +50,13 @@
     def lines(self, records: list[dict[str, Any]] | None) -> tuple[m.Listed, ...]:
         return tuple(
             m.Listed(
-                host=self.host(r["Host"]), address=r["Host"],
+                host=self.host(r["Host"]),
+                address=r["Host"],
                 zone=self.names.zones.get(r.get("Locality"), -1),
-                kind=self.names.kinds.get(r.get("ClassOfHost"), -1), cell=r.get("Block") or 0,
-                standing=STANDINGS[r["Availability"]], hint=float(r.get("CapacityHint") or 0.0),
+                kind=self.names.kinds.get(r.get("ClassOfHost"), -1),
+                cell=r.get("Block") or 0,
+                standing=STANDINGS[r["Availability"]],
+                hint=float(r.get("CapacityHint") or 0.0),
                 since=(r.get("OnlineSince") or 0) * US,
             )
             for r in records or ()
@@ -59,16 +68,29 @@
         word = e["Corr"]
         self.txs[word] = tx
         self.words[tx] = word
-        return m.TxArrived(tx, self.names.profiles[e["Type"]],
-                           self.names.shares.get(e.get("Realm") or "", -1), e.get("Subject"), e["Ttl"] * US,
-                           bool(e.get("IsRetry")), bool(e.get("Mutates")))
+        return m.TxArrived(
+            tx,
+            self.names.profiles[e["Type"]],
+            self.names.shares.get(e.get("Realm") or "", -1),
+            e.get("Subject"),
+            e["Ttl"] * US,
+            bool(e.get("IsRetry")),
+            bool(e.get("Mutates")),
+        )
 
     def reply(self, e: dict[str, Any]) -> m.Event | None:
         tx = self.txs.get(e["Corr"])
         if tx is None:
             return None
-        return m.HopEnded(tx, e["Trial"], ENDS[e["StateCode"]], e["Took"] * US, e["Ended"],
-                          e.get("Detail") or 0, self.names.report(e.get("Stats")))
+        return m.HopEnded(
+            tx,
+            e["Trial"],
+            ENDS[e["StateCode"]],
+            e["Took"] * US,
+            e["Ended"],
+            e.get("Detail") or 0,
+            self.names.report(e.get("Stats")),
+        )
 
     def event(self, e: dict[str, Any]) -> m.Event | None:
         name = e["msg"]
@@ -91,8 +113,13 @@
 
     def action(self, who: int, a: m.Action) -> dict[str, Any]:
         if isinstance(a, m.SendHop):
-            return {"msg": "Deliver", "Who": who, "Corr": self.words[a.tx], "Host": self.addresses[a.host],
-                    "NotPast": a.not_past // US}
+            return {
+                "msg": "Deliver",
+                "Who": who,
+                "Corr": self.words[a.tx],
+                "Host": self.addresses[a.host],
+                "NotPast": a.not_past // US,
+            }
         if isinstance(a, m.SetTimer):
             return {"msg": "Defer", "Who": who, "Nonce": "t", "When": -(-a.at // US)}
         if isinstance(a, m.RollBack):
--- a/tests/fleet_helper.py
+++ b/tests/fleet_helper.py
@@ -21,8 +21,11 @@
         folder.mkdir()
         (folder / "fleet.key").write_bytes(KEY)
         self.name, self.address, self.odd = name, f"127.7.0.{number + 1}", ""
-        super().__init__(folder, tls=f'[peers]\nfleet = "test"\nme = "{name}"\nkey_file = "fleet.key"\n'
-                                     f'address = "{self.address}"\n{peers}\n')
+        super().__init__(
+            folder,
+            tls=f'[peers]\nfleet = "test"\nme = "{name}"\nkey_file = "fleet.key"\n'
+            f'address = "{self.address}"\n{peers}\n',
+        )
         self.text = self.text.replace(self.digest(self.operator), self.digest(operator))
         self.operator = operator
         self.file.write_text(self.text)
@@ -33,6 +36,7 @@
     @staticmethod
     def digest(token: str) -> str:
         from ternquay.hosted.administration import keys
+
         return keys.digest_of(token).hex()
 
     def stop(self) -> None:
@@ -54,15 +58,19 @@
 class Fleet:
     def __init__(self, folder: Path, names: str = "abc", more: str = "", odd: str = "") -> None:
         from ternquay.hosted.administration import keys
+
         places = {name: Hosted.place(free_place("127.0.0.1")) for name in names}
         self.between = Between(places)
         operator = keys.made("", "main")
         self.all: dict[str, Fellow] = {}
         self.port = Hosted.place(free_place("127.7.0.1"))[1]
         for n, name in enumerate(names):
-            rows = "".join('[[peers.members]]\nname = "{}"\nplace = "{}"\n'.format(
-                other, "{}:{}".format(*places[name]) if other == name else self.between.place(name, other))
-                for other in names)
+            rows = "".join(
+                '[[peers.members]]\nname = "{}"\nplace = "{}"\n'.format(
+                    other, "{}:{}".format(*places[name]) if other == name else self.between.place(name, other)
+                )
+                for other in names
+            )
             self.all[name] = Fellow(folder / name, name, n, operator, f"{more}\n{rows}")
             self.all[name].odd = odd
 
@@ -104,8 +112,9 @@
         assert found.status == 201, found.body
         return port
 
-    def change(self, at: Fellow, method: str, path: str, body: Any = None, within: float = 15.0,
-               key: str = "") -> Answer:
+    def change(
+        self, at: Fellow, method: str, path: str, body: Any = None, within: float = 15.0, key: str = ""
+    ) -> Answer:
         """Asked again while it is told that it is not now, or isn't known; always the same call."""
         end = time.monotonic() + within
         headers = {"idempotency_key": key or f"key-{time.monotonic_ns()}"}
@@ -122,8 +131,12 @@
         rows: list[Any] = []
 
         def alike() -> bool:
-            rows[:] = [(one["version"], one["why"]) for name in among or "".join(self.all)
-                       for one in self.all[name].fleet()["members"] if one["name"] == name]
+            rows[:] = [
+                (one["version"], one["why"])
+                for name in among or "".join(self.all)
+                for one in self.all[name].fleet()["members"]
+                if one["name"] == name
+            ]
             return len(set(rows)) == 1 and not rows[0][1]
 
         until(alike, within, lambda: str(rows))
--- a/tests/fleet_launcher.py
+++ b/tests/fleet_launcher.py
@@ -1,8 +1,8 @@
 """`ternquay host` with something odd about it, for tests: python fleet_launcher.py ODD FOLDER host --config ...
 
-    die     it kills itself at the step of a change that the file FOLDER/step names, once
-    jump    the date jumps by an hour, forth and back, each second
-    slow    its lease's clock runs at a third of its rate: far beyond the stated bound
+die     it kills itself at the step of a change that the file FOLDER/step names, once
+jump    the date jumps by an hour, forth and back, each second
+slow    its lease's clock runs at a third of its rate: far beyond the stated bound
 """
 
 import os
@@ -17,6 +17,7 @@
 def die(folder: Path) -> None:
     """Steps are counted from a proposal at the leader on: each message, each write begun and done, each outcome."""
     from ternquay.hosted.fleet.member import Fleet
+
     file, count = folder / "step", {"left": 0}
 
     def step() -> None:
@@ -58,6 +59,7 @@
 
 def slow(folder: Path) -> None:
     from ternquay.hosted.fleet import member as fleet
+
     real, began = fleet.clock, fleet.clock()
     fleet.Fleet.__init__.__defaults__ = (lambda: began + (real() - began) // 3,)
 
@@ -65,4 +67,5 @@
 if __name__ == "__main__":
     {"die": die, "jump": jump, "slow": slow}[sys.argv[1]](Path(sys.argv[2]))
     from ternquay.cli import app
+
     app(sys.argv[3:])
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -30,10 +30,23 @@
 MARKED = replace(READ, kind=m.Kind.JOURNALLED, memory=300 * MS)
 ONCE = replace(READ, kind=m.Kind.NON_IDEMPOTENT)
 START = m.Started(
-    seed=7, balancers=2, number=0, profiles=(READ, MARKED, ONCE, replace(MARKED, scope=m.Scope.ZONE)),
-    quotas=(4.0, 1000.0), aside=False, origin_kind=-1, watch_list=False, cancel=True, parallel=True,
-    most_hops=4, weights=m.Weights.NONE,
-    max_backoff=SECOND, quantum=5 * MS, cold_share=0.2, warm_within=20 * SECOND, tip_multiple=3.0,
+    seed=7,
+    balancers=2,
+    number=0,
+    profiles=(READ, MARKED, ONCE, replace(MARKED, scope=m.Scope.ZONE)),
+    quotas=(4.0, 1000.0),
+    aside=False,
+    origin_kind=-1,
+    watch_list=False,
+    cancel=True,
+    parallel=True,
+    most_hops=4,
+    weights=m.Weights.NONE,
+    max_backoff=SECOND,
+    quantum=5 * MS,
+    cold_share=0.2,
+    warm_within=20 * SECOND,
+    tip_multiple=3.0,
     tip_window=SECOND,
 )
 T0 = 1000 * SECOND
@@ -89,8 +102,9 @@
         said = " ".join(f"{x.host}={x.standing.name.lower()}" for x in lines)
         self.feed(f"list {said}", m.ListChanged(whole, lines))
 
-    def arrive(self, key: str | None = "a", profile: int = 0, share: int = -1, ttl: int = 900,
-               again: bool = False) -> int:
+    def arrive(
+        self, key: str | None = "a", profile: int = 0, share: int = -1, ttl: int = 900, again: bool = False
+    ) -> int:
         self.tx += 1
         event = m.TxArrived(self.tx, profile, share, key, ttl * MS, again, profile > 0)
         self.feed(f"tx {self.tx} profile {profile} key {key}", event)
@@ -113,22 +127,47 @@
 
 
 FACTS: dict[str, Any] = {
-    "Balancers": 1, "Discovery": "on_request", "Zones": ["a"], "Kinds": ["k"],
+    "Balancers": 1,
+    "Discovery": "on_request",
+    "Zones": ["a"],
+    "Kinds": ["k"],
     "Profiles": [
         {"Name": "read", "Semantics": "repeatable", "ServiceGoal": 500000, "HardLimit": 900000},
         {"Name": "once", "Semantics": "once", "ServiceGoal": 500000, "HardLimit": 900000},
-        {"Name": "mark", "Semantics": "by_key", "ServiceGoal": 500000, "HardLimit": 900000,
-         "DedupScope": "all", "Window": 3000000},
+        {
+            "Name": "mark",
+            "Semantics": "by_key",
+            "ServiceGoal": 500000,
+            "HardLimit": 900000,
+            "DedupScope": "all",
+            "Window": 3000000,
+        },
     ],
-    "Limits": {"ParallelTries": True, "MostHops": 3, "RetryAfter": True, "MaxRetryAfter": 400000,
-               "Cancel": True, "StreamsPerConn": 2, "ConnIdle": 5000000, "DialTimeout": 250000},
+    "Limits": {
+        "ParallelTries": True,
+        "MostHops": 3,
+        "RetryAfter": True,
+        "MaxRetryAfter": 400000,
+        "Cancel": True,
+        "StreamsPerConn": 2,
+        "ConnIdle": 5000000,
+        "DialTimeout": 250000,
+    },
     "Invariants": {"ColdShare": 0.2, "WarmWithin": 9000000, "TipMultiple": 3.0, "Fall": 1000000},
 }
 
 
 def member(host: int, phase: str = "up", since: int = 0) -> dict[str, Any]:
-    return {"id": f"h{host}", "host_port": f"127.0.0.{host}:11211", "locality": "a", "flavor": "k", "cell": 0,
-            "phase": phase, "size": 1.0, "up_since_ms": since}
+    return {
+        "id": f"h{host}",
+        "host_port": f"127.0.0.{host}:11211",
+        "locality": "a",
+        "flavor": "k",
+        "cell": 0,
+        "phase": phase,
+        "size": 1.0,
+        "up_since_ms": since,
+    }
 
 
 class Listening(threading.Thread):
@@ -231,15 +270,21 @@
         self.net.say(f"{self.name} > {shown(data)!r}")
         for at in range(0, len(data), cut or len(data)):
             if not self.lost:
-                self.protocol.dataReceived(data[at:at + (cut or len(data))])
+                self.protocol.dataReceived(data[at : at + (cut or len(data))])
         self.net.take()
 
 
 class Net:
     """Front, door and pool on a clock of the test's own, and the trace of all that is written."""
 
-    def __init__(self, hosts: int = 1, sockets: int = 64, limits: dict[str, Any] | None = None,
-                 facts: dict[str, Any] | None = None, **terms: Any) -> None:
+    def __init__(
+        self,
+        hosts: int = 1,
+        sockets: int = 64,
+        limits: dict[str, Any] | None = None,
+        facts: dict[str, Any] | None = None,
+        **terms: Any,
+    ) -> None:
         facts = FACTS | {"Limits": FACTS["Limits"] | terms} | (facts or {})
         self.reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
         self.trace: list[str] = []
--- a/tests/hosted_helper.py
+++ b/tests/hosted_helper.py
@@ -15,17 +15,24 @@
 from ternquay.rig.ports import free_place
 
 ROOT = Path(__file__).parents[1]
-PROFILES = [{"name": "read", "kind": "idempotent", "service_goal_ms": 300, "hard_limit_ms": 900},
-            {"name": "mark", "kind": "journalled", "memory_ms": 3000, "service_goal_ms": 300, "hard_limit_ms": 900},
-            {"name": "once", "kind": "non-idempotent", "service_goal_ms": 300, "hard_limit_ms": 900}]
+PROFILES = [
+    {"name": "read", "kind": "idempotent", "service_goal_ms": 300, "hard_limit_ms": 900},
+    {"name": "mark", "kind": "journalled", "memory_ms": 3000, "service_goal_ms": 300, "hard_limit_ms": 900},
+    {"name": "once", "kind": "non-idempotent", "service_goal_ms": 300, "hard_limit_ms": 900},
+]
 
 
 def document(name: str, listen: str, servers: tuple[str, ...] = (), **terms: Any) -> dict[str, Any]:
     """A tenant as the API takes it."""
     part = {"least": 0.1, "most": 0.8}
     limits = {"cpu": part, "sockets": part, "memory": part} | terms.pop("limits", {})
-    return {"name": name, "listeners": [listen], "profiles": PROFILES, "limits": limits,
-            "servers": [{"name": f"host-{n}", "place": place} for n, place in enumerate(servers)]} | terms
+    return {
+        "name": name,
+        "listeners": [listen],
+        "profiles": PROFILES,
+        "limits": limits,
+        "servers": [{"name": f"host-{n}", "place": place} for n, place in enumerate(servers)],
+    } | terms
 
 
 class Answer:
@@ -40,9 +47,11 @@
         self.folder, self.api = folder, free_place("127.0.0.1")
         self.operator = keys.made("", "main")
         self.file, self.log = folder / "service.toml", folder / "log"
-        self.text = (f'[process]\nsockets = 256\n[store]\npath = "registry.db"\n[api]\nlisten = "{self.api}"\n'
-                     f'calls_a_second = 500.0\nburst = 500\n{more}\n{tls}\n[[api.operators]]\nname = "main"\n'
-                     f'digest = "{keys.digest_of(self.operator).hex()}"\n')
+        self.text = (
+            f'[process]\nsockets = 256\n[store]\npath = "registry.db"\n[api]\nlisten = "{self.api}"\n'
+            f'calls_a_second = 500.0\nburst = 500\n{more}\n{tls}\n[[api.operators]]\nname = "main"\n'
+            f'digest = "{keys.digest_of(self.operator).hex()}"\n'
+        )
         self.text += "[end]\n"
         self.file.write_text(self.text)
         self.process: subprocess.Popen[bytes] | None = None
@@ -56,8 +65,9 @@
 
     def launch(self) -> None:
         with open(self.log, "ab") as log:
-            self.process = subprocess.Popen([sys.executable, *self.command(), "host", "--config", str(self.file)],
-                                            cwd=ROOT, stderr=log)
+            self.process = subprocess.Popen(
+                [sys.executable, *self.command(), "host", "--config", str(self.file)], cwd=ROOT, stderr=log
+            )
 
     def ready(self) -> "Hosted":
         """Once its API can be reached."""
@@ -98,8 +108,11 @@
             connection.request(method, path, text, told)
             found = connection.getresponse()
             answer = found.read()
-            return Answer(found.status, json.loads(answer) if answer else None,
-                          {name.lower(): value for name, value in found.getheaders()})
+            return Answer(
+                found.status,
+                json.loads(answer) if answer else None,
+                {name.lower(): value for name, value in found.getheaders()},
+            )
         finally:
             connection.close()
 
--- a/tests/test_agreement_walk.py
+++ b/tests/test_agreement_walk.py
@@ -90,8 +90,7 @@
         return now >= self.granted.get(name, 0) + self.figures.lapse
 
 
-WRONG = [LeadsAtOnce, LeaseFromTheAnswer, AdoptsLater, HoldsNothing,
-         NobodyIsWaitedFor, NewLeaderForgets]
+WRONG = [LeadsAtOnce, LeaseFromTheAnswer, AdoptsLater, HoldsNothing, NobodyIsWaitedFor, NewLeaderForgets]
 
 
 def led(world: World, number: int) -> Callable[[], bool]:
@@ -105,8 +104,12 @@
     zero, one, two = world.nodes
     for node in (one, two):
         node.core.tick = lambda now: None  # type: ignore[union-attr, method-assign]  # neither calls
-    world.among({0, 1, 2}, lambda: bool(zero.core and zero.core.settled() and one.core and one.core.commit
-                                        and two.core and two.core.commit))
+    world.among(
+        {0, 1, 2},
+        lambda: bool(
+            zero.core and zero.core.settled() and one.core and one.core.commit and two.core and two.core.commit
+        ),
+    )
     world.flight.clear()
     world.propose(b"1")
     world.sync(zero)
@@ -121,8 +124,12 @@
     assert zero.core is not None and two.core is not None
     zero.core.entries_most = 1
     last = zero.disk.log.last
-    world.among({0, 2}, lambda: bool(two.disk.log.last == last and zero.core and zero.core.leads()
-                                     and zero.core.progress["m2"].saved >= last))
+    world.among(
+        {0, 2},
+        lambda: bool(
+            two.disk.log.last == last and zero.core and zero.core.leads() and zero.core.progress["m2"].saved >= last
+        ),
+    )
     world.crash(zero)
     world.flight.clear()
     world.start(one)
--- a/tests/test_between.py
+++ b/tests/test_between.py
@@ -12,8 +12,8 @@
     found = []
     while text:
         length = int.from_bytes(text[:4], "big")
-        found.append(text[4: 4 + length])
-        text = text[4 + length:]
+        found.append(text[4 : 4 + length])
+        text = text[4 + length :]
     return found
 
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -84,7 +84,8 @@
 @pytest.mark.parametrize(("rate", "even"), [(3.0, True), (30.0, True), (36.0, False), (200.0, False)])
 @pytest.mark.parametrize("many", [1, 3, 30, 230])
 def test_all_balancers_together_keep_under_what_a_cold_host_bears(
-        many: int, rate: float, even: bool, tip: float, wanted: str) -> None:
+    many: int, rate: float, even: bool, tip: float, wanted: str
+) -> None:
     for seed in range(2):
         fleet = Fleet(many, rate, seed, even, tip_multiple=tip)
         step, end = 50 * MS, 8 * SECOND
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -23,7 +23,7 @@
     large.feed(ms(9)[:-4])  # its command line has come: the value may take its time
     for at in range(19):
         net.run(100)
-        slow.feed(mg(1)[at:at + 1])
+        slow.feed(mg(1)[at : at + 1])
         crowd[0].feed(b" ")  # it moves, and gets nowhere
     slow.feed(mg(1)[19:])
     assert not any(one.lost for one in crowd)
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -35,8 +35,12 @@
         environment = prepared(self.faults, self.store, self.scratch)
         self.began = time.monotonic()
         with open(self.log, "ab") as log:
-            self.process = subprocess.Popen([sys.executable, *self.command(), "host", "--config", str(self.file)],
-                                            cwd=ROOT, stderr=log, env=environment)
+            self.process = subprocess.Popen(
+                [sys.executable, *self.command(), "host", "--config", str(self.file)],
+                cwd=ROOT,
+                stderr=log,
+                env=environment,
+            )
 
 
 def change(one: Hosted, state: str) -> int:
@@ -48,15 +52,20 @@
     return int(found.body["version"]) if found.status == 200 else 0
 
 
-@pytest.mark.parametrize("faults", [
-    (DiskFault("write", "ENOSPC", FAILS, FAILS + LASTS),),
-    (DiskFault("write", "SHORT", FAILS, FAILS + LASTS, 0.5),),
-    (DiskFault("fsync", "EIO", FAILS, FAILS + LASTS),),
-    (DiskFault("fsync", "EIO", FAILS, FAILS + LASTS, 0.3), DiskFault("write", "EDQUOT", FAILS, FAILS + LASTS, 0.1)),
-    (DiskFault("open", "EROFS", FAILS, FAILS + LASTS), DiskFault("write", "EROFS", FAILS, FAILS + LASTS)),
-], ids=["full", "short writes", "no sync", "now and then", "read-only"])
+@pytest.mark.parametrize(
+    "faults",
+    [
+        (DiskFault("write", "ENOSPC", FAILS, FAILS + LASTS),),
+        (DiskFault("write", "SHORT", FAILS, FAILS + LASTS, 0.5),),
+        (DiskFault("fsync", "EIO", FAILS, FAILS + LASTS),),
+        (DiskFault("fsync", "EIO", FAILS, FAILS + LASTS, 0.3), DiskFault("write", "EDQUOT", FAILS, FAILS + LASTS, 0.1)),
+        (DiskFault("open", "EROFS", FAILS, FAILS + LASTS), DiskFault("write", "EROFS", FAILS, FAILS + LASTS)),
+    ],
+    ids=["full", "short writes", "no sync", "now and then", "read-only"],
+)
 def test_a_disk_that_fails_for_a_while_refuses_changes_and_loses_none(
-        tmp_path: Path, faults: tuple[DiskFault, ...]) -> None:
+    tmp_path: Path, faults: tuple[DiskFault, ...]
+) -> None:
     for_good = all(fault.rate == 1.0 for fault in faults)
     host = Host()
     one = FailingDisk(tmp_path, *faults)
@@ -95,9 +104,14 @@
             one.kill()
 
 
-@pytest.mark.parametrize(("fault", "named"), [
-    (DiskFault("open", "SHORT"), "faults[0].error"), (DiskFault("fsync", "EX"), "faults[0].error"),
-    (DiskFault("write", "EIO", 2.0, 1.0), "faults[0].end")])
+@pytest.mark.parametrize(
+    ("fault", "named"),
+    [
+        (DiskFault("open", "SHORT"), "faults[0].error"),
+        (DiskFault("fsync", "EX"), "faults[0].error"),
+        (DiskFault("write", "EIO", 2.0, 1.0), "faults[0].end"),
+    ],
+)
 def test_a_plan_that_can_not_be_used_is_named(tmp_path: Path, fault: DiskFault, named: str) -> None:
     with pytest.raises(DayError, match=named.replace("[", r"\[")):
         prepared((fault,), tmp_path, tmp_path)
--- a/tests/test_drain_silent.py
+++ b/tests/test_drain_silent.py
@@ -47,8 +47,25 @@
 
 
 def play(out: Path, decisions: str) -> "subprocess.Popen[str]":
-    command = [sys.executable, "-m", "ternquay", "rig", "play", "drain-silent", "--decisions", decisions, "--seed", "1",
-               "--no-report", "--out", str(out), "--rate", "160", "--hosts", "8"]
+    command = [
+        sys.executable,
+        "-m",
+        "ternquay",
+        "rig",
+        "play",
+        "drain-silent",
+        "--decisions",
+        decisions,
+        "--seed",
+        "1",
+        "--no-report",
+        "--out",
+        str(out),
+        "--rate",
+        "160",
+        "--hosts",
+        "8",
+    ]
     return subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -219,12 +219,19 @@
     assert 15 <= len(agent.calls) <= 25
 
 
-@pytest.mark.parametrize(("cut", "how"), [
-    (-1, Broken([Failed(ConnectionLost())])), (-1, PotentialDataLoss()), (-5, PotentialDataLoss()),
-    (-1, Broken([Failed(ConnectionDone())])), (0, Broken([Failed(ConnectionLost())])),
-])
+@pytest.mark.parametrize(
+    ("cut", "how"),
+    [
+        (-1, Broken([Failed(ConnectionLost())])),
+        (-1, PotentialDataLoss()),
+        (-5, PotentialDataLoss()),
+        (-1, Broken([Failed(ConnectionDone())])),
+        (0, Broken([Failed(ConnectionLost())])),
+    ],
+)
 def test_an_answer_that_was_cut_may_have_told_so_the_whole_list_is_asked_for_at_once(
-        monkeypatch: pytest.MonkeyPatch, cut: int, how: Exception) -> None:
+    monkeypatch: pytest.MonkeyPatch, cut: int, how: Exception
+) -> None:
     net, agent, _ = followed(monkeypatch)
     agent.calls[0].callback(Ending(drained(5)[:cut], how))
     assert ready(net) and len(agent.calls) == 2
@@ -253,7 +260,8 @@
 
 @pytest.mark.parametrize(("after", "taken"), [(0, True), (50, True), (150, False)])
 def test_what_the_old_discovery_had_written_by_the_move_still_counts(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, after: int, taken: bool) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, after: int, taken: bool
+) -> None:
     """The drain lies unread, or is on its way, as SIGHUP moves discovery to an address that does not answer yet."""
     net, agent, service = moved(tmp_path, monkeypatch)
     net.run(after)
@@ -261,17 +269,20 @@
     assert next(iter(service.pool.places.values())).ready is not taken
     net.run(1000)
     assert len(agent.calls) == 2, "the old one is called no more"
-    agent.calls[1].callback(Ending(orjson.dumps({"revision": 1, "complete": True, "members": [member(1)]}),
-                                   ResponseDone()))
+    agent.calls[1].callback(
+        Ending(orjson.dumps({"revision": 1, "complete": True, "members": [member(1)]}), ResponseDone())
+    )
     assert next(iter(service.pool.places.values())).ready
 
 
 def test_what_the_new_discovery_tells_goes_before_what_the_old_one_had_written(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     net, agent, service = moved(tmp_path, monkeypatch)
     agent.calls[1].callback(Ending(drained(1), ResponseDone()))
-    agent.calls[0].callback(Ending(orjson.dumps({"revision": 7, "complete": True, "members": [member(1)]}),
-                                   ResponseDone()))
+    agent.calls[0].callback(
+        Ending(orjson.dumps({"revision": 7, "complete": True, "members": [member(1)]}), ResponseDone())
+    )
     assert not next(iter(service.pool.places.values())).ready
 
 
@@ -298,8 +309,13 @@
 def test_on_loopback_idle_clients_may_fill_the_descriptors_while_discovery_is_down(tmp_path: Path) -> None:
     most, store, listen, discovery = 64, Store(9), free(), free()
     where = member(1) | {"host_port": f"127.0.0.1:{store.port}"}
-    config = told(listen, discovery, known={"revision": 1, "complete": True, "members": [where]},
-                  limits={"cores": 1.0, "memory_mb": 96, "sockets": most}, settings=FACTS)
+    config = told(
+        listen,
+        discovery,
+        known={"revision": 1, "complete": True, "members": [where]},
+        limits={"cores": 1.0, "memory_mb": 96, "sockets": most},
+        settings=FACTS,
+    )
     crowd: list[socket.socket] = []
     answers: list[bytes] = []
     held: list[int] = []
@@ -330,7 +346,8 @@
 
 @pytest.mark.parametrize("word", ["told", "refused", "silent"])
 def test_where_lists_are_pushed_nobody_is_let_in_before_the_first_word(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, word: str) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, word: str
+) -> None:
     """What is pushed counts as told from the first moment of a process, and the list it was given may be old."""
     path = tmp_path / "told.json"
     path.write_bytes(orjson.dumps(TOLD | {"settings": FACTS | {"Discovery": "pushed"}}))
@@ -428,8 +445,12 @@
     """SIGTERM while all places are taken: what the system had accepted is in nobody's hands as listening stops."""
     store, listen = Store(9), free()
     where = member(1) | {"host_port": f"127.0.0.1:{store.port}"}
-    config = told(listen, free(), known={"revision": 1, "complete": True, "members": [where]},
-                  limits={"cores": 1.0, "memory_mb": 96, "sockets": 64})
+    config = told(
+        listen,
+        free(),
+        known={"revision": 1, "complete": True, "members": [where]},
+        limits={"cores": 1.0, "memory_mb": 96, "sockets": 64},
+    )
     with serving(config, tmp_path) as process, ExitStack() as ended:
         for _ in range(56):  # they are new, so none of them is closed for another yet
             ended.enter_context(socket.create_connection(("127.0.0.1", listen), timeout=5))
@@ -601,6 +622,7 @@
 
 # ---- turns in which no end is seen ----
 
+
 def test_a_hop_begins_in_the_step_in_which_its_client_was_looked_for() -> None:
     """Left to the loop's next turn it would begin however long this one lasts, with its client gone meanwhile."""
     net = Net()
@@ -655,8 +677,9 @@
     """The loop is held for 0.3 s after a hop was turned away; the client closes 0.05 s into that, unseen."""
     path, listen, hosts = tmp_path / "told.json", free(), (TurnsAway(), TurnsAway())
     where = [member(n) | {"host_port": f"127.0.0.1:{one.port}"} for n, one in enumerate(hosts, 1)]
-    path.write_bytes(orjson.dumps(told(listen, free(), settings=FACTS, known={
-        "revision": 1, "complete": True, "members": where})))
+    path.write_bytes(
+        orjson.dumps(told(listen, free(), settings=FACTS, known={"revision": 1, "complete": True, "members": where}))
+    )
     with open(tmp_path / "log", "wb") as log:
         process = subprocess.Popen([sys.executable, "-c", HELD, str(path)], cwd=ROOT, stderr=log)
     try:
@@ -705,8 +728,9 @@
     """A full collection of the 50,000 objects of a start took 30 ms, with whatever was due meanwhile late."""
     path = tmp_path / "told.json"
     path.write_bytes(orjson.dumps(told(free(), free(), settings=FACTS)))
-    done = subprocess.run([sys.executable, "-c", COLLECTS, str(path)], cwd=ROOT, capture_output=True, text=True,
-                          timeout=30)
+    done = subprocess.run(
+        [sys.executable, "-c", COLLECTS, str(path)], cwd=ROOT, capture_output=True, text=True, timeout=30
+    )
     assert done.returncode == 0, done.stderr
     there, kept = map(int, done.stdout.split())
     assert there < 2000 < 20_000 < kept, (there, kept)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -248,6 +248,7 @@
     bad = fleet.others(leader)[0]
     with socket.create_server((bad.address, 0)) as taken:
         from tests.hosted_helper import document
+
         port = taken.getsockname()[1]
         found = fleet.change(leader, "POST", "/v1/tenants", document("norte", f"0.0.0.0:{port}", (host.place,)))
     assert found.status == 422 and found.body["field"] == "listeners[0]"
@@ -378,8 +379,7 @@
     old.start()
     assert fleet.same() == version
     assert "an old copy" in old.log.read_text()
-    assert all(one.fleet()["dropped"].get("set back") for one in fleet.others(old)
-               if one.fleet()["leader"] == one.name)
+    assert all(one.fleet()["dropped"].get("set back") for one in fleet.others(old) if one.fleet()["leader"] == one.name)
 
 
 def test_a_torn_log_is_found_out_as_well(fleet: Fleet, sur: int) -> None:
@@ -426,7 +426,8 @@
 
 
 def test_full_disks_at_a_majority_stop_changes_and_no_service_and_the_outcome_is_told_later(
-        fleet: Fleet, sur: int) -> None:
+    fleet: Fleet, sur: int
+) -> None:
     leader = fleet.leader()
     for n in range(4):
         suspend(fleet, leader, ("suspended", "active")[n % 2])
@@ -465,8 +466,23 @@
     suspend(fleet, leader)
 
     def admin(*words: str) -> subprocess.CompletedProcess[str]:
-        return subprocess.run([sys.executable, "-m", "ternquay", "admin", "--url", f"http://{leader.api}", "--token",
-                               leader.operator, *words], cwd=ROOT, capture_output=True, text=True, timeout=30)
+        return subprocess.run(
+            [
+                sys.executable,
+                "-m",
+                "ternquay",
+                "admin",
+                "--url",
+                f"http://{leader.api}",
+                "--token",
+                leader.operator,
+                *words,
+            ],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=30,
+        )
 
     until(lambda: "suspected" in admin("fleet").stdout, 10)
     table = admin("fleet").stdout.splitlines()
@@ -481,8 +497,13 @@
 def test_strangers_bytes_end_nothing(fleet: Fleet, sur: int) -> None:
     one = fleet["a"]
     place = fleet.between.places["a"]
-    for text in (b"GET / HTTP/1.1\r\n\r\n", b"\x40\x00\x00\x00" + b"x" * 1000, b"\x00\x00\x00\x40" + b"y" * 64,
-                 b"\x00" * 4, b"\x00\x00"):
+    for text in (
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"\x40\x00\x00\x00" + b"x" * 1000,
+        b"\x00\x00\x00\x40" + b"y" * 64,
+        b"\x00" * 4,
+        b"\x00\x00",
+    ):
         with socket.create_connection(place, timeout=5) as stranger:
             stranger.sendall(text)
             time.sleep(0.05)
@@ -526,8 +547,9 @@
     try:
         alone = fleet["b"]
         text = alone.file.read_text()
-        alone.file.write_text(text.replace("[peers]", "#").replace(text.partition("[peers]")[2].partition(
-            "[[api.operators]]")[0], "\n"))
+        alone.file.write_text(
+            text.replace("[peers]", "#").replace(text.partition("[peers]")[2].partition("[[api.operators]]")[0], "\n")
+        )
         alone.start()
         port = Hosted.place(alone.make("sur", (host.place,)))[1]
         assert alone.end() == 0
--- a/tests/test_fleet_odd.py
+++ b/tests/test_fleet_odd.py
@@ -58,8 +58,7 @@
         fleet.end()
 
 
-def test_a_clock_far_slower_than_the_bound_is_what_the_bound_is_stated_against(
-        tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_a_clock_far_slower_than_the_bound_is_what_the_bound_is_stated_against(tmp_path: Path, host: Host) -> None:  # noqa: F811
     """Cut off, it takes on by the old version for as long as its clock says: three leases instead of one."""
     fleet = Fleet(tmp_path)
     fleet["c"].odd = "slow"
@@ -108,7 +107,9 @@
 
 
 def test_what_was_decided_while_it_was_away_and_it_can_not_have_keeps_it_from_taking(
-        tmp_path: Path, host: Host) -> None:  # noqa: F811
+    tmp_path: Path,
+    host: Host,  # noqa: F811
+) -> None:
     fleet = Fleet(tmp_path)
     try:
         fleet.start()
@@ -122,8 +123,12 @@
             found = fleet.change(leader, "POST", "/v1/tenants", document("norte", f"0.0.0.0:{other}", (host.place,)))
             assert found.status == 201
             away.start()
-            until(lambda: "can't be bound" in str([row["why"] for row in away.fleet()["members"]
-                                                   if row["name"] == away.name]), 10)
+            until(
+                lambda: (
+                    "can't be bound" in str([row["why"] for row in away.fleet()["members"] if row["name"] == away.name])
+                ),
+                10,
+            )
             assert busy(away.read(port))
         assert fleet.same() == 2  # as soon as there is room
         until(lambda: away.read(port) == VALUE and away.read(other) == VALUE, 10)
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -39,7 +39,7 @@
     value = bytes(range(256)) * 5
     sent = put(1, value) + b"mn\r\n" + put(2, b"tiny")
     side = meta.ClientSide(2048, 4096, whole=100)
-    found = [x for at in range(0, len(sent), cut) for x in side.feed(sent[at:at + cut])]
+    found = [x for at in range(0, len(sent), cut) for x in side.feed(sent[at : at + cut])]
     command = found[0]
     assert isinstance(command, meta.Command) and command.length == len(value) and command.value is None
     assert b"".join(x.data for x in found if isinstance(x, meta.Piece)) == value
@@ -53,7 +53,7 @@
         assert isinstance(asked, meta.Command)
         back.expect(asked)
     answers = va(3, value) + va(4, b"v")
-    got = [x for at in range(0, len(answers), cut) for x in back.feed(answers[at:at + cut])]
+    got = [x for at in range(0, len(answers), cut) for x in back.feed(answers[at : at + cut])]
     assert b"".join(x.data for x in got if isinstance(x, meta.Piece)) == value and not back.fault and not back.buffer
     assert got[0] == meta.Begun(len(value), 1) and isinstance(got[-1], meta.Answer)
 
@@ -72,7 +72,7 @@
 def test_of_what_is_no_command_nothing_is_passed_on() -> None:
     side = meta.ClientSide(2048, 4096, whole=10)
     bad = b"ms k 20 Pc=once,d=8\r\n" + b"mg k v" * 3 + b"mn\r\n"[:2] + b"\r\n"
-    assert [x for at in range(len(bad)) for x in side.feed(bad[at:at + 1])] == [meta.Bad(b"CLIENT_ERROR bad id")]
+    assert [x for at in range(len(bad)) for x in side.feed(bad[at : at + 1])] == [meta.Bad(b"CLIENT_ERROR bad id")]
     assert side.quiet()
 
 
@@ -326,7 +326,7 @@
                 at = 0
                 while at < len(text):
                     step = self.random.choice((1, 7, 1000, 70000, 300000))
-                    one.sendall(text[at:at + step])
+                    one.sendall(text[at : at + step])
                     at += step
 
 
@@ -345,9 +345,13 @@
     where = member(1) | {"host_port": f"127.0.0.1:{store.port}"}
     # The one store and all its clients share this test's process, so that their times are long.
     profiles = [one | {"ServiceGoal": 8_000_000, "HardLimit": 9_000_000} for one in FACTS["Profiles"]]
-    config = told(listen, free(), limits={"cores": 1.0, "memory_mb": 64, "sockets": 256},
-                  settings=FACTS | {"Discovery": "pushed", "Profiles": profiles},
-                  known={"revision": 1, "complete": True, "members": [where]})
+    config = told(
+        listen,
+        free(),
+        limits={"cores": 1.0, "memory_mb": 64, "sockets": 256},
+        settings=FACTS | {"Discovery": "pushed", "Profiles": profiles},
+        known={"revision": 1, "complete": True, "members": [where]},
+    )
     size, many, failed = 4 * MIB, 16, []
     value = value_of(b"w", size)
 
@@ -370,7 +374,7 @@
             answer = b"SERVER_ERROR busy"
             while answer.startswith(b"SERVER_ERROR busy"):
                 for at in range(0, len(text), 300_001):
-                    client.sendall(text[at:at + 300_001])
+                    client.sendall(text[at : at + 300_001])
                     time.sleep(0.05)
                 answer = client.recv(200)
             if answer != b"HD O%d cr\r\n" % number or store.sums.get(b"O%d" % number) != hash(value):
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -46,7 +46,8 @@
 @pytest.mark.parametrize("must_ask", [None, 200, 1000, 4000, 10_000, 120_000])
 @pytest.mark.parametrize("late", [0, 30 * MS, 400 * MS])
 def test_what_a_silent_watch_misses_is_known_before_it_counts_as_told(
-        pushed: bool, must_ask: int | None, late: int) -> None:
+    pushed: bool, must_ask: int | None, late: int
+) -> None:
     for seed in range(200):
         draw = Random(seed)
         follow = Follow(limits(must_ask), draw, pushed)
@@ -92,7 +93,8 @@
 @pytest.mark.parametrize("must_ask", [None, 200, 10_000, 120_000])
 @pytest.mark.parametrize("how", [REFUSED, TURNED_AWAY, UNREACHED, SILENT])
 def test_whatever_failed_before_the_list_is_known_six_seconds_after_discovery_can_be_reached(
-        pushed: bool, must_ask: int | None, how: int) -> None:
+    pushed: bool, must_ask: int | None, how: int
+) -> None:
     for seed in range(300):
         draw = Random(seed)
         back = int(draw.random() * 40 * SECOND)
--- a/tests/test_full_house.py
+++ b/tests/test_full_house.py
@@ -32,10 +32,14 @@
         self.took = time.monotonic() - began
 
 
-@pytest.mark.parametrize("said", [b"", b"mg k v O1 Pc=re", b"ms k 1000 O1 Pc=once,d=900\r\nxx"],
-                         ids=["silent", "half a line", "half a value"])
+@pytest.mark.parametrize(
+    "said",
+    [b"", b"mg k v O1 Pc=re", b"ms k 1000 O1 Pc=once,d=900\r\nxx"],
+    ids=["silent", "half a line", "half a value"],
+)
 def test_on_loopback_who_comes_behind_a_crowd_that_stands_still_has_an_answer_in_time(
-        tmp_path: Path, said: bytes) -> None:
+    tmp_path: Path, said: bytes
+) -> None:
     """Its request was taken by the system the moment it came, so it is owed an answer before its hard limit."""
     with balancer(tmp_path) as port, ExitStack() as crowd:
         for _ in range(CROWD):
@@ -46,6 +50,9 @@
             client.start()
         for client in honest:
             client.join(10)
-    late = [(client.line[:20], round(client.took, 2)) for client in honest
-            if not client.line.startswith((b"VA", b"SERVER_ERROR")) or client.took > LIMIT]
+    late = [
+        (client.line[:20], round(client.took, 2))
+        for client in honest
+        if not client.line.startswith((b"VA", b"SERVER_ERROR")) or client.took > LIMIT
+    ]
     assert not late
--- a/tests/test_half_messages.py
+++ b/tests/test_half_messages.py
@@ -30,8 +30,9 @@
     return transport
 
 
-@pytest.mark.parametrize("text", [b"GET /x HTTP/1.1\r\nHost: somewhere\r\n",
-                                  b"POST /x HTTP/1.1\r\nContent-Length: 99\r\n\r\n" + b"x" * 50])
+@pytest.mark.parametrize(
+    "text", [b"GET /x HTTP/1.1\r\nHost: somewhere\r\n", b"POST /x HTTP/1.1\r\nContent-Length: 99\r\n\r\n" + b"x" * 50]
+)
 def test_a_caller_that_drips_a_call_is_closed_and_one_that_waits_for_its_answer_is_not(text: bytes) -> None:
     clock: Any = Clock()
     port = Port(clock)
@@ -40,7 +41,7 @@
     ended, kept = opened(drips), opened(waits)
     waits.dataReceived(b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n")
     for at in range(0, len(text), 5):
-        drips.dataReceived(text[at:at + 5])
+        drips.dataReceived(text[at : at + 5])
         clock.advance(0.4)
     assert ended.disconnecting or ended.disconnected
     assert not kept.disconnecting and len(port.calls) == 1
@@ -66,7 +67,7 @@
         links[0].dataReceived(whole)
         if second == 1:
             links[1].dataReceived(whole + half)
-        links[2].dataReceived(steps[second:second + 1])
+        links[2].dataReceived(steps[second : second + 1])
         clock.advance(1.0)
     assert [bool(one.disconnecting or one.disconnected) for one in transports] == [False, True, True]
     assert dropped["half a frame"] >= 2
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -76,9 +76,11 @@
 
 
 def test_a_lock_ends_with_its_process_whatever_ends_it(tmp_path: Path) -> None:
-    code = ("import sys; sys.path.insert(0, '.'); from pathlib import Path; import time\n"
-            "from ternquay.handover.beside import Slots\n"
-            f"assert Slots(Path({str(tmp_path)!r})).take(); print('here', flush=True); time.sleep(60)")
+    code = (
+        "import sys; sys.path.insert(0, '.'); from pathlib import Path; import time\n"
+        "from ternquay.handover.beside import Slots\n"
+        f"assert Slots(Path({str(tmp_path)!r})).take(); print('here', flush=True); time.sleep(60)"
+    )
     with subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE) as other:
         assert other.stdout is not None and other.stdout.readline() == b"here\n"
         mine = Slots(tmp_path)
@@ -111,8 +113,11 @@
     client = net.client()
     for number in range(30):
         client.feed(mg(number, key=f"k{number}"))
-        host = net.accept() if net.reactor.tcpClients else [
-            w for w in net.wires if w.name.startswith("host") and w.protocol.hops][-1]
+        host = (
+            net.accept()
+            if net.reactor.tcpClients
+            else [w for w in net.wires if w.name.startswith("host") and w.protocol.hops][-1]
+        )
         net.run(20)
         host.feed(va(number))
     old = net.door.balancer
@@ -213,6 +218,7 @@
     wrong: list[object] = []
     stop = threading.Event()
     with platform(tmp_path) as held:
+
         def keeps(number: int) -> None:
             client, count = socket.create_connection(("127.0.0.1", held.listen), timeout=10), 0
             while not stop.is_set():
@@ -229,7 +235,8 @@
                     client.close()
                     client = socket.create_connection(("127.0.0.1", held.listen), timeout=10)
                 if found != b"VA 9 O%d.%d\r\nk9.k9.k9.\r\n" % (number, count) and not found.startswith(
-                        b"SERVER_ERROR busy"):
+                    b"SERVER_ERROR busy"
+                ):
                     wrong.append((text, found))
                 time.sleep(0.01)
             client.close()
@@ -285,7 +292,8 @@
 
 
 def test_locks_that_the_system_refuses_for_a_while_change_nothing_that_is_known(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     first, second = Slots(tmp_path), Slots(tmp_path)
     assert first.take() and second.take() and first.other()
 
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -149,8 +149,14 @@
     found = hosted.call("GET", "/v1/tenants/doble/limits")
     told = {"if_match": found.headers["etag"]}
     statuses: list[int] = []
-    threads = [threading.Thread(target=lambda burst=burst: statuses.append(hosted.call(
-        "PUT", "/v1/tenants/doble/limits", found.body | {"burst": burst}, **told).status)) for burst in (7, 8, 9)]
+    threads = [
+        threading.Thread(
+            target=lambda burst=burst: statuses.append(
+                hosted.call("PUT", "/v1/tenants/doble/limits", found.body | {"burst": burst}, **told).status
+            )
+        )
+        for burst in (7, 8, 9)
+    ]
     for one in threads:
         one.start()
     for one in threads:
@@ -259,8 +265,10 @@
             assert {"at", "level", "message"} <= json.loads(line).keys()
         told = [json.loads(line) for line in one.log.read_text().splitlines() if '"changed"' in line]
         assert [(x["tenant"], x["version"], x["who"], x["kind"]) for x in told] == [
-            ("sur", 1, "operator/main", "make"), ("sur", 2, "operator/main", "key-made"),
-            ("sur", 3, "operator/main", "limits")]
+            ("sur", 1, "operator/main", "make"),
+            ("sur", 2, "operator/main", "key-made"),
+            ("sur", 3, "operator/main", "limits"),
+        ]
         assert token.encode() not in b"".join(path.read_bytes() for path in tmp_path.glob("registry.db*"))
         assert one.end() == 0
     finally:
@@ -293,15 +301,22 @@
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
     now = datetime.now(UTC)
-    made = (x509.CertificateBuilder().subject_name(subject).issuer_name(subject).public_key(key.public_key())
-            .serial_number(x509.random_serial_number()).not_valid_before(now - timedelta(days=1))
-            .not_valid_after(now + timedelta(days=1))
-            .add_extension(x509.BasicConstraints(ca=True, path_length=None), critical=True)
-            .add_extension(x509.SubjectAlternativeName([x509.IPAddress(ip_address("127.0.0.1"))]), critical=False)
-            .sign(key, hashes.SHA256()))
+    made = (
+        x509.CertificateBuilder()
+        .subject_name(subject)
+        .issuer_name(subject)
+        .public_key(key.public_key())
+        .serial_number(x509.random_serial_number())
+        .not_valid_before(now - timedelta(days=1))
+        .not_valid_after(now + timedelta(days=1))
+        .add_extension(x509.BasicConstraints(ca=True, path_length=None), critical=True)
+        .add_extension(x509.SubjectAlternativeName([x509.IPAddress(ip_address("127.0.0.1"))]), critical=False)
+        .sign(key, hashes.SHA256())
+    )
     (folder / f"{name}.pem").write_bytes(made.public_bytes(serialization.Encoding.PEM))
-    (folder / f"{name}.key").write_bytes(key.private_bytes(
-        serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()))
+    (folder / f"{name}.key").write_bytes(
+        key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption())
+    )
 
 
 def test_tls_wants_its_callers_certificates_and_reloads_its_own(tmp_path: Path) -> None:
@@ -344,17 +359,23 @@
     listens = [free_place("127.0.0.1") for _ in range(3)]
 
     def text(*those: tuple[str, str, str]) -> str:
-        return "[process]\nsockets = 256\n" + "".join(
-            f'[[tenants]]\nname = "{name}"\nlisteners = ["{listen}"]\nstate = "{state}"\n'
-            f'servers = [{{ name = "h", place = "{host.place}" }}]\n'
-            'profiles = [{ name = "read", kind = "idempotent", service_goal_ms = 300, hard_limit_ms = 900 }]\n'
-            for name, listen, state in those) + "[end]\n"
+        return (
+            "[process]\nsockets = 256\n"
+            + "".join(
+                f'[[tenants]]\nname = "{name}"\nlisteners = ["{listen}"]\nstate = "{state}"\n'
+                f'servers = [{{ name = "h", place = "{host.place}" }}]\n'
+                'profiles = [{ name = "read", kind = "idempotent", service_goal_ms = 300, hard_limit_ms = 900 }]\n'
+                for name, listen, state in those
+            )
+            + "[end]\n"
+        )
 
     file = tmp_path / "service.toml"
     file.write_text(text(("uno", listens[0], "active"), ("dos", listens[1], "active")))
     with open(tmp_path / "log", "ab") as log:
-        process = subprocess.Popen([sys.executable, "-m", "ternquay", "host", "--config", str(file)], cwd=ROOT,
-                                   stderr=log)
+        process = subprocess.Popen(
+            [sys.executable, "-m", "ternquay", "host", "--config", str(file)], cwd=ROOT, stderr=log
+        )
     one = Hosted.__new__(Hosted)
 
     def answers(listen: str) -> bytes:
@@ -385,34 +406,58 @@
         process.kill()
 
 
-@pytest.mark.parametrize(("text", "named"), [
-    ("name = 3", "name"), ("[api]\nlisten = '127.0.0.1:1'", "api"), ("[nonsense]", "nonsense"),
-    ("[store]\npath='x'\n[api]\nlisten='10.0.0.1:80'", "api.tls"), ("[process]\nsockets = 3", "process.sockets"),
-    ("[store]\npath='x'\n[api]\nlisten='nowhere'", "api.listen"), ("[process]\nnumber = 5", "process.number"),
-    ("[store]\npath='x'\n[api]\nlisten='127.0.0.1:1'\n[api.tls]\ncertificate='no'\nkey='no'", "api.tls.certificate"),
-    ("[[tenants]]\nname='a'\nlisteners=['x']\nprofiles=[]", "tenants[0].listeners[0]"), ("x = [", "TOML"),
-    ("[store]\npath='x'\n[[tenants]]\nname='a'\nlisteners=['127.0.0.1:1']\nprofiles=[]", "tenants"),
-])
+@pytest.mark.parametrize(
+    ("text", "named"),
+    [
+        ("name = 3", "name"),
+        ("[api]\nlisten = '127.0.0.1:1'", "api"),
+        ("[nonsense]", "nonsense"),
+        ("[store]\npath='x'\n[api]\nlisten='10.0.0.1:80'", "api.tls"),
+        ("[process]\nsockets = 3", "process.sockets"),
+        ("[store]\npath='x'\n[api]\nlisten='nowhere'", "api.listen"),
+        ("[process]\nnumber = 5", "process.number"),
+        (
+            "[store]\npath='x'\n[api]\nlisten='127.0.0.1:1'\n[api.tls]\ncertificate='no'\nkey='no'",
+            "api.tls.certificate",
+        ),
+        ("[[tenants]]\nname='a'\nlisteners=['x']\nprofiles=[]", "tenants[0].listeners[0]"),
+        ("x = [", "TOML"),
+        ("[store]\npath='x'\n[[tenants]]\nname='a'\nlisteners=['127.0.0.1:1']\nprofiles=[]", "tenants"),
+    ],
+)
 def test_a_file_that_can_not_be_used_is_told_in_one_line(text: str, named: str, tmp_path: Path) -> None:
     file = tmp_path / "s.toml"
     file.write_text(f"{text}\n[end]\n")
     for command in ("check", "host"):
-        found = subprocess.run([sys.executable, "-m", "ternquay", command, "--config", str(file)], cwd=ROOT,
-                               capture_output=True, text=True, timeout=30, check=False)
+        found = subprocess.run(
+            [sys.executable, "-m", "ternquay", command, "--config", str(file)],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=30,
+            check=False,
+        )
         assert found.returncode == 2 and found.stderr.count("\n") == 1, found.stderr
         assert named in found.stderr or named == "TOML"
 
 
 def test_the_file_under_deploy_can_be_used() -> None:
-    found = subprocess.run([sys.executable, "-m", "ternquay", "check", "--config", "deploy/service.toml"], cwd=ROOT,
-                           capture_output=True, text=True, check=False)
+    found = subprocess.run(
+        [sys.executable, "-m", "ternquay", "check", "--config", "deploy/service.toml"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     assert (found.returncode, found.stdout) == (0, "ternquay: 1 tenants, no store, no API, 1024 sockets\n")
 
 
 def test_serve_loads_nothing_of_the_hosted_service_or_the_rig() -> None:
-    code = ("import sys; from ternquay.net.serve import run; from ternquay.cli import app; "
-            "wrong = tuple('ternquay.' + n for n in ('hosted', 'rig', 'peers', 'consensus')) + ('msgspec', 'sqlite3'); "
-            "print([n for n in sys.modules if n.startswith(wrong)])")
+    code = (
+        "import sys; from ternquay.net.serve import run; from ternquay.cli import app; "
+        "wrong = tuple('ternquay.' + n for n in ('hosted', 'rig', 'peers', 'consensus')) + ('msgspec', 'sqlite3'); "
+        "print([n for n in sys.modules if n.startswith(wrong)])"
+    )
     found = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert found.stdout == "[]\n"
 
@@ -421,17 +466,34 @@
 
 
 def admin(hosted: Hosted, *words: str, token: str | None = None) -> tuple[int, str, str]:
-    done = subprocess.run([sys.executable, "-m", "ternquay", "admin", "--url", f"http://{hosted.api}", "--token",
-                           hosted.operator if token is None else token, *words], cwd=ROOT, capture_output=True,
-                          text=True, timeout=60, check=False)
+    done = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "ternquay",
+            "admin",
+            "--url",
+            f"http://{hosted.api}",
+            "--token",
+            hosted.operator if token is None else token,
+            *words,
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     return done.returncode, done.stdout, done.stderr
 
 
 def test_the_client_plans_applies_and_tells_scripts_what_came_of_it(hosted: Hosted, tmp_path: Path) -> None:
     listen, file = free_place("127.0.0.1"), tmp_path / "tenants.toml"
-    file.write_text(f'[[tenants]]\nname = "plan"\nlisteners = ["{listen}"]\n'
-                    'profiles = [{ name = "read", kind = "idempotent", service_goal_ms = 300, hard_limit_ms = 900 }]\n'
-                    '[end]\n')
+    file.write_text(
+        f'[[tenants]]\nname = "plan"\nlisteners = ["{listen}"]\n'
+        'profiles = [{ name = "read", kind = "idempotent", service_goal_ms = 300, hard_limit_ms = 900 }]\n'
+        "[end]\n"
+    )
     code, out, _ = admin(hosted, "plan", str(file), "--detect")
     assert code == 7 and out.startswith("make plan\n") and "profiles: nothing ->" in out
     assert admin(hosted, "apply", str(file))[0] == 0
@@ -458,8 +520,13 @@
     assert (code, errors.count("\n")) == (2, 1)
     file.write_text("tenants = []\n[end]\n")
     assert admin(hosted, "apply", str(file), "--remove")[0] == 0
-    unreached = subprocess.run([sys.executable, "-m", "ternquay", "admin", "--url", "http://127.0.0.1:1", "--token",
-                                "x", "tenants", "list"], cwd=ROOT, capture_output=True, text=True, check=False)
+    unreached = subprocess.run(
+        [sys.executable, "-m", "ternquay", "admin", "--url", "http://127.0.0.1:1", "--token", "x", "tenants", "list"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     assert unreached.returncode == 6 and unreached.stderr.count("\n") == 1
 
 
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -219,7 +219,8 @@
 
 @pytest.mark.parametrize(("after", "taken"), [(0, True), (50, True), (150, False)])
 def test_what_the_old_source_had_written_by_the_move_still_counts(
-        monkeypatch: pytest.MonkeyPatch, after: int, taken: bool) -> None:
+    monkeypatch: pytest.MonkeyPatch, after: int, taken: bool
+) -> None:
     agent: Any = None
     monkeypatch.setattr("ternquay.net.discovery.Agent", lambda *_: agent)
     net = HostedNet(servers=())
@@ -227,8 +228,9 @@
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     there = net.host.registry.tenants["sur"].tenant
     net.host.change(Replace(replace(there, source=Place("127.0.0.1", 8500))))
-    agent.calls[0].callback(Ending(orjson.dumps({"revision": 1, "complete": True, "members": [member(1)]}),
-                                   ResponseDone()))
+    agent.calls[0].callback(
+        Ending(orjson.dumps({"revision": 1, "complete": True, "members": [member(1)]}), ResponseDone())
+    )
     assert ready(net)
     net.host.change(Replace(replace(there, source=Place("127.0.0.1", 8600))))
     assert len(agent.calls) == 3, "the first list, the watch, and the new one's"
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -199,18 +199,21 @@
     assert plain(document_of(one))["limits"]["cpu"] == {"least": 0.1, "most": 0.8}
 
 
-@pytest.mark.parametrize(("change", "field"), [
-    ({"servers": [{"name": "x", "place": "somewhere"}]}, "servers[0].place"),
-    ({"servers": [{"name": "x", "place": "1.2.3.4:99999"}]}, "servers[0].place.port"),
-    ({"servers": [{"name": "x", "place": "1.2.3.4:9", "speed": 3}]}, "servers[0]"),
-    ({"source": "nowhere"}, "source"),
-    ({"source": "127.0.0.1:80"}, "servers"),
-    ({"limits": {"cpu": {"least": 0.9, "most": 0.1}}}, "limits.cpu"),
-    ({"limits": {"txs_a_second": "many"}}, "limits.txs_a_second"),
-    ({"profiles": []}, "profiles"),
-    ({"listeners": ["localhost:80"]}, "listeners[0]"),
-    ({"name": "Sur"}, "name"),
-])
+@pytest.mark.parametrize(
+    ("change", "field"),
+    [
+        ({"servers": [{"name": "x", "place": "somewhere"}]}, "servers[0].place"),
+        ({"servers": [{"name": "x", "place": "1.2.3.4:99999"}]}, "servers[0].place.port"),
+        ({"servers": [{"name": "x", "place": "1.2.3.4:9", "speed": 3}]}, "servers[0]"),
+        ({"source": "nowhere"}, "source"),
+        ({"source": "127.0.0.1:80"}, "servers"),
+        ({"limits": {"cpu": {"least": 0.9, "most": 0.1}}}, "limits.cpu"),
+        ({"limits": {"txs_a_second": "many"}}, "limits.txs_a_second"),
+        ({"profiles": []}, "profiles"),
+        ({"listeners": ["localhost:80"]}, "listeners[0]"),
+        ({"name": "Sur"}, "name"),
+    ],
+)
 def test_what_is_no_tenant_names_its_field(change: dict[str, Any], field: str) -> None:
     with pytest.raises(Unfit) as fault:
         tenant_of(read(TenantDocument, TOLD | change))
@@ -240,9 +243,11 @@
 
 
 def world() -> tuple[Api, Registry]:
-    its = (Key("admin", keys.digest_of(ADMINISTRATOR), Scope.ADMINISTRATOR, 0),
-           Key("reader", keys.digest_of(READER), Scope.READER, 0),
-           Key("old", keys.digest_of(OLD), Scope.ADMINISTRATOR, 0, NOW))
+    its = (
+        Key("admin", keys.digest_of(ADMINISTRATOR), Scope.ADMINISTRATOR, 0),
+        Key("reader", keys.digest_of(READER), Scope.READER, 0),
+        Key("old", keys.digest_of(OLD), Scope.ADMINISTRATOR, 0, NOW),
+    )
     return Api(OPERATORS), made(tenant("sur", 1, keys=its), tenant("norte", 2))
 
 
@@ -251,17 +256,42 @@
     told = {"authorization": f"Bearer {token}"} | {name.replace("_", "-"): value for name, value in headers.items()}
     path, _, query = path.partition("?")
     pairs = dict(pair.split("=", 1) for pair in query.split("&")) if query else {}
-    return api.handle(Call(method, path, pairs, told, json.dumps(body).encode() if body is not None else b""),
-                      registry, NOW)
-
-
-@pytest.mark.parametrize(("token", "status"), [
-    (OLD, 401), ("", 401), (OPERATOR[:-1] + ("A" if OPERATOR[-1] != "A" else "B"), 401), (OPERATOR + "x", 401),
-    (OPERATOR.replace("tq1.-", "tq1.sur"), 401), (ADMINISTRATOR.replace("sur", "norte"), 401),
-    (ADMINISTRATOR.replace("admin", "reader"), 401), ("tq1.nobody.x." + "A" * 43, 401), ("\u00e9" * 60, 401),
-    (READER, 200), (ADMINISTRATOR, 200), (OPERATOR, 200),
-], ids=["over", "none", "altered", "longer", "another's", "another tenant's", "another name's", "nobody's", "not ascii",
-        "reader", "administrator", "operator"])
+    return api.handle(
+        Call(method, path, pairs, told, json.dumps(body).encode() if body is not None else b""), registry, NOW
+    )
+
+
+@pytest.mark.parametrize(
+    ("token", "status"),
+    [
+        (OLD, 401),
+        ("", 401),
+        (OPERATOR[:-1] + ("A" if OPERATOR[-1] != "A" else "B"), 401),
+        (OPERATOR + "x", 401),
+        (OPERATOR.replace("tq1.-", "tq1.sur"), 401),
+        (ADMINISTRATOR.replace("sur", "norte"), 401),
+        (ADMINISTRATOR.replace("admin", "reader"), 401),
+        ("tq1.nobody.x." + "A" * 43, 401),
+        ("\u00e9" * 60, 401),
+        (READER, 200),
+        (ADMINISTRATOR, 200),
+        (OPERATOR, 200),
+    ],
+    ids=[
+        "over",
+        "none",
+        "altered",
+        "longer",
+        "another's",
+        "another tenant's",
+        "another name's",
+        "nobody's",
+        "not ascii",
+        "reader",
+        "administrator",
+        "operator",
+    ],
+)
 def test_only_a_whole_and_valid_token_lets_in(token: str, status: int) -> None:
     assert handled("GET", "/v1/tenants/sur", token).status == status
 
@@ -281,10 +311,25 @@
     assert handled(route.method, own, "nonsense", {}).status == 401
 
 
-@pytest.mark.parametrize("path", ["", "/", "//v1/tenants", "/v1/tenants/", "/v1/../v1/tenants", "/v1/tenants/%73ur",
-                                  "/v1/tenants/sur%00", "/v1/tenants/sur/../norte", "/v1/tenants/SUR",
-                                  "/v1/tenants/sur;x",
-                                  "/v1/tenants/" + "a" * 400, "/v2/tenants", "/v1/tenants/sur/keys/x/y/z", "*"])
+@pytest.mark.parametrize(
+    "path",
+    [
+        "",
+        "/",
+        "//v1/tenants",
+        "/v1/tenants/",
+        "/v1/../v1/tenants",
+        "/v1/tenants/%73ur",
+        "/v1/tenants/sur%00",
+        "/v1/tenants/sur/../norte",
+        "/v1/tenants/SUR",
+        "/v1/tenants/sur;x",
+        "/v1/tenants/" + "a" * 400,
+        "/v2/tenants",
+        "/v1/tenants/sur/keys/x/y/z",
+        "*",
+    ],
+)
 def test_odd_paths_lead_nowhere(path: str) -> None:
     assert handled("GET", path).status == 404
 
@@ -328,8 +373,13 @@
 
 
 def test_a_cache_host_that_a_change_adds_is_cold_from_then_on_and_a_known_one_keeps_its_start() -> None:
-    body = {"servers": [{"name": "one", "place": "127.0.1.1:11211"}, {"name": "new", "place": "10.9.9.9:1"},
-                        {"name": "old", "place": "10.9.9.8:1", "started_ms": 5}]}
+    body = {
+        "servers": [
+            {"name": "one", "place": "127.0.1.1:11211"},
+            {"name": "new", "place": "10.9.9.9:1"},
+            {"name": "old", "place": "10.9.9.8:1", "started_ms": 5},
+        ]
+    }
     found = handled("PUT", "/v1/tenants/sur/servers", ADMINISTRATOR, body, if_match="*")
     assert [server.started for server in found.change.servers] == [0, NOW, 5 * MS]
 
@@ -354,7 +404,8 @@
 def test_the_description_has_each_route_and_each_reference_leads_somewhere() -> None:
     told = description()
     assert {(path, method.upper()) for path, methods in told["paths"].items() for method in methods} == {
-        (route.path, route.method) for route in ROUTES}
+        (route.path, route.method) for route in ROUTES
+    }
     text = json.dumps(told)
     for part in text.split('"#/components/schemas/')[1:]:
         assert part.partition('"')[0] in told["components"]["schemas"]
@@ -373,7 +424,9 @@
     there[0]["tenant"]["limits"]["burst"] = 3
     steps = planned([(file, "suspended")], there)
     assert [(s.kind, s.version, s.lines) for s in steps] == [
-        ("replace", 4, ("limits.burst: 3 -> 500",)), ("state", -1, ("state: active -> suspended",))]
+        ("replace", 4, ("limits.burst: 3 -> 500",)),
+        ("state", -1, ("state: active -> suspended",)),
+    ]
     other = there[0] | {"tenant": there[0]["tenant"] | {"name": "norte"}}
     steps = planned([(file, "active")], [other], remove=True)
     assert [(s.kind, s.tenant) for s in steps] == [("end", "norte"), ("make", "sur")]
@@ -547,10 +600,12 @@
 
 def test_other_figures_are_for_what_comes_and_what_is_open_ends_by_those_it_was_taken_with() -> None:
     balancer = Balancer(START)
-    balancer.decide(T0, m.ListChanged(True, tuple(
-        m.Listed(n, f"h{n}", 0, 0, 0, m.Standing.READY, 1.0, 0) for n in range(3))))
-    sends = [a for a in balancer.decide(T0, m.TxArrived(1, 2, -1, "k", 900 * MS, False, True))
-             if isinstance(a, m.SendHop)]
+    balancer.decide(
+        T0, m.ListChanged(True, tuple(m.Listed(n, f"h{n}", 0, 0, 0, m.Standing.READY, 1.0, 0) for n in range(3)))
+    )
+    sends = [
+        a for a in balancer.decide(T0, m.TxArrived(1, 2, -1, "k", 900 * MS, False, True)) if isinstance(a, m.SendHop)
+    ]
     assert len(sends) == 1  # a non-idempotent one is out
     balancer.decide(T0 + MS, replace(START, profiles=(START.profiles[0],), quotas=()))
     actions = balancer.decide(T0 + 2 * MS, m.HopEnded(1, 0, m.End.RESET, MS, False, 0))
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -14,8 +14,11 @@
 from ternquay.rig.virtual import World
 
 QUIET = {"seconds": 8.0, "clients": {"rate": 120.0, "leaves_early": 0.0}}
-FORGETFUL = QUIET | {"profiles": [msgspec.structs.asdict(p) | ({"memory_ms": 500} if p.memory_ms else {})
-                                  for p in read_day("calm").profiles]}
+FORGETFUL = QUIET | {
+    "profiles": [
+        msgspec.structs.asdict(p) | ({"memory_ms": 500} if p.memory_ms else {}) for p in read_day("calm").profiles
+    ]
+}
 DRAINED = QUIET | {"faults": [{"kind": "host-replaced", "start": 0.3, "end": 0.4, "share": 0.5, "ms": 2000}]}
 CRASHED = QUIET | {"faults": [{"kind": "host-crash", "start": 0.3, "end": 0.4, "share": 0.4}]}
 STOPPING = QUIET | {"faults": [{"kind": "origin-slow", "start": 0.2, "end": 0.9, "factor": 30.0}]}
@@ -220,9 +223,17 @@
     (ForgetsTheMark, FORGETFUL, "twice", "a repeat sent when its mark was forgotten"),
     (IgnoresTheList, DRAINED, "drains", "a hop past the grace after a notice"),
     (PushesCold, CRASHED, "cold", "a cold host was pushed over"),
-    (FetchesThroughCold, CRASHED | {"clients": {"rate": 400.0, "leaves_early": 0.0, "skew": 0.1},
-                                    "origin": {"stopping_rate": 150.0}, "hosts": {"tip_multiple": 1000.0}},
-     "cold", "cold misses stopped the origin"),
+    (
+        FetchesThroughCold,
+        CRASHED
+        | {
+            "clients": {"rate": 400.0, "leaves_early": 0.0, "skew": 0.1},
+            "origin": {"stopping_rate": 150.0},
+            "hosts": {"tip_multiple": 1000.0},
+        },
+        "cold",
+        "cold misses stopped the origin",
+    ),
     (WrongId, QUIET, "wrong", "an answer for the wrong id"),
     (OutOfOrder, QUIET, "wrong", "an answer out of order"),
     (MakesUp, QUIET, "wrong", "an answer that no cache host made for it"),
@@ -241,8 +252,9 @@
 
 
 @pytest.mark.parametrize(("kind", "over", "rule", "what"), CASES, ids=lambda x: getattr(x, "__name__", None))
-def test_a_wrong_balancer_is_convicted_of_what_it_does(kind: type[Right], over: dict[str, Any], rule: str,
-                                                      what: str) -> None:
+def test_a_wrong_balancer_is_convicted_of_what_it_does(
+    kind: type[Right], over: dict[str, Any], rule: str, what: str
+) -> None:
     told = found(kind, over)
     assert told[rule, what] > 0
     assert {broken for broken, _ in told} == {rule}
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -15,8 +15,13 @@
     (folder / "test_x.py").write_text(tests)
     if lines:
         (folder / "KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
-    return subprocess.run([sys.executable, str(RUNNER), "-q", "-p", "no:cacheprovider"], cwd=folder, text=True,
-                          capture_output=True, timeout=60)
+    return subprocess.run(
+        [sys.executable, str(RUNNER), "-q", "-p", "no:cacheprovider"],
+        cwd=folder,
+        text=True,
+        capture_output=True,
+        timeout=60,
+    )
 
 
 def test_the_failing_of_those_it_names_is_passed_over_and_told(tmp_path: Path) -> None:
@@ -26,23 +31,36 @@
     assert "known red: test_x.py::test_worse: one is not two (issue 7)" in done.stdout
 
 
-@pytest.mark.parametrize(("lines", "said"), [
-    ((), "2 failed"), ((BAD,), "2 failed"),
-    ((BAD, WORSE, "test_x.py::test_good, never, 1"), "passes, and is to be taken off the list: test_x.py::test_good"),
-    ((BAD, WORSE, "test_x.py::test_gone, never, 1"), "no such test: test_x.py::test_gone"),
-])
+@pytest.mark.parametrize(
+    ("lines", "said"),
+    [
+        ((), "2 failed"),
+        ((BAD,), "2 failed"),
+        (
+            (BAD, WORSE, "test_x.py::test_good, never, 1"),
+            "passes, and is to be taken off the list: test_x.py::test_good",
+        ),
+        ((BAD, WORSE, "test_x.py::test_gone, never, 1"), "no such test: test_x.py::test_gone"),
+    ],
+)
 def test_all_other_failings_and_a_list_that_is_not_so_fail_the_run(
-        tmp_path: Path, lines: tuple[str, ...], said: str) -> None:
+    tmp_path: Path, lines: tuple[str, ...], said: str
+) -> None:
     done = run(tmp_path, *lines)
     assert done.returncode == 1 and said in done.stdout
 
 
-@pytest.mark.parametrize(("lines", "said"), [
-    ((BAD, WORSE, "a.py::b, c, 1", "a.py::d, e, 2"), "4 tests, at most 3"),
-    (("test_x.py::test_bad, no issue",), "not 'test, cause, issue'"), (("test_bad, a cause, 3",), "not 'test,"),
-    (("test_x.py::test_bad, a cause, three",), "not 'test,"), (("just words",), "not 'test,"),
-    ((BAD, BAD), "named twice"),
-])
+@pytest.mark.parametrize(
+    ("lines", "said"),
+    [
+        ((BAD, WORSE, "a.py::b, c, 1", "a.py::d, e, 2"), "4 tests, at most 3"),
+        (("test_x.py::test_bad, no issue",), "not 'test, cause, issue'"),
+        (("test_bad, a cause, 3",), "not 'test,"),
+        (("test_x.py::test_bad, a cause, three",), "not 'test,"),
+        (("just words",), "not 'test,"),
+        ((BAD, BAD), "named twice"),
+    ],
+)
 def test_a_list_that_can_not_be_read_fails_before_any_test(tmp_path: Path, lines: tuple[str, ...], said: str) -> None:
     done = run(tmp_path, *lines)
     assert done.returncode == 2 and said in done.stderr and not done.stdout
--- a/tests/test_laws.py
+++ b/tests/test_laws.py
@@ -15,16 +15,49 @@
 
 READ, ONCE, NOTE = 0, 2, 3
 SMALL: dict[str, Any] = {
-         "hosts": {"count": 2, "speed": [1.0, 1.0], "kept_at_start": 0.0, "queue": 4, "keep_bytes": 5000},
-         "origin": {"places": 2, "took_ms": [50.0, 50.0]}, "clients": {"keys": 50}}
-EVEN = [{"name": "clip", "kind": "idempotent", "share": 0.4, "revenue": 1.0, "work_ms": [10.0, 10.0],
-         "service_goal_ms": 300, "hard_limit_ms": 900},
-        {"name": "transcript", "kind": "idempotent", "share": 0.4, "revenue": 1.0, "work_ms": [10.0, 10.0],
-         "service_goal_ms": 300, "hard_limit_ms": 900},
-        {"name": "copy-order", "kind": "non-idempotent", "share": 0.1, "revenue": 5.0, "work_ms": [10.0, 10.0],
-         "service_goal_ms": 300, "hard_limit_ms": 900},
-        {"name": "note", "kind": "journalled", "share": 0.1, "revenue": 5.0, "work_ms": [10.0, 10.0],
-         "service_goal_ms": 300, "hard_limit_ms": 900, "memory_ms": 1000}]
+    "hosts": {"count": 2, "speed": [1.0, 1.0], "kept_at_start": 0.0, "queue": 4, "keep_bytes": 5000},
+    "origin": {"places": 2, "took_ms": [50.0, 50.0]},
+    "clients": {"keys": 50},
+}
+EVEN = [
+    {
+        "name": "clip",
+        "kind": "idempotent",
+        "share": 0.4,
+        "revenue": 1.0,
+        "work_ms": [10.0, 10.0],
+        "service_goal_ms": 300,
+        "hard_limit_ms": 900,
+    },
+    {
+        "name": "transcript",
+        "kind": "idempotent",
+        "share": 0.4,
+        "revenue": 1.0,
+        "work_ms": [10.0, 10.0],
+        "service_goal_ms": 300,
+        "hard_limit_ms": 900,
+    },
+    {
+        "name": "copy-order",
+        "kind": "non-idempotent",
+        "share": 0.1,
+        "revenue": 5.0,
+        "work_ms": [10.0, 10.0],
+        "service_goal_ms": 300,
+        "hard_limit_ms": 900,
+    },
+    {
+        "name": "note",
+        "kind": "journalled",
+        "share": 0.1,
+        "revenue": 5.0,
+        "work_ms": [10.0, 10.0],
+        "service_goal_ms": 300,
+        "hard_limit_ms": 900,
+        "memory_ms": 1000,
+    },
+]
 
 
 class Scene:
@@ -39,8 +72,9 @@
     def say(self, text: str) -> None:
         self.trace.append(f"{self.now / MS:7.1f} ms  {text}")
 
-    def ask(self, name: str, host: int = 0, profile: int = READ, key: str = "k", mark: str = "",
-            size: int = 1100) -> int:
+    def ask(
+        self, name: str, host: int = 0, profile: int = READ, key: str = "k", mark: str = "", size: int = 1100
+    ) -> int:
         write = profile >= ONCE
         self.say(f"host {host} is asked {name}: {'write' if write else 'read'} {key}{' mark ' + mark if mark else ''}")
         ticket = self.fleet.arrive(self.now, host, Ask(name, profile, write, key, mark, size))
@@ -188,8 +222,11 @@
     day = read_day("calm")
     clients = Clients(day, (), 1)
     arrivals = {a.profile: a for a in clients.arrivals()}
-    told = {(p, answer): clients.retry(arrivals[p], 1, arrivals[p].due + 50 * MS, answer, 0) is not None
-            for p in range(4) for answer in ("rolled-back", "abandoned", "closed")}
+    told = {
+        (p, answer): clients.retry(arrivals[p], 1, arrivals[p].due + 50 * MS, answer, 0) is not None
+        for p in range(4)
+        for answer in ("rolled-back", "abandoned", "closed")
+    }
     assert [told[p, "rolled-back"] for p in range(4)] == [True] * 4
     for answer in ("abandoned", "closed"):
         assert [told[p, answer] for p in range(4)] == [True, True, False, False]
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -21,7 +21,8 @@
 
 
 def test_a_hop_that_waits_for_its_dial_is_not_written_when_the_news_of_a_drain_broke_off(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     net = Net(hosts=1)
     client = net.client()
     client.feed(mg(1))
@@ -67,15 +68,24 @@
 
 
 def test_a_process_with_a_thousand_hosts_starts_within_its_memory_and_answers(tmp_path: Path) -> None:
-    members = [member(n % 250 + 1) | {"id": f"h{n}", "host_port": f"127.8.{n // 250}.{n % 250 + 1}:9"}
-               for n in range(MANY)]
+    members = [
+        member(n % 250 + 1) | {"id": f"h{n}", "host_port": f"127.8.{n // 250}.{n % 250 + 1}:9"} for n in range(MANY)
+    ]
     path = tmp_path / "told.json"
     limits = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
     known = {"revision": 1, "complete": True, "members": members}
-    path.write_bytes(orjson.dumps(TOLD | {"listen": free_place("127.0.0.1"), "discovery": "127.0.0.1:9",
-                                          "limits": limits, "known": known}))
-    process = subprocess.Popen([sys.executable, "-m", "ternquay.net"], cwd=ROOT, stderr=subprocess.PIPE, text=True,
-                               env={"EDGE_CONFIG": str(path), "PATH": "/usr/bin"})
+    path.write_bytes(
+        orjson.dumps(
+            TOLD | {"listen": free_place("127.0.0.1"), "discovery": "127.0.0.1:9", "limits": limits, "known": known}
+        )
+    )
+    process = subprocess.Popen(
+        [sys.executable, "-m", "ternquay.net"],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        text=True,
+        env={"EDGE_CONFIG": str(path), "PATH": "/usr/bin"},
+    )
     try:
         assert process.stderr is not None
         until = time.monotonic() + 20
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -41,13 +41,25 @@
         return ""
 
 
-@pytest.mark.parametrize(("call", "why", "status", "step"), [
-    (READY, "", 200, ""), (READY, "ending", 503, ""), (READY + "?x=1", "", 200, ""),
-    (OUT, "", 200, "out"), (BACK, "", 200, "in"), (BACK, "ending", 409, "in"),
-    ("POST /control/ready", "", 405, ""), ("GET /control/out-of-service", "", 405, ""),
-    ("GET /control/metrics", "", 200, ""), ("GET /control/events?x", "", 200, ""),
-    ("POST /control/metrics", "", 405, ""), ("GET /", "", 404, ""),
-    ("GET /control/ready/", "", 404, ""), ("GET " + "/" * 600, "", 414, "")])
+@pytest.mark.parametrize(
+    ("call", "why", "status", "step"),
+    [
+        (READY, "", 200, ""),
+        (READY, "ending", 503, ""),
+        (READY + "?x=1", "", 200, ""),
+        (OUT, "", 200, "out"),
+        (BACK, "", 200, "in"),
+        (BACK, "ending", 409, "in"),
+        ("POST /control/ready", "", 405, ""),
+        ("GET /control/out-of-service", "", 405, ""),
+        ("GET /control/metrics", "", 200, ""),
+        ("GET /control/events?x", "", 200, ""),
+        ("POST /control/metrics", "", 405, ""),
+        ("GET /", "", 404, ""),
+        ("GET /control/ready/", "", 404, ""),
+        ("GET " + "/" * 600, "", 414, ""),
+    ],
+)
 def test_each_call_has_one_answer(call: str, why: str, status: int, step: str) -> None:
     steps = Steps(why)
     assert answered(steps, *call.split(" "))[0] == status and steps.done[-1] == step
@@ -78,12 +90,21 @@
 def test_what_is_no_call_gets_an_answer_and_a_close(tmp_path: Path) -> None:
     at = free()
     with serving(told(free(), free(), management=f"127.0.0.1:{at}"), tmp_path) as process:
-        for text, status in ((b"nonsense\r\n\r\n", b"400"), (b"GET /" + b"x" * 9000, b"431"),
-                             (b"GET / HTTP/1.1\r\n" + b"a: b\r\n" * 80 + b"\r\n", b"400"),
-                             (b"GET / HTTP/1.1\r\nno colon\r\n\r\n", b"400"),
-                             (b"POST /control/in-service HTTP/1.1\r\ncontent-length: 99999\r\n\r\n", b"413"),
-                             (b"POST /control/in-service HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n"
-                              + b"400\r\n" + b"x" * 1024 + b"\r\n" + b"400\r\nxxx", b"413")):
+        for text, status in (
+            (b"nonsense\r\n\r\n", b"400"),
+            (b"GET /" + b"x" * 9000, b"431"),
+            (b"GET / HTTP/1.1\r\n" + b"a: b\r\n" * 80 + b"\r\n", b"400"),
+            (b"GET / HTTP/1.1\r\nno colon\r\n\r\n", b"400"),
+            (b"POST /control/in-service HTTP/1.1\r\ncontent-length: 99999\r\n\r\n", b"413"),
+            (
+                b"POST /control/in-service HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n"
+                + b"400\r\n"
+                + b"x" * 1024
+                + b"\r\n"
+                + b"400\r\nxxx",
+                b"413",
+            ),
+        ):
             assert talk(at, text).startswith(b"HTTP/1.1 " + status), text[:60]
         # A second call behind the first is not read.
         assert talk(at, b"GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n" * 2).count(b"HTTP/1.1") == 1
@@ -194,6 +215,7 @@
 
 def test_the_address_comes_from_the_file_or_else_the_environment(tmp_path: Path) -> None:
     import json
+
     path = tmp_path / "x.json"
 
     def launched(env: dict[str, str], **more: Any) -> Any:
--- a/tests/test_many_processes.py
+++ b/tests/test_many_processes.py
@@ -82,8 +82,12 @@
     def start(self) -> None:
         self.path.write_bytes(orjson.dumps(self.config))
         with open(self.log, "ab") as log:
-            self.process = subprocess.Popen([sys.executable, "-m", "ternquay.net"], cwd=ROOT, stderr=log,
-                                            env={"EDGE_CONFIG": str(self.path), "PATH": "/usr/bin"})
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", "ternquay.net"],
+                cwd=ROOT,
+                stderr=log,
+                env={"EDGE_CONFIG": str(self.path), "PATH": "/usr/bin"},
+            )
         self.began = time.monotonic()
         self.took = 0.0
 
@@ -127,8 +131,12 @@
     hosts = [Host() for _ in range(1 + WARM)]
     for host in hosts:
         await host.begin()
-    rules = {"ColdShare": COLD_SHARE, "WarmWithin": int(WARM_WITHIN * 1e6), "TipMultiple": TIP,
-             "Fall": int(WINDOW * 1e6)}
+    rules = {
+        "ColdShare": COLD_SHARE,
+        "WarmWithin": int(WARM_WITHIN * 1e6),
+        "TipMultiple": TIP,
+        "Fall": int(WINDOW * 1e6),
+    }
     members = [member(n) | {"host_port": f"127.0.0.1:{host.port}"} for n, host in enumerate(hosts)]
     config: dict[str, Any] = {
         "discovery": f"127.0.0.1:{free()}",  # down for all of it
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -51,9 +51,12 @@
     listed = {"revision": 1, "complete": True, "members": [member(1)]}
     discovery = Discovery(way, listed)
     await discovery.begin()
-    config = {"discovery": f"127.0.0.1:{discovery.port if way != 'down' else free()}", "known": listed,
-              "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 64},
-              "settings": FACTS | {"Balancers": MANY, "Discovery": mode}}
+    config = {
+        "discovery": f"127.0.0.1:{discovery.port if way != 'down' else free()}",
+        "known": listed,
+        "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 64},
+        "settings": FACTS | {"Balancers": MANY, "Discovery": mode},
+    }
     fleet = [Process(number, config, folder) for number in range(MANY)]
     try:
         for one in fleet:
--- a/tests/test_meta.py
+++ b/tests/test_meta.py
@@ -13,7 +13,7 @@
 
 
 def pieces(data: bytes, cut: int) -> list[bytes]:
-    return [data[at:at + cut] for at in range(0, len(data), cut)]
+    return [data[at : at + cut] for at in range(0, len(data), cut)]
 
 
 def client(data: bytes, cut: int) -> list[str]:
@@ -60,15 +60,31 @@
 
 
 BAD = [
-    b"get k1\r\n", b"\r\n", b"mg\r\n", b"mg " + b"k" * 251 + b" v " + ID + b" Pc=read,d=4\r\n",
+    b"get k1\r\n",
+    b"\r\n",
+    b"mg\r\n",
+    b"mg " + b"k" * 251 + b" v " + ID + b" Pc=read,d=4\r\n",
     b"mg k v Pc=read,d=4\r\n",
-    b"mg k v O Pc=read,d=4\r\n", b"mg k v O1\r\n", b"mg k v O1 Pread\r\n", b"mg k v O1 Pd=4\r\n",
-    b"mg k v O1 Pc=read\r\n", b"mg k v O1 Pc=read,d=-4\r\n", b"mg k v O1 Pc=read,d=0\r\n",
-    b"mg k v O1 Pc=read,d=4,d=5\r\n", b"mg k v O1 Pc=r\xff,d=4\r\n", b"ms k 5 O1\r\nhello\r\n",
-    b"ms k five O1 Pc=once,d=4\r\n", b"ms k 71 O1 Pc=once,d=4\r\n", b"ms k -1 O1 Pc=once,d=4\r\n",
-    b"ms k 5 O1 Pc=once,d=4\r\nhello!!\r\n", b"m" * 450,
-    b"mg k\x01 v O1 Pc=read,d=4\r\n", b"mg k v q O1 Pc=read,d=4\r\n", b"mg k O1 Pc=read,d=4\r\n",
-    b"mg k v O1 Pc=read,d=4,k=\x7f\r\n", b"ms k 5 v O1 Pc=once,d=4\r\nhello\r\n",
+    b"mg k v O Pc=read,d=4\r\n",
+    b"mg k v O1\r\n",
+    b"mg k v O1 Pread\r\n",
+    b"mg k v O1 Pd=4\r\n",
+    b"mg k v O1 Pc=read\r\n",
+    b"mg k v O1 Pc=read,d=-4\r\n",
+    b"mg k v O1 Pc=read,d=0\r\n",
+    b"mg k v O1 Pc=read,d=4,d=5\r\n",
+    b"mg k v O1 Pc=r\xff,d=4\r\n",
+    b"ms k 5 O1\r\nhello\r\n",
+    b"ms k five O1 Pc=once,d=4\r\n",
+    b"ms k 71 O1 Pc=once,d=4\r\n",
+    b"ms k -1 O1 Pc=once,d=4\r\n",
+    b"ms k 5 O1 Pc=once,d=4\r\nhello!!\r\n",
+    b"m" * 450,
+    b"mg k\x01 v O1 Pc=read,d=4\r\n",
+    b"mg k v q O1 Pc=read,d=4\r\n",
+    b"mg k O1 Pc=read,d=4\r\n",
+    b"mg k v O1 Pc=read,d=4,k=\x7f\r\n",
+    b"ms k 5 v O1 Pc=once,d=4\r\nhello\r\n",
 ]
 
 
@@ -82,8 +98,15 @@
 
 
 def test_answers_are_read_alike_however_they_are_cut() -> None:
-    data = (b"VA 2 " + ID + b" h0 Z\r\n\r\n\r\nSERVER_ERROR busy 30\r\nHD " + ID
-            + b" cabc\r\nSERVER_ERROR failed\r\nVA 0 " + ID + b"\r\n\r\n")
+    data = (
+        b"VA 2 "
+        + ID
+        + b" h0 Z\r\n\r\n\r\nSERVER_ERROR busy 30\r\nHD "
+        + ID
+        + b" cabc\r\nSERVER_ERROR failed\r\nVA 0 "
+        + ID
+        + b"\r\n\r\n"
+    )
     asked = (READ, READ, WRITE, WRITE, READ)
     assert len({tuple(host(data, cut, *asked)) for cut in CUTS}) == 1
     same("net_answers", host(data, 7, *asked))
@@ -91,9 +114,18 @@
 
 def test_what_is_no_answer_is_a_fault_after_the_whole_answers_before_it() -> None:
     whole, trace = b"VA 1 " + ID + b" h1\r\nx\r\n", []
-    for bad in (b"EN\r\n", b"HD " + ID + b" c1\r\n", b"VA 1 O2\r\nx\r\n", b"VA 99 " + ID + b"\r\n", b"\r\n",
-                b"VA x " + ID + b"\r\n", b"VA 1 " + ID + b"\r\nxyz\r\n", b"CLIENT_ERROR no\r\n", b"V" * 250,
-                whole + b"more\r\n"):
+    for bad in (
+        b"EN\r\n",
+        b"HD " + ID + b" c1\r\n",
+        b"VA 1 O2\r\nx\r\n",
+        b"VA 99 " + ID + b"\r\n",
+        b"\r\n",
+        b"VA x " + ID + b"\r\n",
+        b"VA 1 " + ID + b"\r\nxyz\r\n",
+        b"CLIENT_ERROR no\r\n",
+        b"V" * 250,
+        whole + b"more\r\n",
+    ):
         said = {tuple(host(whole + bad, cut, READ, READ)) for cut in CUTS}
         assert len(said) == 1
         trace += [f"{bad[:60]!r}", *(f"    {x}" for x in said.pop())]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -264,8 +264,7 @@
     net.matches("net_held")
 
 
-def test_a_transaction_that_the_decisions_forget_is_answered_by_its_hard_limit(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_transaction_that_the_decisions_forget_is_answered_by_its_hard_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     net = Net()
     client = net.client()
     monkeypatch.setattr(net.door.balancer, "decide", lambda now, event: [])
@@ -370,7 +369,10 @@
     net = Net()
     watch = Discovery(net.reactor, net.door, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
     odd: tuple[Any, ...] = (
-        None, [], {}, {"revision": 1, "complete": True, "members": [member(1), member(2, "odd")]},
+        None,
+        [],
+        {},
+        {"revision": 1, "complete": True, "members": [member(1), member(2, "odd")]},
         {"revision": "x", "complete": True, "members": []},
         {"revision": 1, "complete": True, "members": [member(1) | {"host_port": "nowhere"}]},
     )
@@ -409,7 +411,8 @@
 
 
 def test_the_list_is_watched_without_a_gap_and_a_failed_call_of_any_kind_is_told(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     net = Net()
     agent = Agent(net)
     calls = agent.calls
@@ -438,18 +441,34 @@
     net.matches("net_discovery")
 
 
-TOLD = {"name": "n1", "listen": "127.0.0.1:4000", "discovery": "127.0.0.1:8500", "seed": "ff",
-        "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 128}, "settings": FACTS,
-        "known": {"revision": 1, "complete": True, "members": [member(1, since=5)]}}
-
-
-@pytest.mark.parametrize(("change", "named"), [
-    ({"listen": "here"}, "listen"), ({"listen": None}, "listen"), ({"discovery": "h:99999"}, "discovery"),
-    ({"seed": "zz"}, "seed"), ({"limits": {"memory_mb": 96}}, "limits.sockets"), ({"limits": 3}, "limits"),
-    ({"limits": {"memory_mb": "x", "sockets": 128}}, "limits.memory_mb"), ({"settings": None}, "settings"),
-    ({"settings": {}}, "settings: Limits"), ({"settings": FACTS | {"Profiles": 5}}, "settings"),
-    ({"known": None}, "known"), ({"known": {}}, "known.members"),
-])
+TOLD = {
+    "name": "n1",
+    "listen": "127.0.0.1:4000",
+    "discovery": "127.0.0.1:8500",
+    "seed": "ff",
+    "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 128},
+    "settings": FACTS,
+    "known": {"revision": 1, "complete": True, "members": [member(1, since=5)]},
+}
+
+
+@pytest.mark.parametrize(
+    ("change", "named"),
+    [
+        ({"listen": "here"}, "listen"),
+        ({"listen": None}, "listen"),
+        ({"discovery": "h:99999"}, "discovery"),
+        ({"seed": "zz"}, "seed"),
+        ({"limits": {"memory_mb": 96}}, "limits.sockets"),
+        ({"limits": 3}, "limits"),
+        ({"limits": {"memory_mb": "x", "sockets": 128}}, "limits.memory_mb"),
+        ({"settings": None}, "settings"),
+        ({"settings": {}}, "settings: Limits"),
+        ({"settings": FACTS | {"Profiles": 5}}, "settings"),
+        ({"known": None}, "known"),
+        ({"known": {}}, "known.members"),
+    ],
+)
 def test_a_bad_configuration_is_named(tmp_path: Path, change: dict[str, Any], named: str) -> None:
     path = tmp_path / "told.json"
     path.write_bytes(orjson.dumps(TOLD | change))
@@ -473,7 +492,8 @@
 
 
 def test_a_new_configuration_moves_the_watch_and_a_bad_one_changes_nothing(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     path = tmp_path / "told.json"
     path.write_bytes(orjson.dumps(TOLD))
     net = Net()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -32,11 +32,12 @@
     assert dropped(b"") == dropped(text[:DIGEST]) == dropped(b"x" * (FRAME_MOST + 1)) == "size"
     assert dropped(sealed(msgspec.structs.replace(FRAME, version=2), KEY)) == "version"
     for at in range(len(text)):
-        assert dropped(text[:at] + bytes([text[at] ^ 1]) + text[at + 1:]) == "digest"
+        assert dropped(text[:at] + bytes([text[at] ^ 1]) + text[at + 1 :]) == "digest"
 
 
 def test_what_has_a_digest_and_is_no_frame_ends_nothing() -> None:
     import hmac
+
     drawn = Random(3)
     for n in range(300):
         body = drawn.randbytes(drawn.randrange(1, 60)) if n % 2 else msgspec.msgpack.encode([1, "f", n, {}])
@@ -94,28 +95,33 @@
     assert two.heard("b", "db", 4) is None and "a and b each have a registry" in two.conflict
 
 
-MEMBERS = "".join(f'[[peers.members]]\nname = "{name}"\nplace = "127.0.0.1:{n}"\n'
-                  for n, name in enumerate("abc", 9001))
+MEMBERS = "".join(
+    f'[[peers.members]]\nname = "{name}"\nplace = "127.0.0.1:{n}"\n' for n, name in enumerate("abc", 9001)
+)
 HEAD = '[store]\npath = "r.db"\n[peers]\nfleet = "f"\nme = "a"\nkey_file = "key"\n'
 
 
-@pytest.mark.parametrize(("text", "field"), [
-    (HEAD.replace('"a"', '"x"') + MEMBERS, "peers.me"),
-    (HEAD + MEMBERS + MEMBERS, r"peers.members\[3\].name"),
-    (HEAD + MEMBERS + '[[peers.members]]\nname = "d"\nplace = "127.0.0.1:9001"\n', r"peers.members\[3\].place"),
-    (HEAD + MEMBERS.replace("9002", "99999"), r"peers.members\[1\].place"),
-    (HEAD + 'alone = "guess"\n' + MEMBERS, "peers.alone"),
-    (HEAD + "lease_ms = 1\n" + MEMBERS, "peers.lease_ms"),
-    (HEAD + "colour = 1\n" + MEMBERS, "peers"),
-    (HEAD + 'address = "here"\n' + MEMBERS, "peers.address"),
-    (HEAD.replace('"key"', '"none"') + MEMBERS, "peers.key_file"),
-    (HEAD.replace('"key"', '"short"') + MEMBERS, "peers.key_file"),
-    (HEAD.partition("[peers]")[1] + HEAD.partition("[peers]")[2] + MEMBERS, "peers: a store"),
-    ("[process]\nbalancers = 3\n" + HEAD + MEMBERS, "process.balancers"),
-    (HEAD, "peers: .*members"),
-])
+@pytest.mark.parametrize(
+    ("text", "field"),
+    [
+        (HEAD.replace('"a"', '"x"') + MEMBERS, "peers.me"),
+        (HEAD + MEMBERS + MEMBERS, r"peers.members\[3\].name"),
+        (HEAD + MEMBERS + '[[peers.members]]\nname = "d"\nplace = "127.0.0.1:9001"\n', r"peers.members\[3\].place"),
+        (HEAD + MEMBERS.replace("9002", "99999"), r"peers.members\[1\].place"),
+        (HEAD + 'alone = "guess"\n' + MEMBERS, "peers.alone"),
+        (HEAD + "lease_ms = 1\n" + MEMBERS, "peers.lease_ms"),
+        (HEAD + "colour = 1\n" + MEMBERS, "peers"),
+        (HEAD + 'address = "here"\n' + MEMBERS, "peers.address"),
+        (HEAD.replace('"key"', '"none"') + MEMBERS, "peers.key_file"),
+        (HEAD.replace('"key"', '"short"') + MEMBERS, "peers.key_file"),
+        (HEAD.partition("[peers]")[1] + HEAD.partition("[peers]")[2] + MEMBERS, "peers: a store"),
+        ("[process]\nbalancers = 3\n" + HEAD + MEMBERS, "process.balancers"),
+        (HEAD, "peers: .*members"),
+    ],
+)
 def test_what_the_file_says_of_peers_and_can_not_be_used_is_told_by_its_field(
-        text: str, field: str, tmp_path: Path) -> None:
+    text: str, field: str, tmp_path: Path
+) -> None:
     (tmp_path / "key").write_bytes(KEY)
     (tmp_path / "short").write_bytes(b"k" * 15)
     file = tmp_path / "service.toml"
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -39,10 +39,19 @@
 
 
 def tenant(name: str, number: int = 1, **terms: Any) -> Tenant:
-    return replace(Tenant(
-        name, (Place("127.0.0.1", 7000 + number),), (Server("one", Place(f"127.0.1.{number}", 11211)),),
-        (NamedProfile("read", READ), NamedProfile("mark", MARKED)), RuleFigures(S // 2, 0.2, 20 * S, 4.0, S), LIMITS,
-        (Share("school", 5.0),), (Key("main", bytes([number]) * 32, Scope.ADMINISTRATOR, 1),)), **terms)
+    return replace(
+        Tenant(
+            name,
+            (Place("127.0.0.1", 7000 + number),),
+            (Server("one", Place(f"127.0.1.{number}", 11211)),),
+            (NamedProfile("read", READ), NamedProfile("mark", MARKED)),
+            RuleFigures(S // 2, 0.2, 20 * S, 4.0, S),
+            LIMITS,
+            (Share("school", 5.0),),
+            (Key("main", bytes([number]) * 32, Scope.ADMINISTRATOR, 1),),
+        ),
+        **terms,
+    )
 
 
 def made(*tenants: Tenant) -> Registry:
@@ -56,8 +65,13 @@
     registry = made(tenant("sur"), tenant("norte", 2))
     seen = [registry.version]
     first = registry.tenants["sur"].incarnation
-    for change in (SetState("sur", State.SUSPENDED), SetState("sur", State.ACTIVE), SetState("sur", State.ENDING),
-                   Remove("sur"), Make(tenant("sur"))):
+    for change in (
+        SetState("sur", State.SUSPENDED),
+        SetState("sur", State.ACTIVE),
+        SetState("sur", State.ENDING),
+        Remove("sur"),
+        Make(tenant("sur")),
+    ):
         registry = registry.changed(change)
         seen.append(registry.version)
     assert seen == [2, 3, 4, 5, 6, 7]
--- a/tests/test_review_gaps.py
+++ b/tests/test_review_gaps.py
@@ -65,9 +65,14 @@
     def convicted(came: int) -> bool:
         hop = records.Hop("t1", "", 0, False, 3, "h-3-1", came, came + MS)
         case: Any = SimpleNamespace(
-            day=day, slack=day.rules.slack_ms * MS, tries=[SimpleNamespace(id="t1", balancer=0)], hops={"t1": [hop]},
+            day=day,
+            slack=day.rules.slack_ms * MS,
+            tries=[SimpleNamespace(id="t1", balancer=0)],
+            hops={"t1": [hop]},
             saw=SimpleNamespace(fleet=SimpleNamespace(told=[records.Told(0, told, "h-3-1", "draining")])),
-            known=lambda told: told.at, life_at=lambda balancer, at: SimpleNamespace(started=0))
+            known=lambda told: told.at,
+            life_at=lambda balancer, at: SimpleNamespace(started=0),
+        )
         return bool(list(_drains(case)))
 
     assert [convicted(told + grace + ms * MS) for ms in (-200, -1, 1, 200)] == [False, False, True, True]
@@ -95,8 +100,26 @@
         api.daemon_threads = True
         Thread(target=api.serve_forever, daemon=True).start()
         done = subprocess.run(
-            [sys.executable, "-X", "dev", "-m", "ternquay", "admin", "--url", f"http://127.0.0.1:{api.server_port}",
-             "--token", "x", "tenants", "show", "nobody"],
-            cwd=Path(__file__).parents[1], capture_output=True, text=True, timeout=60, check=False)
+            [
+                sys.executable,
+                "-X",
+                "dev",
+                "-m",
+                "ternquay",
+                "admin",
+                "--url",
+                f"http://127.0.0.1:{api.server_port}",
+                "--token",
+                "x",
+                "tenants",
+                "show",
+                "nobody",
+            ],
+            cwd=Path(__file__).parents[1],
+            capture_output=True,
+            text=True,
+            timeout=60,
+            check=False,
+        )
         api.shutdown()
     assert (done.returncode, done.stderr.count("\n")) == (4, 1), done.stderr
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -38,11 +38,16 @@
 
 
 ODD_FACTS: list[tuple[dict[str, Any], str]] = [
-    (settings(Balancers=0), "settings: Balancers"), (settings(Balancers=-2), "settings: Balancers"),
-    (settings(Balancers="2"), "settings: Balancers"), (settings(MyNumber=-1), "settings: MyNumber"),
-    (settings(Profiles=[]), "settings: Profiles"), (profile(HardLimit=0), "settings: Profiles[0].HardLimit"),
-    (profile(HardLimit=1e300), "settings: Profiles[0].HardLimit"), (profile(ServiceGoal=-5), "Profiles[0].ServiceGoal"),
-    (profile(Semantics="often"), "settings: Profiles[0].Semantics"), (profile(Name=7), "settings: Profiles[0].Name"),
+    (settings(Balancers=0), "settings: Balancers"),
+    (settings(Balancers=-2), "settings: Balancers"),
+    (settings(Balancers="2"), "settings: Balancers"),
+    (settings(MyNumber=-1), "settings: MyNumber"),
+    (settings(Profiles=[]), "settings: Profiles"),
+    (profile(HardLimit=0), "settings: Profiles[0].HardLimit"),
+    (profile(HardLimit=1e300), "settings: Profiles[0].HardLimit"),
+    (profile(ServiceGoal=-5), "Profiles[0].ServiceGoal"),
+    (profile(Semantics="often"), "settings: Profiles[0].Semantics"),
+    (profile(Name=7), "settings: Profiles[0].Name"),
     (profile(OverdueRevenue="x"), "settings: Profiles[0].OverdueRevenue"),
     (settings(Profiles=[FACTS["Profiles"][0]] * 2), "settings: Profiles[1].Name"),
     (settings(Invariants=FACTS["Invariants"] | {"ColdShare": "x"}), "settings: Invariants.ColdShare"),
@@ -51,19 +56,23 @@
     (settings(Limits=FACTS["Limits"] | {"MostHops": 0}), "settings: Limits.MostHops"),
     (settings(Limits=FACTS["Limits"] | {"ConnIdle": 10**30}), "settings: Limits.ConnIdle"),
     (settings(Tenants=[{"Name": "t", "QuotaPerS": -1}]), "settings: Tenants[0].QuotaPerS"),
-    (settings(Weights="heavy"), "settings: Weights"), (settings(Zone="nowhere"), "settings: Zone"),
+    (settings(Weights="heavy"), "settings: Weights"),
+    (settings(Zone="nowhere"), "settings: Zone"),
     (settings(LoadReport={"Source": "gossip"}), "settings: LoadReport.Source"),
     (settings(LoadReport={"Source": "answers", "Names": ["a", "a"]}), "settings: LoadReport.Names"),
     (settings(Prices={"CrossZone": -1}), "settings: Prices.CrossZone"),
     (settings(Goal={"TailSlack": 2}), "settings: Goal.TailSlack"),
-    ({"listen": "127.0.0.1:\u00b2"}, "listen"), ({"listen": "127.0.0.1:" + "9" * 5000}, "listen"),
-    ({"listen": "a\0b:80"}, "listen"), ({"discovery": "somewhere.test:80"}, "discovery"),
+    ({"listen": "127.0.0.1:\u00b2"}, "listen"),
+    ({"listen": "127.0.0.1:" + "9" * 5000}, "listen"),
+    ({"listen": "a\0b:80"}, "listen"),
+    ({"discovery": "somewhere.test:80"}, "discovery"),
     ({"limits": {"memory_mb": 96, "sockets": 10**400}}, "EDGE_CONFIG"),
 ]
 ODD_LISTS: list[tuple[dict[str, Any], str]] = [
     (known(member(1), member(2) | {"id": "h1"}), "known.members[1].id"),
     (known(member(1) | {"id": ""}), "known.members[0].id"),
-    (known(member(1) | {"id": None}), "known.members[0].id"), (known(member(1, "odd")), "known.members[0].phase"),
+    (known(member(1) | {"id": None}), "known.members[0].id"),
+    (known(member(1, "odd")), "known.members[0].phase"),
     (known(member(1) | {"phase": []}), "known.members[0].phase"),
     (known(member(1) | {"size": -1.0}), "known.members[0].size"),
     (known(member(1) | {"size": 1e300}), "known.members[0].size"),
@@ -72,9 +81,12 @@
     (known(member(1) | {"up_since_ms": 1e308}), "known.members[0].up_since_ms"),
     (known(member(1) | {"up_since_ms": -1}), "known.members[0].up_since_ms"),
     (known(member(1) | {"host_port": "10.0.0.1:\u00b2"}), "known.members[0].host_port"),
-    (known(member(1) | {"host_port": "a.name:80"}), "known.members[0].host_port"), (known(5), "known.members[0]"),  # type: ignore[arg-type]
-    (known(revision=-1), "known.revision"), (known(revision=1e300), "known.revision"),
-    (known(complete="false"), "known.complete"), (known(members={}), "known.members"),
+    (known(member(1) | {"host_port": "a.name:80"}), "known.members[0].host_port"),
+    (known(5), "known.members[0]"),  # type: ignore[arg-type]
+    (known(revision=-1), "known.revision"),
+    (known(revision=1e300), "known.revision"),
+    (known(complete="false"), "known.complete"),
+    (known(members={}), "known.members"),
 ]
 
 
@@ -95,8 +107,14 @@
             read_launch(str(path), {})
         assert str(told.value).startswith("EDGE_CONFIG: ") and "\n" not in str(told.value)
     path.write_bytes(whole[:-9])
-    done = subprocess.run([sys.executable, "-m", "ternquay", "serve", "--config", str(path)], cwd=ROOT,
-                          capture_output=True, text=True, timeout=30, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "ternquay", "serve", "--config", str(path)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=30,
+        check=False,
+    )
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and "EDGE_CONFIG" in done.stderr
 
 
@@ -112,7 +130,8 @@
 
 
 def test_while_it_serves_a_bad_file_changes_nothing_and_open_ones_are_answered(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     net, path, lines = Net(), tmp_path / "told.json", []
     service, agent = started(net, path, monkeypatch)
     handler = logger.add(lambda text: lines.append(str(text)), format="{level} {message}")
@@ -135,7 +154,8 @@
 
 
 def test_two_reloads_at_once_and_a_discovery_that_never_answers_leave_what_is_in_force(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     net, path = Net(), tmp_path / "told.json"
     service, agent = started(net, path, monkeypatch)
     path.write_bytes(orjson.dumps(TOLD | {"discovery": "127.0.0.1:8600"}))
@@ -167,8 +187,7 @@
 
 
 def told(revision: int, *members: Any, complete: Any = True) -> Response:
-    return Response(200, json.dumps(
-        {"revision": revision, "complete": complete, "members": list(members)}).encode())
+    return Response(200, json.dumps({"revision": revision, "complete": complete, "members": list(members)}).encode())
 
 
 def until_asked(net: Net, agent: Agent, many: int) -> None:
@@ -181,7 +200,8 @@
 
 @pytest.mark.parametrize(("change", "named"), ODD_LISTS)
 def test_a_bad_list_is_named_changes_nothing_and_the_next_one_mends_it(
-        monkeypatch: pytest.MonkeyPatch, change: dict[str, Any], named: str) -> None:
+    monkeypatch: pytest.MonkeyPatch, change: dict[str, Any], named: str
+) -> None:
     net, lines = Net(), []
     handler = logger.add(lambda text: lines.append(str(text)), format="{level} {message}")
     _, agent = followed(net, monkeypatch)
@@ -202,7 +222,8 @@
 
 
 def test_an_older_revision_changes_nothing_and_a_discovery_that_went_back_is_believed_when_asked_anew(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     net = Net()
     watch, agent = followed(net, monkeypatch)
     agent.calls[0].callback(told(9, member(1), member(2)))
@@ -280,8 +301,9 @@
         out.append(play.arrive(f"k{n % 90}"))
         if n % 97 == 0:
             drains = n // 97 % 4
-            play.list(*(line(h, m.Standing.DRAINING if h == drains else m.Standing.READY) for h in range(4)),
-                      whole=True)
+            play.list(
+                *(line(h, m.Standing.DRAINING if h == drains else m.Standing.READY) for h in range(4)), whole=True
+            )
         if len(out) > 6:
             play.end(out.pop(0), m.End.DONE)
     for tx in out:
--- a/tests/test_review_links.py
+++ b/tests/test_review_links.py
@@ -248,9 +248,15 @@
 
 
 def told(listen: int, discovery: int, **more: Any) -> dict[str, Any]:
-    return {"name": "n1", "listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{discovery}", "seed": "ff",
-            "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 128}, "settings": FACTS | {"Discovery": "pushed"},
-            "known": {"revision": 1, "complete": True, "members": [member(1)]}} | more
+    return {
+        "name": "n1",
+        "listen": f"127.0.0.1:{listen}",
+        "discovery": f"127.0.0.1:{discovery}",
+        "seed": "ff",
+        "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 128},
+        "settings": FACTS | {"Discovery": "pushed"},
+        "known": {"revision": 1, "complete": True, "members": [member(1)]},
+    } | more
 
 
 class Endless(threading.Thread):
@@ -288,8 +294,11 @@
     path.write_text(json.dumps(config))
     with open(folder / "log", "wb") as log:
         process = subprocess.Popen(
-            [sys.executable, "-m", "ternquay", "serve", "--config", str(path)], cwd=ROOT, stderr=log,
-            preexec_fn=(lambda: setrlimit(RLIMIT_NOFILE, (files, files))) if files else None)
+            [sys.executable, "-m", "ternquay", "serve", "--config", str(path)],
+            cwd=ROOT,
+            stderr=log,
+            preexec_fn=(lambda: setrlimit(RLIMIT_NOFILE, (files, files))) if files else None,
+        )
     try:
         until(lambda: b"serves on" in (folder / "log").read_bytes() or process.poll() is not None)
         yield process
@@ -309,8 +318,13 @@
     return int(free_place("127.0.0.1").rpartition(":")[2])
 
 
-@pytest.mark.parametrize("head", [b"HTTP/1.1 503 no\r\nContent-Length: 1000000\r\n\r\nabc",
-                                  b"HTTP/1.1 200 OK\r\nContent-Length: 90000000\r\n\r\n" + b" " * (9 << 20)])
+@pytest.mark.parametrize(
+    "head",
+    [
+        b"HTTP/1.1 503 no\r\nContent-Length: 1000000\r\n\r\nabc",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 90000000\r\n\r\n" + b" " * (9 << 20),
+    ],
+)
 def test_a_discovery_that_never_ends_its_answer_costs_no_socket_a_call(tmp_path: Path, head: bytes) -> None:
     discovery = Endless(head)
     with serving(told(free(), discovery.port), tmp_path) as process:
--- a/tests/test_review_step.py
+++ b/tests/test_review_step.py
@@ -25,8 +25,9 @@
     def __init__(self, seeds: Any = range, **terms: Any) -> None:
         self.now, self.order, self.number = T0, 0, 0
         self.events: list[tuple[int, int, int, m.Event]] = []
-        self.balancers = [Balancer(replace(START, seed=seed, balancers=MANY, number=n, **terms))
-                          for n, seed in enumerate(seeds(MANY))]
+        self.balancers = [
+            Balancer(replace(START, seed=seed, balancers=MANY, number=n, **terms)) for n, seed in enumerate(seeds(MANY))
+        ]
         self.sent: list[tuple[int, int, int]] = []  # when, by whom, where
         self.backs: list[int] = []  # when a client that was rolled back comes again
         lines = tuple(m.Listed(h, f"h{h}", 0, 0, 0, m.Standing.READY, 1.0, 0) for h in range(HOSTS))
@@ -40,6 +41,7 @@
 
     def at(self, when: int, who: int, event: m.Event) -> None:
         from heapq import heappush
+
         self.order += 1
         heappush(self.events, (when, self.order, who, event))
 
@@ -68,6 +70,7 @@
 
     def run(self, seconds: float) -> None:
         from heapq import heappop
+
         until = T0 + int(seconds * SECOND)
         while self.events and self.events[0][0] <= until:
             self.now, _, who, event = heappop(self.events)
@@ -95,8 +98,9 @@
     fleet.load(8.0, 40, 3000, skew)
     fleet.run(8.0)
     before = [[at for at, _, host in fleet.sent if host == h and at < T0 + began] for h in range(HOSTS)]
-    after = [[at for at, _, host in fleet.sent if host == h and T0 + began <= at < T0 + began + SECOND]
-             for h in range(HOSTS)]
+    after = [
+        [at for at, _, host in fleet.sent if host == h and T0 + began <= at < T0 + began + SECOND] for h in range(HOSTS)
+    ]
     rise = {h: len(after[h]) - len(before[h]) * SECOND / began for h in range(HOSTS) if h != failing}
     lost = len(before[failing]) * SECOND / began
     assert max(rise.values()) < part * lost, (rise, lost)
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -173,7 +173,8 @@
 
 
 def test_a_change_that_raises_leaves_the_others_and_is_made_up_for_by_the_next(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     one = listening("sur")
     host = hosts(Registry().changed(Make(one)), tmp_path)
     host.begin()
@@ -285,8 +286,14 @@
     token = answer(one, call("POST", "/v1/tenants/sur/keys", {"name": "k", "scope": "administrator"})).body["token"]
     held, replies = held_store(one), []
     one.call(call("DELETE", "/v1/tenants/sur/keys/k", None)).addCallback(lambda reply: replies.append(reply.status))
-    mine = Call("PUT", "/v1/tenants/sur/servers", {}, {
-        "authorization": f"Bearer {token}", "if-match": "*", "idempotency-key": "mine"}, b'{"servers": []}', "::1")
+    mine = Call(
+        "PUT",
+        "/v1/tenants/sur/servers",
+        {},
+        {"authorization": f"Bearer {token}", "if-match": "*", "idempotency-key": "mine"},
+        b'{"servers": []}',
+        "::1",
+    )
     one.call(mine).addCallback(lambda reply: replies.append(reply.status))
     while held:
         held.pop(0).callback(None)
@@ -295,8 +302,10 @@
 
 # ---- the operators' file ----
 
-TENANT = ('[[tenants]]\nname = "{}"\nlisteners = ["{}"]\n[[tenants.servers]]\nname = "h"\nplace = "10.0.0.1:80"\n'
-          '[[tenants.profiles]]\nname = "read"\nkind = "idempotent"\nservice_goal_ms = 300\nhard_limit_ms = 900\n')
+TENANT = (
+    '[[tenants]]\nname = "{}"\nlisteners = ["{}"]\n[[tenants.servers]]\nname = "h"\nplace = "10.0.0.1:80"\n'
+    '[[tenants.profiles]]\nname = "read"\nkind = "idempotent"\nservice_goal_ms = 300\nhard_limit_ms = 900\n'
+)
 
 
 def test_an_operators_file_cut_off_anywhere_is_not_used(tmp_path: Path) -> None:
@@ -348,6 +357,7 @@
 
 def test_a_plan_is_not_made_of_a_file_that_is_cut_off(tmp_path: Path) -> None:
     from ternquay.hosted.administration.admin import wanted
+
     file = tmp_path / "tenants.toml"
     file.write_text(TENANT.format("uno", "127.0.0.1:7001"))
     with pytest.raises(ServiceError, match="end"):
@@ -393,17 +403,41 @@
 
 
 WRITE = b"ms k 2 Ow%d Pc=once,d=800,k=77\r\nhi\r\n"
-POINTS = ("taken, and no hop written", "a hop is written", "half an answer has come", "the answer is being written",
-          "told to end, with one open", "told to read its file again, with one open")
+POINTS = (
+    "taken, and no hop written",
+    "a hop is written",
+    "half an answer has come",
+    "the answer is being written",
+    "told to end, with one open",
+    "told to read its file again, with one open",
+)
 
 
 @pytest.mark.parametrize("point", POINTS)
 def test_killed_at_any_point_it_comes_up_again_at_once_and_sends_nothing_of_its_last_life(
-        tmp_path: Path, point: str) -> None:
+    tmp_path: Path, point: str
+) -> None:
     host, listen = Slow(), free()
-    config = told(listen, free(), known={"revision": 1, "complete": True, "members": [
-        {"id": "h1", "host_port": f"127.0.0.1:{host.port}", "locality": "a", "flavor": "k", "cell": 0, "phase": "up",
-         "size": 1.0, "up_since_ms": 0}]})
+    config = told(
+        listen,
+        free(),
+        known={
+            "revision": 1,
+            "complete": True,
+            "members": [
+                {
+                    "id": "h1",
+                    "host_port": f"127.0.0.1:{host.port}",
+                    "locality": "a",
+                    "flavor": "k",
+                    "cell": 0,
+                    "phase": "up",
+                    "size": 1.0,
+                    "up_since_ms": 0,
+                }
+            ],
+        },
+    )
     if point == POINTS[0]:
         config["known"]["members"][0]["host_port"] = "127.0.0.1:1"  # refused: the hop never ran
     host.part = 0.0 if point in POINTS[1:2] + POINTS[4:] else 0.5 if point == POINTS[2] else 1.0
@@ -442,9 +476,26 @@
 def test_told_to_end_twice_and_to_read_its_file_meanwhile_it_answers_what_it_took_and_ends_once(tmp_path: Path) -> None:
     host, listen = Slow(), free()
     host.part = 0.0
-    config = told(listen, free(), known={"revision": 1, "complete": True, "members": [
-        {"id": "h1", "host_port": f"127.0.0.1:{host.port}", "locality": "a", "flavor": "k", "cell": 0, "phase": "up",
-         "size": 1.0, "up_since_ms": 0}]})
+    config = told(
+        listen,
+        free(),
+        known={
+            "revision": 1,
+            "complete": True,
+            "members": [
+                {
+                    "id": "h1",
+                    "host_port": f"127.0.0.1:{host.port}",
+                    "locality": "a",
+                    "flavor": "k",
+                    "cell": 0,
+                    "phase": "up",
+                    "size": 1.0,
+                    "up_since_ms": 0,
+                }
+            ],
+        },
+    )
     with serving(config, tmp_path) as process, socket.create_connection(("127.0.0.1", listen)) as client:
         client.settimeout(5)
         client.sendall(WRITE % 0)
@@ -460,8 +511,14 @@
 def test_a_second_service_does_not_start_on_a_store_that_is_in_use(tmp_path: Path) -> None:
     one = Hosted(tmp_path).start()
     try:
-        done = subprocess.run([sys.executable, "-m", "ternquay", "host", "--config", str(one.file)], cwd=ROOT,
-                              capture_output=True, text=True, timeout=30, check=False)
+        done = subprocess.run(
+            [sys.executable, "-m", "ternquay", "host", "--config", str(one.file)],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=30,
+            check=False,
+        )
         assert done.returncode == 2 and "locked" in done.stderr and done.stderr.strip().count("\n") == 0
         assert one.call("GET", "/v1/tenants").status == 200
     finally:
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -33,11 +33,34 @@
 from ternquay.rig.virtual import World
 from tests.test_judge import QUIET, Right
 
-DAYS = {"calm", "slow-origin", "silent-host", "crash-fifth", "rolling-release", "hot-key", "burst", "discovery-down",
-        "stale-list", "garbling", "resets", "balancer-killed", "planned-restarts", "reload", "all-together", "tenants",
-        "tenants-changes", "tenants-shared-cold", "two-shapes", "drain-silent",
-        "agree-crash", "agree-partition", "agree-slow", "agree-restart", "clock-steps",
-        "system-calls"}
+DAYS = {
+    "calm",
+    "slow-origin",
+    "silent-host",
+    "crash-fifth",
+    "rolling-release",
+    "hot-key",
+    "burst",
+    "discovery-down",
+    "stale-list",
+    "garbling",
+    "resets",
+    "balancer-killed",
+    "planned-restarts",
+    "reload",
+    "all-together",
+    "tenants",
+    "tenants-changes",
+    "tenants-shared-cold",
+    "two-shapes",
+    "drain-silent",
+    "agree-crash",
+    "agree-partition",
+    "agree-slow",
+    "agree-restart",
+    "clock-steps",
+    "system-calls",
+}
 
 
 def rig(*words: str) -> tuple[int, str]:
@@ -110,14 +133,24 @@
     for cut in (1, 2, 7, 200):
         reader, found = CommandReader(), []
         for at in range(0, len(text), cut):
-            found += reader.feed(at, text[at: at + cut])
+            found += reader.feed(at, text[at : at + cut])
         assert [(c.id, c.key, c.write, c.mark, c.wait_ms) for c in found] == [
-            ("a1", "k1", False, "", 900), ("b2", "k2", True, "m7", 50), ("c3", "k3", False, "", 1)]
+            ("a1", "k1", False, "", 900),
+            ("b2", "k2", True, "m7", 50),
+            ("c3", "k3", False, "", 1),
+        ]
         if cut == 1:
             assert [c.came for c in found] == [0, 27, 65]
-    for bad in (b"get k\r\n", b"mg k v Oa\r\n", b"mg k v Oa Pc=clip\r\n", b"mg k v Oa Pc=clip,d=0\r\n",
-                b"ms k x Oa Pc=c,d=1\r\n", b"ms k 1 Oa Pc=c,d=1\r\nabc\r\n", b"mg k v Oa Ob Pc=c,d=1\r\n",
-                b"x" * 5000):
+    for bad in (
+        b"get k\r\n",
+        b"mg k v Oa\r\n",
+        b"mg k v Oa Pc=clip\r\n",
+        b"mg k v Oa Pc=clip,d=0\r\n",
+        b"ms k x Oa Pc=c,d=1\r\n",
+        b"ms k 1 Oa Pc=c,d=1\r\nabc\r\n",
+        b"mg k v Oa Ob Pc=c,d=1\r\n",
+        b"x" * 5000,
+    ):
         with pytest.raises(Strange):
             CommandReader().feed(0, bad)
 
@@ -165,8 +198,11 @@
 # ---- with real processes ----
 
 PLAYS: list[tuple[str, list[str]]] = [
-    ("crash-fifth", ["--seconds", "3"]), ("garbling", ["--seconds", "3", "--decisions", "bounded-load"]),
-    ("planned-restarts", ["--seconds", "4"]), ("clock-steps", ["--seconds", "8"]), ("system-calls", ["--seconds", "8"]),
+    ("crash-fifth", ["--seconds", "3"]),
+    ("garbling", ["--seconds", "3", "--decisions", "bounded-load"]),
+    ("planned-restarts", ["--seconds", "4"]),
+    ("clock-steps", ["--seconds", "8"]),
+    ("system-calls", ["--seconds", "8"]),
 ]
 STRUCK = {"clock-steps": 1, "system-calls": 100}  # calls that failed, and steps that were seen, at least
 
@@ -208,8 +244,20 @@
 @pytest.mark.parametrize("victim", ["standins", "load-1", "itself"])
 def test_a_process_of_the_rig_that_dies_ends_the_play_and_leaves_none_behind(victim: str, tmp_path: Path) -> None:
     out = tmp_path / "out"
-    command = [sys.executable, "-m", "ternquay", "rig", "play", "calm", "--seconds", "30", "--rate", "50",
-               "--out", str(out)]
+    command = [
+        sys.executable,
+        "-m",
+        "ternquay",
+        "rig",
+        "play",
+        "calm",
+        "--seconds",
+        "30",
+        "--rate",
+        "50",
+        "--out",
+        str(out),
+    ]
     play = subprocess.Popen(command, stderr=subprocess.PIPE, text=True, cwd=Path(__file__).parents[1])
     parent, until = psutil.Process(play.pid), time.monotonic() + 30
     while len(children := below(parent)) < 5 and time.monotonic() < until:
@@ -258,15 +306,27 @@
 
 
 def result_of(service: float, **terms: Any) -> dict[str, Any]:
-    return {"service": service, "worst_2s": service, "hit_share": 0.5, "hops_per_tx": 1.0, "late": False, "crashes": 0,
-            "origin": {"peak_rate": 100.0, "stopping_rate": 200.0, "stops": 0}, "rules": {"lost": 0},
-            "latency_ms": {"p50": 1.0, "p99": 9.0}, "service_by_profile": {"clip": service},
-            "balancers": [{"cpu_us_per_tx": 300.0}]} | terms
+    return {
+        "service": service,
+        "worst_2s": service,
+        "hit_share": 0.5,
+        "hops_per_tx": 1.0,
+        "late": False,
+        "crashes": 0,
+        "origin": {"peak_rate": 100.0, "stopping_rate": 200.0, "stops": 0},
+        "rules": {"lost": 0},
+        "latency_ms": {"p50": 1.0, "p99": 9.0},
+        "service_by_profile": {"clip": service},
+        "balancers": [{"cpu_us_per_tx": 300.0}],
+    } | terms
 
 
 def test_a_survey_tells_the_spread_by_day_and_pairs_by_seed() -> None:
-    results = {Job("calm", seed, name): result_of(0.9 + 0.01 * seed - 0.1 * (name == "random"))
-               for seed in range(1, 6) for name in ("pat", "random")}
+    results = {
+        Job("calm", seed, name): result_of(0.9 + 0.01 * seed - 0.1 * (name == "random"))
+        for seed in range(1, 6)
+        for name in ("pat", "random")
+    }
     assert by_day(results)[2].startswith("| calm | 0.930 (0.910 to 0.950) | 0.93 (0.91 to 0.95) | 9 (9 to 9) |")
     rows = against(results)
     assert "| calm | random | service | 0.930 | 0.830 | +0.100 [+0.100, +0.100] | pat higher |" in rows
@@ -289,6 +349,7 @@
         def at(rate: float, *terms: Any) -> dict[str, Any]:
             tried.append(rate)
             return {"rate": rate, "late": rate > 9000, "p99_ms": 20.0 if rate <= limit else 300.0, "committed": 1.0}
+
         return at
 
     monkeypatch.setattr(saturating, "point", point(2700.0))
--- a/tests/test_rig_tenants.py
+++ b/tests/test_rig_tenants.py
@@ -28,17 +28,22 @@
     assert [(party.terms.name, party.number) for party in parties(day)] == [("sur", 0), ("norte", 1), ("este", 0)]
     told = document(parties(day)[0])
     assert told["rules"]["tip_multiple"] == day.hosts.tip_multiple and told["limits"]["cpu"] == {
-        "least": 0.25, "most": 0.8}
-
-
-@pytest.mark.parametrize(("over", "named"), [
-    ({"flood": {"shape": "pipelined", "tenant": "nobody"}}, "flood.tenant"),
-    ({"flood": {"shape": "rain"}}, "flood.shape"),
-    ({"changes": {"tenants": ["nobody"]}}, "changes.tenants[0]"),
-    ({"tenants": [{"name": "a"}, {"name": "a"}]}, "tenants"),
-    ({"tenants": [{"name": "a", "fleet": "b"}], "flood": {"shape": "none"}}, "tenants[0].fleet"),
-    ({"faults": [{"kind": "host-slow", "start": 0.1, "end": 0.2, "count": 1}]}, "faults[0].tenant"),
-])
+        "least": 0.25,
+        "most": 0.8,
+    }
+
+
+@pytest.mark.parametrize(
+    ("over", "named"),
+    [
+        ({"flood": {"shape": "pipelined", "tenant": "nobody"}}, "flood.tenant"),
+        ({"flood": {"shape": "rain"}}, "flood.shape"),
+        ({"changes": {"tenants": ["nobody"]}}, "changes.tenants[0]"),
+        ({"tenants": [{"name": "a"}, {"name": "a"}]}, "tenants"),
+        ({"tenants": [{"name": "a", "fleet": "b"}], "flood": {"shape": "none"}}, "tenants[0].fleet"),
+        ({"faults": [{"kind": "host-slow", "start": 0.1, "end": 0.2, "count": 1}]}, "faults[0].tenant"),
+    ],
+)
 def test_what_is_wrong_with_a_day_of_tenants_is_named(over: dict[str, Any], named: str) -> None:
     with pytest.raises(DayError) as fault:
         read_day("tenants", over)
@@ -78,32 +83,56 @@
     flood.command(one)
     one.dataReceived(b"VA 2 Of4 h1\r\nab\r\nnonsense\r\n")
     assert [text.split(":")[0] for text in flood.saw.wrong] == [
-        "an answer that nothing was owed", "out of order", "no answer of the protocol"]
+        "an answer that nothing was owed",
+        "out of order",
+        "no answer of the protocol",
+    ]
 
 
 def result(service: float, p99: float, own: float) -> dict[str, Any]:
     tenants = {name: {"service": service, "p99_ms": p99} for name in ("sur", "norte")}
-    return {"tenants": tenants | {"este": {"service": own, "p99_ms": p99}}, "balancers": [{"cpu_share": 0.4}],
-            "flood": {"sent": 10, "connections": 2}}
+    return {
+        "tenants": tenants | {"este": {"service": own, "p99_ms": p99}},
+        "balancers": [{"cpu_share": 0.4}],
+        "flood": {"sent": 10, "connections": 2},
+    }
 
 
 def test_pairs_are_of_one_seed_and_the_flooded_tenant_is_told_apart() -> None:
     day = read_day("tenants")
-    plays = {(shape, seed): result(1.0 - 0.01 * flooded, 100.0 + seed + 10.0 * flooded, 1.0 - 0.1 * flooded)
-             for shape, flooded in (("none", 0), ("halves", 1)) for seed in (1, 2, 3)}
+    plays = {
+        (shape, seed): result(1.0 - 0.01 * flooded, 100.0 + seed + 10.0 * flooded, 1.0 - 0.1 * flooded)
+        for shape, flooded in (("none", 0), ("halves", 1))
+        for seed in (1, 2, 3)
+    }
     row = of_shape(day, "halves", [1, 2, 3], plays)
     assert row["others_service"] == {"mean": -0.01, "low": -0.01, "high": -0.01}
     assert 1.096 < row["others_p99_ratio"]["mean"] < 1.1 and row["own_service_ratio"]["mean"] == 0.9
-    found = {"day": "tenants", "seeds": [1, 2, 3], "seconds": 1.0, "breaches": 0, "crashes": 0, "origin_stops": 0,
-             "late": 0, "shapes": {"halves": row}}
+    found = {
+        "day": "tenants",
+        "seeds": [1, 2, 3],
+        "seconds": 1.0,
+        "breaches": 0,
+        "crashes": 0,
+        "origin_stops": 0,
+        "late": 0,
+        "shapes": {"halves": row},
+    }
     assert "| halves | -0.010 [-0.010, -0.010] |" in "\n".join(lines(found))
 
 
 def test_changes_are_counted_by_what_came_of_them() -> None:
-    saw = ChangesSaw([Change("limits", "sur", 0, 5 * MS, 200), Change("drain", "sur", 0, 9 * MS, 412)],
-                     {"sur": [records.Told(0, 1, "host-1", "draining")]})
-    assert change_figures(saw) == {"made": 1, "not_made": 1, "p50_ms": 9.0, "p99_ms": 9.0,
-                                   "kinds": {"drain": 1, "limits": 1}}
+    saw = ChangesSaw(
+        [Change("limits", "sur", 0, 5 * MS, 200), Change("drain", "sur", 0, 9 * MS, 412)],
+        {"sur": [records.Told(0, 1, "host-1", "draining")]},
+    )
+    assert change_figures(saw) == {
+        "made": 1,
+        "not_made": 1,
+        "p50_ms": 9.0,
+        "p99_ms": 9.0,
+        "kinds": {"drain": 1, "limits": 1},
+    }
 
 
 def played(tmp_path: Path, *words: str, suspended: str = "") -> dict[str, Any]:
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -29,8 +29,9 @@
 
 def live(held: dict[int, float], hosts: int = 6, zones: int = 1) -> list[m.Listed]:
     """The list as it stands when host n, of kind n % 3 and its size, holds so many a core."""
-    return [replace(line(h, kind=h % 3), zone=h % zones, hint=SIZES[h % 3] / (1 + held.get(h, 0.0)))
-            for h in range(hosts)]
+    return [
+        replace(line(h, kind=h % 3), zone=h % zones, hint=SIZES[h % 3] / (1 + held.get(h, 0.0))) for h in range(hosts)
+    ]
 
 
 def fleet(hosts: int = 6, zones: int = 1, **terms: Any) -> Play:
@@ -152,12 +153,23 @@
 REPORT: dict[str, Any] = {"LoadReport": {"Source": "answers", "Names": ["depth", "mean_ms", "x0"]}}
 
 
-@pytest.mark.parametrize(("row", "report"), [
-    ([2.0, 31.5, 0.7], m.Report(held=2.0, service=31_500_000.0)), ([0, 0, 0], m.Report(held=0.0, service=0.0)),
-    (None, None), ([], None), ([1.0, 2.0], None), ([1.0, 2.0, 3.0, 4.0], None), ({"depth": 1}, None), (7, None),
-    ([None, 20, 0], m.Report(service=20_000_000.0)), ([-1, "x", 0], None), ([True, 1e300, 0], None),
-    ([float("nan"), float("inf"), 0], None),
-])
+@pytest.mark.parametrize(
+    ("row", "report"),
+    [
+        ([2.0, 31.5, 0.7], m.Report(held=2.0, service=31_500_000.0)),
+        ([0, 0, 0], m.Report(held=0.0, service=0.0)),
+        (None, None),
+        ([], None),
+        ([1.0, 2.0], None),
+        ([1.0, 2.0, 3.0, 4.0], None),
+        ({"depth": 1}, None),
+        (7, None),
+        ([None, 20, 0], m.Report(service=20_000_000.0)),
+        ([-1, "x", 0], None),
+        ([True, 1e300, 0], None),
+        ([float("nan"), float("inf"), 0], None),
+    ],
+)
 def test_a_report_that_is_odd_counts_as_not_told(row: Any, report: m.Report | None) -> None:
     assert Names(FACTS | REPORT).report(row) == report
 
@@ -205,15 +217,21 @@
 
 
 ODD: list[tuple[dict[str, Any], str]] = [
-    ({"Weights": "heavy"}, "Weights"), ({"Weights": 3}, "Weights"),
-    ({"LoadReport": {"Source": "gossip"}}, "LoadReport.Source"), ({"LoadReport": 5}, "LoadReport"),
+    ({"Weights": "heavy"}, "Weights"),
+    ({"Weights": 3}, "Weights"),
+    ({"LoadReport": {"Source": "gossip"}}, "LoadReport.Source"),
+    ({"LoadReport": 5}, "LoadReport"),
     ({"LoadReport": {"Source": "answers", "Names": "depth"}}, "LoadReport.Names"),
     ({"LoadReport": {"Source": "answers", "Names": ["depth", "depth"]}}, "LoadReport.Names"),
     ({"LoadReport": {"Source": "answers", "Names": ["a", "b", "c", "d", "e"]}}, "LoadReport.Names"),
     ({"LoadReport": {"Source": "answers", "Names": [1]}}, "LoadReport.Names"),
-    ({"Zone": "nowhere"}, "Zone"), ({"Zone": 5}, "Zone"), ({"Prices": 1}, "Prices"),
-    ({"Prices": {"CrossZone": -0.1}}, "Prices.CrossZone"), ({"Prices": {"CrossZone": "x"}}, "Prices.CrossZone"),
-    ({"Goal": {"TailSlack": 2}}, "Goal.TailSlack"), ({"Goal": {"KeptPromises": "x"}}, "Goal.KeptPromises"),
+    ({"Zone": "nowhere"}, "Zone"),
+    ({"Zone": 5}, "Zone"),
+    ({"Prices": 1}, "Prices"),
+    ({"Prices": {"CrossZone": -0.1}}, "Prices.CrossZone"),
+    ({"Prices": {"CrossZone": "x"}}, "Prices.CrossZone"),
+    ({"Goal": {"TailSlack": 2}}, "Goal.TailSlack"),
+    ({"Goal": {"KeptPromises": "x"}}, "Goal.KeptPromises"),
     ({"Goal": []}, "Goal"),
 ]
 
@@ -232,6 +250,7 @@
 
 # ---- zones ----
 
+
 def test_where_crossing_is_dear_homes_lie_in_the_own_zone_until_that_is_strained() -> None:
     near, cheap = fleet(zones=2, zone=1, cross_price=0.1), fleet(zones=2, zone=1, cross_price=0.01)
     assert {home % 2 for home in homes(near)} == {1}
@@ -258,6 +277,7 @@
 
 # ---- late reads ----
 
+
 def aside(**terms: Any) -> Play:
     p = Play(4, origin=True, **terms)
     for n in range(40):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -39,8 +39,9 @@
 
 
 def saw(*stops: Stop, pauses: tuple[Pause, ...] = (), lives: tuple[Life, ...] = ()) -> Saw:
-    return Saw("soak", 1, 20.0, T0, [], FleetSaw([], [], [], [], [], [], []), list(lives), [], list(pauses),
-               list(stops))
+    return Saw(
+        "soak", 1, 20.0, T0, [], FleetSaw([], [], [], [], [], [], []), list(lives), [], list(pauses), list(stops)
+    )
 
 
 def stop(told: int = 0, closed: int = 0, watched: int = 9000, written: int = 1) -> Stop:
@@ -49,9 +50,18 @@
     return Stop(0, T0, *at)
 
 
-@pytest.mark.parametrize(("one", "broken"), [
-    (stop(), 1), (stop(told=2000), 0), (stop(closed=2900), 0), (stop(closed=3200), 1), (stop(told=3200), 1),
-    (stop(watched=2000), 0), (stop(written=0), 0)])
+@pytest.mark.parametrize(
+    ("one", "broken"),
+    [
+        (stop(), 1),
+        (stop(told=2000), 0),
+        (stop(closed=2900), 0),
+        (stop(closed=3200), 1),
+        (stop(told=3200), 1),
+        (stop(watched=2000), 0),
+        (stop(written=0), 0),
+    ],
+)
 def test_a_client_that_stopped_is_owed_a_word_or_a_close_in_three_seconds(one: Stop, broken: int) -> None:
     assert [breach.rule for breach in judge(BASE, saw(one))] == ["stopped"] * broken
 
@@ -70,7 +80,8 @@
     (tmp_path / "balancer-0.log").write_text("x INFO closed clients: idle 3; violations: 0\n")
     (tmp_path / "balancer-1.log").write_text(
         "x ERROR violation: a request was answered a second time, request t1\nx ERROR uncaught: Traceback\n"
-        "x INFO closed clients: none; violations: 2\n")
+        "x INFO closed clients: none; violations: 2\n"
+    )
     assert own_findings(tmp_path) == (3, 1)
 
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -24,10 +24,13 @@
     def dated(self, *starts: int, whole: bool = False, names: Sequence[str] = "abcdef") -> list[int]:
         """How old, in seconds, hosts are taken for whose starts are told in Unix time."""
         line = read_list({"revision": 1, "complete": True, "members": [member(1)]}, 0)[2][0]
-        members: tuple[Member, ...] = tuple(replace(line, id=name, since=start)
-                                            for name, start in zip(names, starts, strict=False))
-        return [round((self.now - one.since) / SECOND) if one.since else -1
-                for one in self.times.dated(whole, members, self.now)]
+        members: tuple[Member, ...] = tuple(
+            replace(line, id=name, since=start) for name, start in zip(names, starts, strict=False)
+        )
+        return [
+            round((self.now - one.since) / SECOND) if one.since else -1
+            for one in self.times.dated(whole, members, self.now)
+        ]
 
     def told(self, age: float) -> int:
         """A start so many seconds ago, as the stepped wall clock has it."""
--- a/tests/test_stood_still.py
+++ b/tests/test_stood_still.py
@@ -154,8 +154,9 @@
     known = orjson.loads(discovery.listed)
     path.write_bytes(orjson.dumps(told(listen, discovery.port, settings=settings, known=known)))
     with open(tmp_path / "log", "wb") as log:
-        process = subprocess.Popen([sys.executable, "-m", "ternquay.net"], cwd=ROOT, stderr=log,
-                                   env=os.environ | {"EDGE_CONFIG": str(path)})
+        process = subprocess.Popen(
+            [sys.executable, "-m", "ternquay.net"], cwd=ROOT, stderr=log, env=os.environ | {"EDGE_CONFIG": str(path)}
+        )
     try:
         until(lambda: b"serves on" in (tmp_path / "log").read_bytes())
         with socket.create_connection(("127.0.0.1", listen), timeout=5) as client:
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -116,15 +116,18 @@
     clients = {name: Stopping([written]) for name, written in STOPS.items()}
     with balancer(tmp_path) as port:
         watched(port, list(clients.values()), OWED + 4)
-    late = {name: round(one.closed - one.written, 2) for name, one in clients.items()
-            if not 0 < one.closed - one.written <= OWED}
+    late = {
+        name: round(one.closed - one.written, 2)
+        for name, one in clients.items()
+        if not 0 < one.closed - one.written <= OWED
+    }
     assert not late, f"closed so long after the last byte, or (if under 0) never: {late}"
     assert all(one.told() for one in clients.values()), {name: one.read[-80:] for name, one in clients.items()}
 
 
 def test_on_loopback_whoever_drips_a_request_is_ended_too(tmp_path: Path) -> None:
     """Bytes that never make a whole request begin no new time."""
-    line = Stopping([b"mg k v O1 Pc=read,d=900"[at:at + 1] for at in range(23)], every=0.4)
+    line = Stopping([b"mg k v O1 Pc=read,d=900"[at : at + 1] for at in range(23)], every=0.4)
     value = Stopping([b"ms k 1000 O1 Pc=once,d=900\r\n", *[b"x"] * 22], every=0.4)
     with balancer(tmp_path) as port:
         began = time.monotonic()
@@ -148,8 +151,7 @@
     assert not late_ends(clients)
 
 
-def test_on_loopback_whoever_stops_before_it_is_accepted_is_ended_in_time_where_accepting_fails(
-        tmp_path: Path) -> None:
+def test_on_loopback_whoever_stops_before_it_is_accepted_is_ended_in_time_where_accepting_fails(tmp_path: Path) -> None:
     """A failed accept() tells nothing of who else waits."""
     clients = [Stopping([b"mg k v O1 Pc=re"]) for _ in range(200)]
     with running(tmp_path, CallFault("accept", "EMFILE", rate=0.1)) as one:
@@ -188,7 +190,7 @@
     client = net.client()
     whole = ms(1)
     for at in range(len(whole)):  # some 2 s in all
-        client.feed(whole[at:at + 1])
+        client.feed(whole[at : at + 1])
         net.run(1900 // len(whole))
     net.accept().feed(b"HD O1 cabc\r\n")
     client.feed(mg(2))
@@ -245,13 +247,18 @@
     return net, client
 
 
-@pytest.mark.parametrize(("waited_ms", "silent_ms", "counted_ms"), [
-    (3000, 2000, 2000),  # the system tells how long ago the last byte came
-    (3000, 0, 0),  # a slow client that goes on: what it wrote last was read as it came
-    (1000, 5000, 1000),  # never more than the loop can have left it unread
-    (80, 80, 0)])
+@pytest.mark.parametrize(
+    ("waited_ms", "silent_ms", "counted_ms"),
+    [
+        (3000, 2000, 2000),  # the system tells how long ago the last byte came
+        (3000, 0, 0),  # a slow client that goes on: what it wrote last was read as it came
+        (1000, 5000, 1000),  # never more than the loop can have left it unread
+        (80, 80, 0),
+    ],
+)
 def test_bytes_that_waited_to_be_read_are_as_old_as_the_system_says(
-        waited_ms: int, silent_ms: int, counted_ms: int) -> None:
+    waited_ms: int, silent_ms: int, counted_ms: int
+) -> None:
     net, client = late_reader(waited_ms * MS, silent_ms)
     client.feed(b"mg k v O1")
     net.run((LINE_MOST // MS) - counted_ms - 60)
@@ -307,12 +314,21 @@
     assert not client.closing and not client.lost
 
 
-@pytest.mark.parametrize(("written", "part", "lines"), [
-    (b"", Part.NONE, 0), (b"mg", Part.LINE, 0), (mg(1), Part.NONE, 1), (mg(1) + b"m", Part.LINE, 1),
-    (ms(1)[:-3], Part.VALUE, 1), (ms(1), Part.NONE, 1), (ms(1) + mg(2), Part.NONE, 2),
-    (b"ms k 99 O1 Pc=once,d=9\r\n", Part.VALUE, 1), (b"ms k 99 O1 Pc=once,d=9\r\n" + b"x" * 99, Part.VALUE, 1),
-    (b"ms k -1 O1 Pc=once,d=9\r\nxx", Part.NONE, 1),
-])
+@pytest.mark.parametrize(
+    ("written", "part", "lines"),
+    [
+        (b"", Part.NONE, 0),
+        (b"mg", Part.LINE, 0),
+        (mg(1), Part.NONE, 1),
+        (mg(1) + b"m", Part.LINE, 1),
+        (ms(1)[:-3], Part.VALUE, 1),
+        (ms(1), Part.NONE, 1),
+        (ms(1) + mg(2), Part.NONE, 2),
+        (b"ms k 99 O1 Pc=once,d=9\r\n", Part.VALUE, 1),
+        (b"ms k 99 O1 Pc=once,d=9\r\n" + b"x" * 99, Part.VALUE, 1),
+        (b"ms k -1 O1 Pc=once,d=9\r\nxx", Part.NONE, 1),
+    ],
+)
 def test_where_a_stream_stands_is_told_for_every_part_of_a_request(written: bytes, part: Part, lines: int) -> None:
     for whole in (8, 100):
         side = ClientSide(2048, 4096, whole)
@@ -362,14 +378,18 @@
 
 @pytest.mark.parametrize("step", ["drain", "end", "reload"])
 def test_on_loopback_whoever_stops_is_ended_in_time_whatever_the_process_is_told_meanwhile(
-        tmp_path: Path, step: str) -> None:
+    tmp_path: Path, step: str
+) -> None:
     clients = [Stopping([b"mg k v"]), Stopping([b"ms k 9 O1 Pc=once,d=900\r\nx"])]
     store, listen, management = Store(3), free(), free()
     known = {"revision": 1, "complete": True, "members": [member(1) | {"host_port": f"127.0.0.1:{store.port}"}]}
     config = told(listen, free(), known=known, management=f"127.0.0.1:{management}")
     with serving(config, tmp_path) as process:
-        acts = {"drain": lambda: call(management, OUT), "end": process.terminate,
-                "reload": lambda: process.send_signal(SIGHUP)}
+        acts = {
+            "drain": lambda: call(management, OUT),
+            "end": process.terminate,
+            "reload": lambda: process.send_signal(SIGHUP),
+        }
         timer = Timer(1.0, acts[step])
         timer.start()
         watched(listen, clients, OWED + 1)
@@ -387,13 +407,18 @@
         assert may_close(reason, owing=True) == may_close(reason, owing=False, unread=True) == free_to_go
 
 
-@pytest.mark.parametrize(("attempt", "departed", "why"), [
-    (Attempt(False, True, 10, 0, False), False, None), (Attempt(True, True, 10, 0, False), False, Refusal.ANSWERED),
-    (Attempt(False, True, 5, 0, False), False, Refusal.OVERDUE), (Attempt(False, False, 5, 0, False), False, None),
-    (Attempt(False, True, 10, 5, False), False, Refusal.FORGOTTEN),
-    (Attempt(False, True, 10, 6, True), False, Refusal.STALE),
-    (Attempt(False, True, 10, 6, False), True, Refusal.DEPARTED),
-])
+@pytest.mark.parametrize(
+    ("attempt", "departed", "why"),
+    [
+        (Attempt(False, True, 10, 0, False), False, None),
+        (Attempt(True, True, 10, 0, False), False, Refusal.ANSWERED),
+        (Attempt(False, True, 5, 0, False), False, Refusal.OVERDUE),
+        (Attempt(False, False, 5, 0, False), False, None),
+        (Attempt(False, True, 10, 5, False), False, Refusal.FORGOTTEN),
+        (Attempt(False, True, 10, 6, True), False, Refusal.STALE),
+        (Attempt(False, True, 10, 6, False), True, Refusal.DEPARTED),
+    ],
+)
 def test_an_attempt_begins_by_the_rules_alone(attempt: Attempt, departed: bool, why: Refusal | None) -> None:
     assert attempt_refusal(attempt, 5, lambda: departed) is why
 
@@ -418,8 +443,9 @@
     listen, management = free(), free()
     with serving(told(listen, free(), management=f"127.0.0.1:{management}"), tmp_path) as process:
         watched(listen, [Stopping([b"mg k v"]), Stopping([b"ms k -1 O1 Pc=once,d=9\r\n"])], OWED + 1)
-        metrics, events = (talk(management, b"GET /control/%b HTTP/1.1\r\nHost: x\r\n\r\n" % name)
-                           for name in (b"metrics", b"events"))
+        metrics, events = (
+            talk(management, b"GET /control/%b HTTP/1.1\r\nHost: x\r\n\r\n" % name) for name in (b"metrics", b"events")
+        )
         process.terminate()
         assert process.wait(10) == 0
     assert b'client_closes_total{reason="request_overdue"} 1' in metrics and b'reason="malformed"} 1' in metrics
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -93,9 +93,13 @@
 def whole(registry: Registry) -> Any:
     """All that a registry says, but the digests of keys, which are drawn anew."""
     return registry.version, {
-        name: (entry.version, entry.incarnation, replace(
-            entry.tenant, keys=tuple(replace(key, digest=b"") for key in entry.tenant.keys)))
-        for name, entry in registry.tenants.items()}
+        name: (
+            entry.version,
+            entry.incarnation,
+            replace(entry.tenant, keys=tuple(replace(key, digest=b"") for key in entry.tenant.keys)),
+        )
+        for name, entry in registry.tenants.items()
+    }
 
 
 def test_killed_at_every_step_of_a_change_there_is_all_of_it_or_none(tmp_path: Path) -> None:
@@ -164,8 +168,7 @@
     for n in range(many):
         one = tenant(f"t{n}", n + 1, limits=SMALL)
         registry = registry.changed(Make(one))
-        store.commit(Commit(Logged(registry.version, NOW, "me", one.name, "make", b"{}"),
-                            registry.tenants[one.name]))
+        store.commit(Commit(Logged(registry.version, NOW, "me", one.name, "make", b"{}"), registry.tenants[one.name]))
         seen.append(whole(registry))
     return seen
 
@@ -194,8 +197,9 @@
             found.append(seen.index(state))
             # It goes on from there, and the versions only rise.
             changed_to = again.registry().changed(Make(tenant("after", 99, limits=SMALL)))
-            again.commit(Commit(Logged(changed_to.version, NOW, "me", "after", "make", b"{}"),
-                                changed_to.tenants["after"]))
+            again.commit(
+                Commit(Logged(changed_to.version, NOW, "me", "after", "make", b"{}"), changed_to.tenants["after"])
+            )
             again.close()
     assert set(found) >= {0, 4} and len(set(found)) > 2
 
@@ -275,8 +279,9 @@
 def test_denied_calls_are_noted_and_alike_ones_make_one_line(tmp_path: Path) -> None:
     one = keeper(tmp_path / "x.db")
     for n in range(5000):
-        wrong = Call("GET", f"/v1/tenants/t{n % 3000}", {}, {"authorization": "Bearer tq1.-.main." + "A" * 43}, b"",
-                     "127.0.0.9")
+        wrong = Call(
+            "GET", f"/v1/tenants/t{n % 3000}", {}, {"authorization": "Bearer tq1.-.main." + "A" * 43}, b"", "127.0.0.9"
+        )
         assert answer(one, wrong).status == 401
     assert len(one.notes) <= 1001
     one.reactor.advance(1.0)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -30,8 +30,20 @@
 # For one that fails all the time: with a pause after each some 20 a second, without one many thousands.
 OFTEN = 200
 FOR_WANT_OF_ROOM = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM")
-OF_ONE_CONNECTION = ("ECONNABORTED", "EPROTO", "EHOSTUNREACH", "ENETDOWN", "ENETUNREACH", "ETIMEDOUT", "EPERM",
-                     "EHOSTDOWN", "ENONET", "ENOPROTOOPT", "ENOTSUP", "EINTR")
+OF_ONE_CONNECTION = (
+    "ECONNABORTED",
+    "EPROTO",
+    "EHOSTUNREACH",
+    "ENETDOWN",
+    "ENETUNREACH",
+    "ETIMEDOUT",
+    "EPERM",
+    "EHOSTDOWN",
+    "ENONET",
+    "ENOPROTOOPT",
+    "ENOTSUP",
+    "EINTR",
+)
 
 
 @dataclass
@@ -58,8 +70,9 @@
     path.write_bytes(orjson.dumps(told(listen, free(), known=known)))
     environment = prepared(CallPlan(faults), folder) | {"EDGE_CONFIG": str(path)}
     with open(folder / "log", "wb") as log:
-        process = subprocess.Popen([sys.executable, "-m", "ternquay.net"], stderr=log, env=environment,
-                                   cwd=Path(__file__).parents[1])
+        process = subprocess.Popen(
+            [sys.executable, "-m", "ternquay.net"], stderr=log, env=environment, cwd=Path(__file__).parents[1]
+        )
     try:
         until(lambda: b"serves on" in (folder / "log").read_bytes() or process.poll() is not None)
         yield Running(process, listen, folder)
@@ -94,8 +107,9 @@
     with running(tmp_path, CallFault("accept", "ENFILE", rate=0.2)) as one:
         began = time.monotonic()
         with ExitStack() as waiting:
-            clients = [waiting.enter_context(socket.create_connection(("127.0.0.1", one.port), timeout=5))
-                       for _ in range(100)]
+            clients = [
+                waiting.enter_context(socket.create_connection(("127.0.0.1", one.port), timeout=5)) for _ in range(100)
+            ]
             for number, client in enumerate(clients):
                 client.sendall(mg(number, key="k9"))
             assert all(client.recv(200) for client in clients)
@@ -120,11 +134,19 @@
         assert asked(one.port, 2).startswith((b"VA 9 O2", b"SERVER_ERROR busy"))
 
 
-@pytest.mark.parametrize(("call", "error"), [
-    ("setsockopt", "EINVAL"), ("setsockopt", "ENOBUFS"), ("bind", "ENOMEM"), ("listen", "ENOBUFS"),
-    ("socket", "EMFILE")])
+@pytest.mark.parametrize(
+    ("call", "error"),
+    [
+        ("setsockopt", "EINVAL"),
+        ("setsockopt", "ENOBUFS"),
+        ("bind", "ENOMEM"),
+        ("listen", "ENOBUFS"),
+        ("socket", "EMFILE"),
+    ],
+)
 def test_a_listening_socket_that_can_not_be_made_for_a_moment_is_made_later(
-        tmp_path: Path, call: str, error: str) -> None:
+    tmp_path: Path, call: str, error: str
+) -> None:
     with running(tmp_path, CallFault(call, error, end=1.5)) as one:  # type: ignore[arg-type]
         assert asked(one.port).startswith((b"VA 9", b"SERVER_ERROR busy"))
         assert "can't listen yet" in one.log() and "Traceback" not in one.log()
@@ -203,11 +225,27 @@
         assert one.process.poll() is None
 
 
-@pytest.mark.parametrize(("call", "error"), [
-    ("setsockopt", "ENOBUFS"), ("connect_ex", "ENETUNREACH"), ("connect_ex", "ENOBUFS"),
-    ("connect_ex", "ETIMEDOUT"), ("recv", "ETIMEDOUT"), ("recv", "EHOSTUNREACH"), ("send", "ENOBUFS"),
-    ("send", "EHOSTUNREACH"), ("send", "SHORT"), ("recv", "SHORT"), ("socket", "EMFILE"), ("socket", "ENOBUFS"),
-    ("close", "EIO"), ("shutdown", "ENOTCONN"), ("epoll_ctl", "ENOMEM"), ("epoll_ctl", "ENOSPC")])
+@pytest.mark.parametrize(
+    ("call", "error"),
+    [
+        ("setsockopt", "ENOBUFS"),
+        ("connect_ex", "ENETUNREACH"),
+        ("connect_ex", "ENOBUFS"),
+        ("connect_ex", "ETIMEDOUT"),
+        ("recv", "ETIMEDOUT"),
+        ("recv", "EHOSTUNREACH"),
+        ("send", "ENOBUFS"),
+        ("send", "EHOSTUNREACH"),
+        ("send", "SHORT"),
+        ("recv", "SHORT"),
+        ("socket", "EMFILE"),
+        ("socket", "ENOBUFS"),
+        ("close", "EIO"),
+        ("shutdown", "ENOTCONN"),
+        ("epoll_ctl", "ENOMEM"),
+        ("epoll_ctl", "ENOSPC"),
+    ],
+)
 def test_calls_on_a_connection_that_fail_for_a_while_end_nothing_else(tmp_path: Path, call: str, error: str) -> None:
     with running(tmp_path, CallFault(call, error, end=2.0, rate=0.3)) as one:  # type: ignore[arg-type]
         over = time.monotonic() + 2.0
@@ -219,11 +257,17 @@
         assert "Traceback" not in one.log() and "k9" not in one.log() and one.process.poll() is None, one.log()
 
 
-@pytest.mark.parametrize(("text", "named"), [
-    ("[[faults]]\ncall='fork'\nerror='EIO'", "faults[0].call"),
-    ("[[faults]]\ncall='send'\nerror='EX'", "faults[0].error"),
-    ("[[faults]]\ncall='send'\nerror='EIO'\nrate=2", "faults[0].rate"), ("faults=3", "faults"),
-    ("[[faults]]\ncall='send'\nerror='EIO'\nstart=3\nend=2", "faults[0].end"), ("x=", "plan.toml")])
+@pytest.mark.parametrize(
+    ("text", "named"),
+    [
+        ("[[faults]]\ncall='fork'\nerror='EIO'", "faults[0].call"),
+        ("[[faults]]\ncall='send'\nerror='EX'", "faults[0].error"),
+        ("[[faults]]\ncall='send'\nerror='EIO'\nrate=2", "faults[0].rate"),
+        ("faults=3", "faults"),
+        ("[[faults]]\ncall='send'\nerror='EIO'\nstart=3\nend=2", "faults[0].end"),
+        ("x=", "plan.toml"),
+    ],
+)
 def test_a_plan_that_can_not_be_used_is_named(tmp_path: Path, text: str, named: str) -> None:
     path = tmp_path / "plan.toml"
     path.write_text(text + "\n")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -48,8 +48,11 @@
         self.at, self.log = free(), platform.folder / f"log{number}"
         path = platform.folder / f"told{number}.json"
         path.write_text(json.dumps(told(platform.listen, free(), management=f"127.0.0.1:{self.at}") | more))
-        env = os.environ | {"EDGE_SOCKET_FD": str(platform.held.fileno()), "TMPDIR": str(platform.common),
-                            "EDGE_CONFIG": str(path)}
+        env = os.environ | {
+            "EDGE_SOCKET_FD": str(platform.held.fileno()),
+            "TMPDIR": str(platform.common),
+            "EDGE_CONFIG": str(path),
+        }
         with open(self.log, "wb") as log:
             command = [sys.executable, "-m", "ternquay.net"]
             self.process = subprocess.Popen(command, cwd=ROOT, stderr=log, env=env, pass_fds=(platform.held.fileno(),))
@@ -103,13 +106,21 @@
 def test_a_descriptor_that_is_no_listening_socket_at_the_address_is_named(tmp_path: Path) -> None:
     where = Address("127.0.0.1", 9)
     assert inherited(where, {}) is None and inherited(where, {"EDGE_SOCKET_FD": ""}) is None
-    with open(tmp_path / "x", "w") as file, socket.socket() as plain, \
-            socket.create_server(("127.0.0.1", 0)) as listens, socket.socket(type=socket.SOCK_DGRAM) as datagrams:
-        for number, why in (("five", "a descriptor is wanted"), ("-1", "a descriptor is wanted"),
-                            ("9999", "can't be used"),
-                            (str(file.fileno()), "is no socket"), (str(plain.fileno()), "no listening TCP socket"),
-                            (str(datagrams.fileno()), "no listening TCP socket"),
-                            (str(listens.fileno()), "and listen says 127.0.0.1:9")):
+    with (
+        open(tmp_path / "x", "w") as file,
+        socket.socket() as plain,
+        socket.create_server(("127.0.0.1", 0)) as listens,
+        socket.socket(type=socket.SOCK_DGRAM) as datagrams,
+    ):
+        for number, why in (
+            ("five", "a descriptor is wanted"),
+            ("-1", "a descriptor is wanted"),
+            ("9999", "can't be used"),
+            (str(file.fileno()), "is no socket"),
+            (str(plain.fileno()), "no listening TCP socket"),
+            (str(datagrams.fileno()), "no listening TCP socket"),
+            (str(listens.fileno()), "and listen says 127.0.0.1:9"),
+        ):
             with pytest.raises(LaunchError, match=f"^EDGE_SOCKET_FD: .*{why}"):
                 inherited(where, {"EDGE_SOCKET_FD": number})
         right = Address("127.0.0.1", listens.getsockname()[1])
@@ -134,6 +145,12 @@
 def test_a_wrong_descriptor_ends_the_start_with_one_line(tmp_path: Path) -> None:
     path = tmp_path / "told.json"
     path.write_text(json.dumps(told(free(), free())))
-    done = subprocess.run([sys.executable, "-m", "ternquay", "serve", "--config", str(path)], cwd=ROOT, timeout=30,
-                          capture_output=True, text=True, env=os.environ | {"EDGE_SOCKET_FD": "77"})
+    done = subprocess.run(
+        [sys.executable, "-m", "ternquay", "serve", "--config", str(path)],
+        cwd=ROOT,
+        timeout=30,
+        capture_output=True,
+        text=True,
+        env=os.environ | {"EDGE_SOCKET_FD": "77"},
+    )
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and "EDGE_SOCKET_FD" in done.stderr
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,20 +10,40 @@
 from ternquay.wirehost import serve
 
 FACTS: dict[str, Any] = {
-    "Balancers": 1, "Quantum": 1000, "Unheard": {"Of": 1},
+    "Balancers": 1,
+    "Quantum": 1000,
+    "Unheard": {"Of": 1},
     "LoadReport": {"Names": ["never_seen"], "Source": "probe"},
     "Profiles": [{"Name": "clip", "Semantics": "repeatable", "ServiceGoal": 500000, "HardLimit": 900000}],
     "Limits": {"ParallelTries": False, "MostHops": 3, "RetryAfter": True, "MaxRetryAfter": 50000},
     "Invariants": {"ColdShare": 0.2, "WarmWithin": 9000000, "TipMultiple": 3.0, "Fall": 1000000},
 }
-HOST = {"Host": "10.0.0.1:80", "Locality": "a", "ClassOfHost": "k", "Block": 0, "Availability": "IN",
-        "CapacityHint": 1, "OnlineSince": None}
+HOST = {
+    "Host": "10.0.0.1:80",
+    "Locality": "a",
+    "ClassOfHost": "k",
+    "Block": 0,
+    "Availability": "IN",
+    "CapacityHint": 1,
+    "OnlineSince": None,
+}
 BEGIN: list[dict[str, Any]] = [
     {"msg": "Init", "Who": 0, "Nonce64": 5, "Facts": FACTS},
     {"msg": "Membership", "Who": 0, "Mode": "Persisted", "Revision": 1, "Records": [HOST]},
 ]
-ARRIVAL = {"msg": "Arrival", "Who": 0, "Corr": "t/a", "Type": "clip", "Realm": "nobody", "Subject": None,
-           "Ttl": 400000, "Hint": None, "BytesHint": None, "IsRetry": None, "Mutates": False}
+ARRIVAL = {
+    "msg": "Arrival",
+    "Who": 0,
+    "Corr": "t/a",
+    "Type": "clip",
+    "Realm": "nobody",
+    "Subject": None,
+    "Ttl": 400000,
+    "Hint": None,
+    "BytesHint": None,
+    "IsRetry": None,
+    "Mutates": False,
+}
 
 
 def batch(*events: dict[str, Any]) -> bytes:
@@ -44,8 +64,7 @@
 
 @pytest.mark.parametrize("stats", [None, [], ["x"], "odd", [1.0, 2.0]])
 def test_a_missing_or_odd_load_report_changes_nothing(stats: Any) -> None:
-    probe = {"msg": "StatusBack", "Who": 0, "Took": 5, "StateCode": "done", "Host": HOST["Host"],
-             "Stats": stats}
+    probe = {"msg": "StatusBack", "Who": 0, "Took": 5, "StateCode": "done", "Host": HOST["Host"], "Stats": stats}
     assert played(batch(*BEGIN), batch(probe, ARRIVAL))[-2:] == played(batch(*BEGIN), batch(ARRIVAL))[-2:]
 
 
@@ -55,11 +74,21 @@
     assert [x["Corr"] for x in said if x["msg"] == "Deliver"] == ["t/a", "t/b"]
 
 
-@pytest.mark.parametrize("text", [
-    b"{\n", b"[1]\n", b'{"msg":"EofBatch"}\n', b'{"msg":"Round"}\n', b'{"msg":"Round","Wall":1}\n',
-    batch({"msg": "Sideways", "Who": 0}), batch(ARRIVAL), batch({"msg": "Init", "Who": 0, "Nonce64": 1}),
-    batch(*BEGIN, ARRIVAL | {"Type": "unheard"}), batch(*BEGIN, {"msg": "Sideways", "Who": 0}),
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"{\n",
+        b"[1]\n",
+        b'{"msg":"EofBatch"}\n',
+        b'{"msg":"Round"}\n',
+        b'{"msg":"Round","Wall":1}\n',
+        batch({"msg": "Sideways", "Who": 0}),
+        batch(ARRIVAL),
+        batch({"msg": "Init", "Who": 0, "Nonce64": 1}),
+        batch(*BEGIN, ARRIVAL | {"Type": "unheard"}),
+        batch(*BEGIN, {"msg": "Sideways", "Who": 0}),
+    ],
+)
 def test_malformed_input_is_an_error(text: bytes) -> None:
     with pytest.raises(serve.WireError):
         played(text)
