--- a/ternquay/consensus/core.py
+++ b/ternquay/consensus/core.py
@@ -2,7 +2,7 @@
 
     core = Core(me, kept, figures, Random(seed), boot, now)
     core.tick(now); core.receive(sender, message, now); core.saved(write.number, now)
-    core.propose(body, now)          # -> the index of the proposal; raises NotNow
+    core.propose(body, now)          # -> the index of the proposal; raises RetryLater
     core.judged(index, unfit, now)   # what this machine says of a proposal in core.to_judge
     core.may(now)                    # whether a new transaction may be taken, by what is in force here
     core.held                        # the proposals whose tenants take nothing
@@ -17,7 +17,7 @@
 from enum import Enum
 from random import Random
 
-from ternquay.consensus.fate import NotNow
+from ternquay.consensus.errors import RetryLater
 from ternquay.consensus.log import Log
 from ternquay.consensus.messages import (
     TEXT_MOST,
@@ -355,17 +355,17 @@
     # ---- a leader's side ----
 
     def propose(self, body: bytes, now: int) -> int:
-        """Raises NotNow."""
+        """Raises RetryLater."""
         if not self.leads():
-            raise NotNow("another one leads" if self.leader else "nobody leads", self.leader)
+            raise RetryLater("another one leads" if self.leader else "nobody leads", self.leader)
         if not self.settled() or self.log.undecided():
-            raise NotNow("another change is under way", self.me.name)
+            raise RetryLater("another change is under way", self.me.name)
         return self._append(Entry(self.term, Kind.PROPOSE, body), now)
 
     def leave(self, name: str, now: int) -> None:
-        """Has a member taken out, for good, as soon as it has lapsed. Raises NotNow; ValueError for who isn't there."""
+        """Removes a member for good once its lease has expired. Raises RetryLater, or ValueError for a non-member."""
         if not self.settled():
-            raise NotNow("another one leads" if self.leader else "nobody leads", self.leader)
+            raise RetryLater("another one leads" if self.leader else "nobody leads", self.leader)
         if name not in self.roster().names():
             raise ValueError(f"{name} is no member")
         if len(self.roster().members) == 1:
@@ -374,10 +374,10 @@
         self._change_members(now)
 
     def welcome(self, name: str, now: int) -> None:
-        """Lets one that was taken out come in again by itself. Raises NotNow; ValueError for who isn't out."""
+        """Lets one that was taken out come in again by itself. Raises RetryLater; ValueError for who isn't out."""
         roster, at = self.log.roster()
         if not self.settled() or at > self.commit:
-            raise NotNow("the members are being changed" if self.leads() else "another one leads", self.leader)
+            raise RetryLater("the members are being changed" if self.leads() else "another one leads", self.leader)
         if name not in roster.out:
             raise ValueError(f"{name} was not taken out")
         self._to(Roster(roster.members, tuple(one for one in roster.out if one != name)), now)
--- a/ternquay/hosted/administration/changes.py
+++ b/ternquay/hosted/administration/changes.py
@@ -17,7 +17,7 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.threadpool import ThreadPool
 
-from ternquay.consensus.fate import NotNow, Nowhere, Unknown
+from ternquay.consensus.errors import ChangeAborted, OutcomeUnknown, RetryLater
 from ternquay.hosted.administration.api import Api, Call, Look, Proposal, Reply, problem, tag
 from ternquay.hosted.store import Answered, Commit, Logged, Noted, Store, StoreError, StoreUnsure
 from ternquay.hosted.tenants.registry import Registry, Remove
@@ -159,13 +159,13 @@
             if failure.check(StoreError):
                 logger.bind(cause=str(failure.value)).error("the store takes no changes")
                 return problem(507, "the change could not be stored, and was not made")
-            if failure.check(NotNow):
-                return problem(503, failure.value.why, headers={"retry-after": "1"})
-            if failure.check(Unknown):
+            if failure.check(RetryLater):
+                return problem(503, failure.value.reason, headers={"retry-after": "1"})
+            if failure.check(OutcomeUnknown):
                 return problem(504, "whether the change was made isn't known yet; ask again, with the key it had")
-            if failure.check(Nowhere):
+            if failure.check(ChangeAborted):
                 told = failure.value
-                return problem(422, f"{told.member}: {told.why}; the change is nowhere", told.field)
+                return problem(422, f"{told.member}: {told.reason}; the change is nowhere", told.field)
             if failure.check(Unfit):
                 return problem(422, failure.value.why, failure.value.field)
             logger.error("a call failed: {}", failure.getTraceback())
@@ -193,7 +193,7 @@
         if not isinstance(outcome, Proposal):
             return outcome
         if self.registry is not there:
-            raise NotNow("another change came first")
+            raise RetryLater("another change came first")
         who, before = str(outcome.who), self.registry
         after = before.changed(outcome.change)
         reply = outcome.reply(after)
--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -2,7 +2,8 @@
 
     fleet = Fleet(reactor, service, host, stored, life)
     fleet.begin()                          # raises Unfit where the members' port can't be bound
-    fleet.propose(commit)                  # -> a Deferred: the change is in force, or fails as Nowhere, Unknown, NotNow
+    fleet.propose(commit)                  # -> a Deferred: fires once the change is in force, or fails with
+                                           #    ChangeAborted, OutcomeUnknown or RetryLater
     fleet.wait(tenant)                     # nought, or how long a new tx of that tenant is told to wait
 
 docs/agreement.md says why each may do what when. All times here are of CLOCK_BOOTTIME: no setting of the date moves it,
@@ -23,7 +24,7 @@
 from twisted.internet.error import CannotListenError
 
 from ternquay.consensus.core import Core, Figures, Outcome, Write
-from ternquay.consensus.fate import NotNow, Nowhere, Unknown
+from ternquay.consensus.errors import ChangeAborted, OutcomeUnknown, RetryLater
 from ternquay.consensus.founding import Founding
 from ternquay.consensus.messages import Member, Unfitness, decoded, encoded
 from ternquay.hosted.administration.api import Call, Reply, problem
@@ -193,7 +194,7 @@
         self.links.end()
         self._flush()
         for waiting in list(self.waiters.values()):
-            waiting.errback(Unknown())
+            waiting.errback(OutcomeUnknown())
         for _, reply in list(self.passed.values()):
             reply.callback(UNKNOWN)
 
@@ -420,7 +421,7 @@
                 prepared.drop()
             self._carry(Applied(one.index))
             if waiting is not None:
-                waiting.errback(Nowhere(one.unfit.member, one.unfit.field, one.unfit.why))
+                waiting.errback(ChangeAborted(one.unfit.member, one.unfit.field, one.unfit.why))
             return
         try:
             commit = commit_of(_change.decode(one.body))
@@ -579,7 +580,7 @@
     def propose(self, commit: Commit) -> "Deferred[None]":
         try:
             at = self.core.propose(msgspec.msgpack.encode(change_of(commit)), self.clock())
-        except NotNow as fault:
+        except RetryLater as fault:
             return fail(fault)
         waiting: Deferred[None] = Deferred()
         key = self.core.term, at
@@ -598,13 +599,13 @@
 
     def _unknown(self, key: tuple[int, int]) -> None:
         if key in self.waiters:
-            self.waiters[key].errback(Unknown())
+            self.waiters[key].errback(OutcomeUnknown())
 
     def _overtaken(self) -> None:
         """A proposal in whose place another entry is committed is nowhere, and never will be in force."""
         for (term, at), waiting in list(self.waiters.items()):
             if at <= self.core.commit and self.core.log.term(at) not in (term, -1):
-                waiting.errback(NotNow("another one leads by now", self.core.leader))
+                waiting.errback(RetryLater("another one leads by now", self.core.leader))
         if self.led and not self.core.leads():
             # Whether the next leader carries it on is mostly known by then; else whoever asked asks again.
             for key in self.waiters:
@@ -674,8 +675,8 @@
     def _members(self, change: Callable[[str, int], None], name: str, word: str) -> Reply:
         try:
             change(name, self.clock())
-        except NotNow as fault:
-            return problem(503, fault.why, headers={"retry-after": "1"})
+        except RetryLater as fault:
+            return problem(503, fault.reason, headers={"retry-after": "1"})
         except ValueError as fault:
             return problem(422, str(fault), "member")
         self._drive()
--- a/ternquay/rig/walk.py
+++ b/ternquay/rig/walk.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from ternquay.consensus.core import Core, Figures, Kept, Outcome, Write
-from ternquay.consensus.fate import NotNow
+from ternquay.consensus.errors import RetryLater
 from ternquay.consensus.log import Log
 from ternquay.consensus.messages import Member, Message, Roster, Unfitness
 
@@ -197,7 +197,7 @@
             if node.core is not None and not node.stopped:
                 try:
                     node.core.propose(body, node.now(self.time))
-                except NotNow:
+                except RetryLater:
                     continue
                 self.carry(node)
                 return True
