--- a/ternquay/hosted/administration/changes.py
+++ b/ternquay/hosted/administration/changes.py
@@ -78,7 +78,7 @@
 
     def join(self, fleet: Any) -> None:
         """Changes are the fleet's from now on: whoever leads it carries them out, one after the other."""
-        self.fleet, fleet.carry_out, fleet.news = fleet, self.call, self._news
+        self.fleet, fleet.execute_call, fleet.on_change = fleet, self.call, self._news
 
     # ---- calls ----
 
@@ -86,7 +86,7 @@
         """Answers a call; denied ones go to the audit log."""
         outcome = self.api.handle(call, self.registry, self.clock())
         if isinstance(outcome, Look):
-            if outcome.what in ("leave", "join") and self.fleet is not None and not self.fleet.leads():
+            if outcome.what in ("leave", "join") and self.fleet is not None and not self.fleet.is_leader():
                 return self._passed_on(call)
             return self._guarded(self._looked, outcome)
         if isinstance(outcome, Reply):
@@ -96,13 +96,13 @@
                 self.fleet is not None
                 and outcome.status in REPEATED
                 and call.method != "GET"
-                and not self.fleet.leads()
+                and not self.fleet.is_leader()
             ):
                 return self._passed_on(call)  # this member may be behind
             # A repeated call finds things as it left them, and is to be answered as it was then.
             if outcome.status not in REPEATED or "idempotency-key" not in call.headers:
                 return succeed(outcome)
-        if self.fleet is not None and not self.fleet.leads():
+        if self.fleet is not None and not self.fleet.is_leader():
             return self._passed_on(call)
         if len(self.waiting) >= WAITING_MOST:
             return succeed(problem(503, "too many changes wait", headers={"retry-after": "1"}))
@@ -111,16 +111,16 @@
     @property
     def registry(self) -> Registry:
         """What is in force; a member of a fleet may be without a part of it, and takes nothing then."""
-        found: Registry = self.fleet.agreed if self.fleet is not None else self.applier.registry
+        found: Registry = self.fleet.agreed_registry if self.fleet is not None else self.applier.registry
         return found
 
     def _passed_on(self, call: Call) -> "Deferred[Reply]":
-        reply: Deferred[Reply] = self.fleet.pass_on(call)
+        reply: Deferred[Reply] = self.fleet.forward_to_leader(call)
         return reply
 
     def remove(self, name: str) -> "Deferred[Reply]":
         """A tenant that was ending has nothing open any more; in a fleet whoever leads sees to it."""
-        if self.fleet is not None and not self.fleet.leads():
+        if self.fleet is not None and not self.fleet.is_leader():
             return succeed(problem(503, "another member leads"))
         return self._queued(Remove(name))
 
@@ -257,7 +257,7 @@
         if len(key) > KEY_MOST or not key.isascii() or not key.isprintable():
             return problem(400, f"up to {KEY_MOST} printable characters are wanted", "Idempotency-Key")
         who = str(self.api.identified(call, self.registry, self.clock()))
-        found: Answered | None = self.fleet.answered(who, _digest(key)) if self.fleet is not None else None
+        found: Answered | None = self.fleet.pending_answer(who, _digest(key)) if self.fleet is not None else None
         if found is None:
             found = yield self.stored.do(self.stored.store.answered, who, _digest(key))
         if found is None:
@@ -277,7 +277,11 @@
             return (
                 Reply(200, self.fleet.status())
                 if look.what == "fleet"
-                else (self.fleet.leave(look.tenant) if look.what == "leave" else self.fleet.join(look.tenant))
+                else (
+                    self.fleet.remove_member(look.tenant)
+                    if look.what == "leave"
+                    else self.fleet.readmit_member(look.tenant)
+                )
             )
         if look.what == "process":
             return Reply(200, self.applier.process())
@@ -301,7 +305,7 @@
         while True:
             if self.fleet is not None:
                 # Else the version below could be told without the lines up to it, and a watcher would pass them over.
-                yield self.fleet.flushed()
+                yield self.fleet.when_flushed()
             changes = yield self.stored.do(self.stored.store.changes, look.after, look.most, look.tenant)
             left = until - self.clock()
             if changes or left <= 0 or len(self.watches) >= WATCHES_MOST or self.ended:
--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -1,10 +1,10 @@
 """One member of a fleet as it runs: the agreement's core with links, disk and tenants, and what it tells of itself.
 
-    fleet = Fleet(reactor, service, host, stored, life)
-    fleet.begin()                          # raises Unfit where the members' port can't be bound
+    fleet = FleetMember(reactor, service, host, stored, life)
+    fleet.start()                          # raises Unfit where the members' port can't be bound
     fleet.propose(commit)                  # -> a Deferred: fires once the change is in force, or fails with
                                            #    ChangeAborted, OutcomeUnknown or RetryLater
-    fleet.wait(tenant)                     # nought, or how long a new tx of that tenant is told to wait
+    fleet.admission_delay(tenant)          # nought, or how long a new tx of that tenant is told to wait
 
 docs/agreement.md says why each may do what when. All times here are of CLOCK_BOOTTIME: no setting of the date moves it,
 and it goes on while the machine sleeps, so that who wakes up knows that its lease is over.
@@ -114,7 +114,7 @@
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
-class Fleet:
+class FleetMember:
     def __init__(
         self,
         reactor: Any,
@@ -145,7 +145,9 @@
         self.pings: dict[str, Ping] = {}
         self.held: frozenset[str] = frozenset()
         self.prepared: dict[int, tuple[str, Any]] = {}
-        self.agreed: Registry = host.registry  # what is in force; the host may be behind, and takes nothing then
+        self.agreed_registry: Registry = (
+            host.registry
+        )  # what is in force; the host may be behind, and takes nothing then
         self.unfit = ""  # why what is in force can't be had here
         self.unread = ""  # what of it can't be read here: for good, and all that follows waits for it
         self.waiters: dict[tuple[int, int], Deferred[None]] = {}
@@ -153,8 +155,8 @@
         self.passed: dict[int, tuple[str, Deferred[Reply]]] = {}  # to whom
         self.led = False  # as of the last look
         self.flushes: list[Deferred[None]] = []
-        self.carry_out: Callable[[Call], Deferred[Reply]] = lambda call: succeed(UNKNOWN)
-        self.news: Callable[[], None] = lambda: None
+        self.execute_call: Callable[[Call], Deferred[Reply]] = lambda call: succeed(UNKNOWN)
+        self.on_change: Callable[[], None] = lambda: None
         self.ended = False
         self.told_why = "not begun"
         self._live(life)
@@ -167,15 +169,15 @@
         self.core = Core(self.me, life.kept, self.figures, self.random, life.boot, now)
         self.marks = Marks(life.kept.term, bool(life.kept.voted), life.kept.log.last_term, life.kept.log.last)
         empty = self.founded is None and not life.was_of_fleet and not self.core.log.last
-        self.founding = Founding(self.me, tuple(self.fellows.places), self.agreed.version) if empty else None
+        self.founding = Founding(self.me, tuple(self.fellows.places), self.agreed_registry.version) if empty else None
         self._hold()
 
     # ---- beginning and end ----
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Raises Unfit."""
         try:
-            self.links.begin()
+            self.links.start()
         except CannotListenError as fault:
             raise Unfit("peers.members", f"{self.fellows.me}: can't be bound: {fault.socketError}") from fault
         many = len(self.fellows.places)
@@ -185,13 +187,13 @@
         self._tick()
         self._ping()
 
-    def resign(self) -> None:
+    def step_down(self) -> None:
         """It is told to end: another one leads, while this one finishes what it has taken."""
         self.core.resign(self.clock())
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.ended = True
-        self.links.end()
+        self.links.stop()
         self._flush()
         for waiting in list(self.waiters.values()):
             waiting.errback(OutcomeUnknown())
@@ -212,12 +214,12 @@
             if why:
                 logger.bind(cause=why, clock=time.monotonic_ns()).warning("takes nothing")
             else:
-                logger.bind(version=self.agreed.version, clock=time.monotonic_ns()).info("takes what comes")
+                logger.bind(version=self.agreed_registry.version, clock=time.monotonic_ns()).info("takes what comes")
         self.told_why = why
 
     # ---- whether a tx may be taken ----
 
-    def wait(self, tenant: str) -> int:
+    def admission_delay(self, tenant: str) -> int:
         if self.unread or self.unfit or not self.core.may(self.clock()):
             return FENCED
         return HELD if tenant in self.held else 0
@@ -293,7 +295,7 @@
             return
         self.reactor.callLater(PING, self._ping)
         body = msgspec.msgpack.encode(
-            Ping(self.agreed.version, self.founded, self.why_not(), self.trouble, self.core.leader)
+            Ping(self.agreed_registry.version, self.founded, self.why_not(), self.trouble, self.core.leader)
         )
         for name in self.members.others:
             self.links.ping(name, self._frame(name, What.PING, body))
@@ -306,7 +308,7 @@
                 self._found()
             elif self.me in ping.founded.roster.members:
                 self._begin_as(ping.founded)
-            elif self.agreed.version:
+            elif self.agreed_registry.version:
                 self.founding.conflict = "has a registry of its own, and the fleet is there: begin with an empty store"
             else:
                 self.founding = None  # a fleet that is there takes it in
@@ -406,7 +408,7 @@
         self.prepared.clear()
 
     def _after(self, commit: Commit) -> Registry:
-        tenants = {name: entry for name, entry in self.agreed.tenants.items() if name != commit.logged.tenant}
+        tenants = {name: entry for name, entry in self.agreed_registry.tenants.items() if name != commit.logged.tenant}
         if commit.entry is not None:
             tenants[commit.logged.tenant] = commit.entry
         return Registry(MappingProxyType(tenants), commit.logged.version)
@@ -439,7 +441,7 @@
 
     def _in_force(self, commit: Commit, prepared: Any) -> None:
         logged = commit.logged
-        self.agreed = after = self._after(commit)
+        self.agreed_registry = after = self._after(commit)
         try:
             if self.unfit:
                 raise Unfit("", self.unfit)
@@ -456,7 +458,7 @@
         logger.bind(
             tenant=logged.tenant, version=logged.version, who=logged.who, kind=logged.kind, clock=time.monotonic_ns()
         ).info("changed")
-        self.news()
+        self.on_change()
 
     def _cannot(self, name: str, fault: Unfit) -> None:
         if not self.unfit:
@@ -467,20 +469,20 @@
     def _installed(self, data: bytes) -> None:
         """What is in force came whole, as the log goes back no further."""
         try:
-            self.agreed = carried_of(data).registry()
+            self.agreed_registry = carried_of(data).registry()
         except StoreError as fault:
             logger.bind(cause=str(fault)).error("what is in force can't be read here")
             self.unread = "what is in force can't be read here"
             return
         self._unprepare()
         self._adopt()
-        self.news()
+        self.on_change()
 
     def _adopt(self) -> None:
         """Makes the host what is in force, tenant by tenant; tried again until it is."""
         if self.ended:
             return
-        self.unfit, there = "", self.agreed
+        self.unfit, there = "", self.agreed_registry
         for name in sorted({*there.tenants, *self.host.tenancies}):
             tenancy = self.host.tenancies.get(name)
             if there.tenants.get(name) == (tenancy.entry if tenancy is not None else None):
@@ -537,7 +539,7 @@
             self._write()
         self._flush()
 
-    def flushed(self) -> "Deferred[None]":
+    def when_flushed(self) -> "Deferred[None]":
         """Once all that is in force here is on disk, or can't be."""
         if not self.jobs or self.trouble or len(self.flushes) >= PASSED_MOST:
             return succeed(None)
@@ -574,7 +576,7 @@
 
     # ---- changes ----
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         return self.core.leads()
 
     def propose(self, commit: Commit) -> "Deferred[None]":
@@ -615,7 +617,7 @@
             if self.core.leader not in ("", leader):
                 reply.callback(UNKNOWN)  # to that one nobody listens any more
 
-    def pass_on(self, call: Call) -> "Deferred[Reply]":
+    def forward_to_leader(self, call: Call) -> "Deferred[Reply]":
         """A change that was asked for here goes to who leads; its reply comes back the same way."""
         leader = self.core.leader
         if not leader or leader == self.me.name or len(self.passed) >= PASSED_MOST:
@@ -647,8 +649,8 @@
         if told.call is not None:
             call = Call(*told.call)
             done = (
-                self.carry_out(call)
-                if self.leads()
+                self.execute_call(call)
+                if self.is_leader()
                 else succeed(problem(503, f"{self.me.name} leads no more", headers={"retry-after": "1"}))
             )
             done.addCallback(self._reply, sender, told.id)
@@ -661,14 +663,14 @@
         text = msgspec.msgpack.encode(Passed(id, None, (reply.status, body, dict(reply.headers))))
         self.links.send(to, self._frame(to, What.REPLY, text))
 
-    def answered(self, who: str, key: bytes) -> Answered | None:
+    def pending_answer(self, who: str, key: bytes) -> Answered | None:
         return self.unsaved.get((who, key))
 
-    def leave(self, name: str) -> Reply:
+    def remove_member(self, name: str) -> Reply:
         """Takes a member out, for good; here, where the fleet is led."""
         return self._members(self.core.leave, name, "leaving")
 
-    def join(self, name: str) -> Reply:
+    def readmit_member(self, name: str) -> Reply:
         """Lets one that was taken out come in again."""
         return self._members(self.core.welcome, name, "welcome")
 
@@ -698,7 +700,7 @@
                     "member": name in disks,
                     "leads": name == self.core.leader,
                     "reach": "here" if mine else believed.get(name, "not in the file"),
-                    "version": self.agreed.version if mine else ping.version if ping else None,
+                    "version": self.agreed_registry.version if mine else ping.version if ping else None,
                     "fenced": bool(why),
                     "why": why,
                     "disk": self.trouble if mine else ping.trouble if ping else "",
@@ -711,11 +713,11 @@
             "me": self.me.name,
             "leader": self.core.leader,
             "term": self.core.term,
-            "version": self.agreed.version,
+            "version": self.agreed_registry.version,
             "log": self.core.log.last,
             "committed": self.core.commit,
             "under_way": bool(open_at),
-            "waits_for": self.core.missing(now) if self.leads() else [],
+            "waits_for": self.core.missing(now) if self.is_leader() else [],
             "alone": "go-on" if self.fellows.go_on else "stop",
             "lease_ms": self.fellows.lease // MS,
             "members": rows,
--- a/ternquay/hosted/fleet/store.py
+++ b/ternquay/hosted/fleet/store.py
@@ -1,6 +1,6 @@
 """The store of a fleet's member: beside the registry's tables the log, its term and vote, and its disk's id.
 
-    store = FleetStore(path); life = store.begin_life()
+    store = FleetStore(path); life = store.begin_boot()
     store.carry([write, Applied(...), ...])      # all of them or none, on disk when it returns; raises StoreError
 
 Used by one thread alone, as the store that it is.
@@ -109,7 +109,7 @@
 
     # ---- a start ----
 
-    def begin_life(self) -> Life:
+    def begin_boot(self) -> Life:
         """One start more of this disk. Raises StoreError."""
         self._all_or_none(self._one_more)
         try:
--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -339,7 +339,7 @@
                 from ternquay.hosted.fleet.store import FleetStore
 
                 store = member = FleetStore(self.service.store)
-                life = member.begin_life()
+                life = member.begin_boot()
             else:
                 store = Store(self.service.store)
                 if store.of_a_fleet():
@@ -352,17 +352,17 @@
         self.keeper = Keeper(self.reactor, Api(self.service.operators), self.host, self.stored, time.time_ns)
         self.host.remove = self.keeper.remove
         if fellows is not None:
-            from ternquay.hosted.fleet.member import Fleet
+            from ternquay.hosted.fleet.member import FleetMember
 
             assert life is not None
-            self.fleet = Fleet(self.reactor, fellows, self.host, self.stored, member, life)
+            self.fleet = FleetMember(self.reactor, fellows, self.host, self.stored, member, life)
             self.keeper.join(self.fleet)
-            self.host.common.wait = self.fleet.wait
+            self.host.common.wait = self.fleet.admission_delay
 
     def begin(self) -> None:
         try:
             if self.fleet is not None:
-                self.fleet.begin()  # before any tenant takes anything
+                self.fleet.start()  # before any tenant takes anything
             self.host.begin()
             if self.service.api is not None:
                 from ternquay.hosted.administration.http import ApiPort
@@ -398,12 +398,12 @@
         if self.keeper is not None:
             self.keeper.end()
         if self.fleet is not None:
-            self.fleet.resign()
+            self.fleet.step_down()
         self.host.end()  # a member votes, and renews its lease, while it finishes what it has
 
     def over(self) -> None:
         if self.fleet is not None:
-            self.fleet.end()
+            self.fleet.stop()
         if self.stored is not None:
             self.stored.end()
 
--- a/ternquay/peers/links.py
+++ b/ternquay/peers/links.py
@@ -108,7 +108,7 @@
         self.connection.sendString(text)  # type: ignore[no-untyped-call]
         return True
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.ended = True
         if self.connection is not None:
             self.connection.transport.abortConnection()  # type: ignore[union-attr]
@@ -171,7 +171,7 @@
             self.dropped["half a frame"] += 1
             one.transport.abortConnection()  # type: ignore[union-attr]
 
-    def end(self) -> None:
+    def stop(self) -> None:
         if self.looks is not None and self.looks.active():
             self.looks.cancel()
 
@@ -219,7 +219,7 @@
         self.port: Any = None
         self.udp: Any = None
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Raises CannotListenError, with nothing left open."""
         host, port = self.listen
         self.port = self.reactor.listenTCP(port, self.door, 64, host)
@@ -242,12 +242,12 @@
         if name in self.others:
             self.pings.send(text, self.others[name])
 
-    def end(self) -> None:
+    def stop(self) -> None:
         for port in (self.port, self.udp):
             if port is not None:
                 port.stopListening()
-        self.door.end()
+        self.door.stop()
         for link in self.links.values():
-            link.end()
+            link.stop()
         for one in list(self.door.all):
             one.transport.abortConnection()  # type: ignore[union-attr]
--- a/tests/fleet_launcher.py
+++ b/tests/fleet_launcher.py
@@ -16,7 +16,7 @@
 
 def die(folder: Path) -> None:
     """Steps are counted from a proposal at the leader on: each message, each write begun and done, each outcome."""
-    from ternquay.hosted.fleet.member import Fleet
+    from ternquay.hosted.fleet.member import FleetMember
 
     file, count = folder / "step", {"left": 0}
 
@@ -28,15 +28,15 @@
                 os.kill(os.getpid(), signal.SIGKILL)
 
     def stepped(name: str) -> None:
-        real = getattr(Fleet, name)
+        real = getattr(FleetMember, name)
 
         def with_step(self: Any, *terms: Any) -> Any:
             step()
             return real(self, *terms)
 
-        setattr(Fleet, name, with_step)
+        setattr(FleetMember, name, with_step)
 
-    real_propose: Callable[..., Any] = Fleet.propose
+    real_propose: Callable[..., Any] = FleetMember.propose
 
     def propose(self: Any, commit: Any) -> Any:
         if file.exists():
@@ -45,7 +45,7 @@
 
     for name in ("_frame", "_write", "_written", "_outcome", "_in_force", "_reply"):
         stepped(name)
-    Fleet.propose = propose  # type: ignore[method-assign]
+    FleetMember.propose = propose  # type: ignore[method-assign]
 
 
 def jump(folder: Path) -> None:
@@ -61,7 +61,7 @@
     from ternquay.hosted.fleet import member as fleet
 
     real, began = fleet.clock, fleet.clock()
-    fleet.Fleet.__init__.__defaults__ = (lambda: began + (real() - began) // 3,)
+    fleet.FleetMember.__init__.__defaults__ = (lambda: began + (real() - began) // 3,)
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -10,7 +10,7 @@
 
 from ternquay.consensus.core import Outcome, Write
 from ternquay.consensus.messages import Unfitness
-from ternquay.hosted.fleet.member import Change, Fleet
+from ternquay.hosted.fleet.member import Change, FleetMember
 from ternquay.hosted.fleet.store import Applied, FleetStore, Founded
 from ternquay.hosted.service import Fellows
 from ternquay.hosted.tenants.registry import Registry
@@ -26,12 +26,12 @@
         return Deferred()
 
 
-def member(folder: Path, disk: Disk, names: str = "a") -> Fleet:
+def member(folder: Path, disk: Disk, names: str = "a") -> FleetMember:
     places = {name: Place("127.0.0.1", 9000 + n) for n, name in enumerate(names)}
     fellows = Fellows("f", "a", places, places["a"], b"k" * 32, 10**9, False, "", 64)
     store = FleetStore(folder / "registry.db")
     host: Any = SimpleNamespace(registry=Registry(), tenancies={})
-    return Fleet(Clock(), fellows, host, disk, store, store.begin_life(), lambda: 10**10)
+    return FleetMember(Clock(), fellows, host, disk, store, store.begin_boot(), lambda: 10**10)
 
 
 def test_a_fleet_is_founded_on_disk_in_one_step(tmp_path: Path) -> None:
@@ -41,7 +41,7 @@
     one._found()
     assert [type(job) for job in disk.batches[0]][:2] == [Founded, Write]
     one.store.carry(disk.batches[0])
-    life = one.store.begin_life()
+    life = one.store.begin_boot()
     assert life.founded is not None and life.kept.log.base_roster.names() == ("a",)
 
 
@@ -51,13 +51,13 @@
     one = member(tmp_path, disk)
     one._found()
     one.core.lease_until = 10**12
-    assert one.wait("sur") == 0
+    assert one.admission_delay("sur") == 0
     good = msgspec.msgpack.encode(Change("sur", 1, 1, "w", "gone", b"{}", None, None, None))
     one._outcome(Outcome(5, 4, 1, b"\xc1 nothing", True, Unfitness()))
-    assert one.wait("sur") > 0 and "can't be read" in one.why_not()
+    assert one.admission_delay("sur") > 0 and "can't be read" in one.why_not()
     one._adopt()  # as a timer from before may
     one._outcome(Outcome(7, 6, 1, good, True, Unfitness()))
-    assert one.wait("sur") > 0
+    assert one.admission_delay("sur") > 0
     assert not [job for batch in [*disk.batches, one.jobs] for job in batch if isinstance(job, Applied)]
 
 
@@ -67,11 +67,11 @@
     one = member(tmp_path, disk)
     one._found()
     told: list[None] = []
-    one.flushed().addCallback(told.append)
+    one.when_flushed().addCallback(told.append)
     for at in range(10):
         assert told == [] or not one.jobs
         if at < len(disk.batches):
             one._written(None, disk.batches[at])
     assert told == [None] and not one.jobs
-    one.flushed().addCallback(told.append)
+    one.when_flushed().addCallback(told.append)
     assert len(told) == 2
--- a/tests/test_half_messages.py
+++ b/tests/test_half_messages.py
@@ -73,5 +73,5 @@
     assert dropped["half a frame"] >= 2
     for one in links:
         one.connectionLost(connectionDone)
-    door.end()
+    door.stop()
     assert not clock.getDelayedCalls()
