--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -33,9 +33,9 @@
 from ternquay.hosted.store import Answered, Commit, Logged, Noted, StoreError, kept, unkept
 from ternquay.hosted.tenants.registry import Entry, Registry
 from ternquay.hosted.tenants.tenant import Unfit
-from ternquay.peers.frames import VERSION, Dropped, Frame, Marks, What, opened, sealed
+from ternquay.peers.frames import FRAME_VERSION, DurableState, Frame, FrameKind, FrameRejected, open_frame, seal
 from ternquay.peers.links import Links
-from ternquay.peers.members import Members
+from ternquay.peers.peer_table import PeerTable
 
 SECOND, MS = 1_000_000_000, 1_000_000
 PING, SUSPECT = 0.25, 1500 * MS
@@ -130,7 +130,7 @@
         self.figures = Figures.of(fellows.lease, fellows.go_on)
         self.patience = PATIENCE + 3 * fellows.lease / SECOND
         others = {name: place for name, place in fellows.places.items() if name != fellows.me}
-        self.members = Members(tuple(others), SUSPECT)
+        self.peer_table = PeerTable(tuple(others), SUSPECT)
         self.links = Links(
             reactor,
             (fellows.listen.host, fellows.listen.port),
@@ -141,7 +141,7 @@
         self.jobs: deque[Job] = deque()
         self.writing = self.reading = False
         self.trouble = ""
-        self.marks = Marks()
+        self.durable = DurableState()
         self.pings: dict[str, Ping] = {}
         self.held: frozenset[str] = frozenset()
         self.prepared: dict[int, tuple[str, Any]] = {}
@@ -167,7 +167,7 @@
         self.life, self.founded = life, life.founded
         self.me = Member(self.fellows.me, life.disk)
         self.core = Core(self.me, life.kept, self.figures, self.random, life.boot, now)
-        self.marks = Marks(life.kept.term, bool(life.kept.voted), life.kept.log.last_term, life.kept.log.last)
+        self.durable = DurableState(life.kept.term, bool(life.kept.voted), life.kept.log.last_term, life.kept.log.last)
         empty = self.founded is None and not life.was_of_fleet and not self.core.log.last
         self.founding = Founding(self.me, tuple(self.fellows.places), self.agreed_registry.version) if empty else None
         self._hold()
@@ -240,18 +240,18 @@
 
     # ---- frames ----
 
-    def _frame(self, to: str, what: What, body: bytes) -> bytes:
+    def _frame(self, to: str, what: FrameKind, body: bytes) -> bytes:
         founded = self.founded.id if self.founded is not None else ""
-        return sealed(
+        return seal(
             Frame(
-                VERSION,
+                FRAME_VERSION,
                 self.fellows.fleet,
                 founded,
                 self.me.name,
                 self.me.disk,
                 self.life.boot,
                 to,
-                self.marks,
+                self.durable,
                 what,
                 body,
             ),
@@ -262,29 +262,31 @@
         """Whatever it is, it ends nothing here. Whether it came from a member."""
         founded = self.founded.id if self.founded is not None else ""
         try:
-            frame = opened(text, self.fellows.key, self.fellows.fleet, self.me.name, founded)
-            self.members.heard(frame, self.clock())
-        except Dropped as dropped:
-            self.links.dropped[str(dropped)] += 1
+            frame = open_frame(text, self.fellows.key, self.fellows.fleet, self.me.name, founded)
+            self.peer_table.record(frame, self.clock())
+        except FrameRejected as dropped:
+            self.links.drop_counts[str(dropped)] += 1
             if str(dropped) == "set back":
-                self.links.send(frame.sender, self._frame(frame.sender, What.SET_BACK, encoded_int(frame.boot)))
+                self.links.send(
+                    frame.sender, self._frame(frame.sender, FrameKind.DISK_ROLLED_BACK, encoded_int(frame.boot_id))
+                )
             return str(dropped) in ("set back", "start")
         try:
             self._heard(frame)
         except ValueError:  # of the decoders
-            self.links.dropped["form"] += 1
+            self.links.drop_counts["form"] += 1
         return True
 
     def _heard(self, frame: Frame) -> None:
-        now, sender = self.clock(), Member(frame.sender, frame.disk)
+        now, sender = self.clock(), Member(frame.sender, frame.disk_id)
         self.core.learners[sender.name] = sender.disk
-        if frame.what is What.AGREEMENT:
+        if frame.kind is FrameKind.CONSENSUS:
             if self.founding is None:
                 self.core.receive(sender, decoded(frame.body), now)
                 self._drive()
-        elif frame.what is What.PING:
+        elif frame.kind is FrameKind.PING:
             self._pinged(sender, _ping.decode(frame.body))
-        elif frame.what is What.SET_BACK:
+        elif frame.kind is FrameKind.DISK_ROLLED_BACK:
             if msgspec.msgpack.decode(frame.body, type=int) == self.life.boot:
                 self._set_back()
         else:
@@ -297,8 +299,8 @@
         body = msgspec.msgpack.encode(
             Ping(self.agreed_registry.version, self.founded, self.why_not(), self.trouble, self.core.leader)
         )
-        for name in self.members.others:
-            self.links.ping(name, self._frame(name, What.PING, body))
+        for name in self.peer_table.peers:
+            self.links.ping(name, self._frame(name, FrameKind.PING, body))
 
     def _pinged(self, sender: Member, ping: Ping) -> None:
         self.pings[sender.name] = ping
@@ -371,7 +373,7 @@
         self._hold()
         out, core.out = core.out, []
         for name, message in out:
-            self.links.send(name, self._frame(name, What.AGREEMENT, encoded(message)))
+            self.links.send(name, self._frame(name, FrameKind.CONSENSUS, encoded(message)))
         if core.wants_snapshot and not self.reading:
             self.reading = True
             self.stored.do(self.store.snapshot).addCallbacks(self._snapshot, self._no_snapshot)
@@ -467,7 +469,7 @@
         self.unfit = f"tenants.{name}.{fault.field}: {fault.why}" if fault.field else fault.why
 
     def _installed(self, data: bytes) -> None:
-        """What is in force came whole, as the log goes back no further."""
+        """FrameKind is in force came whole, as the log goes back no further."""
         try:
             self.agreed_registry = carried_of(data).registry()
         except StoreError as fault:
@@ -522,11 +524,13 @@
             if isinstance(job, Write):
                 number = job.number
                 if job.install is not None:
-                    self.marks = Marks(job.term, bool(job.voted), job.install.term, job.install.index)
+                    self.durable = DurableState(job.term, bool(job.voted), job.install.term, job.install.index)
                 elif job.entries:
-                    self.marks = Marks(job.term, bool(job.voted), job.entries[-1].term, job.cut + len(job.entries))
+                    self.durable = DurableState(
+                        job.term, bool(job.voted), job.entries[-1].term, job.cut + len(job.entries)
+                    )
                 else:
-                    self.marks = Marks(job.term, bool(job.voted), self.marks.last_term, self.marks.last)
+                    self.durable = DurableState(job.term, bool(job.voted), self.durable.last_term, self.durable.last)
             elif isinstance(job, Applied):
                 if job.change is not None and job.change.answered is not None:
                     self.unsaved.pop((job.change.answered.who, job.change.answered.key), None)
@@ -642,7 +646,7 @@
 
         reply.addCallback(over)
         text = Passed(id, (call.method, call.path, dict(call.query), dict(call.headers), call.body, call.peer))
-        self.links.send(leader, self._frame(leader, What.CALL, msgspec.msgpack.encode(text)))
+        self.links.send(leader, self._frame(leader, FrameKind.CALL, msgspec.msgpack.encode(text)))
         return reply
 
     def _passed_on(self, sender: str, told: Passed) -> None:
@@ -661,7 +665,7 @@
     def _reply(self, reply: Reply, to: str, id: int) -> None:
         body = orjson.dumps(reply.body) if reply.body is not None else b""
         text = msgspec.msgpack.encode(Passed(id, None, (reply.status, body, dict(reply.headers))))
-        self.links.send(to, self._frame(to, What.REPLY, text))
+        self.links.send(to, self._frame(to, FrameKind.REPLY, text))
 
     def pending_answer(self, who: str, key: bytes) -> Answered | None:
         return self.unsaved.get((who, key))
@@ -687,7 +691,7 @@
     # ---- what is told ----
 
     def status(self) -> dict[str, Any]:
-        now, believed = self.clock(), self.members.believed(self.clock())
+        now, believed = self.clock(), self.peer_table.reachability(self.clock())
         roster = self.core.roster()
         disks = {one.name: one.disk for one in roster.members}
         rows = []
@@ -722,12 +726,12 @@
             "lease_ms": self.fellows.lease // MS,
             "members": rows,
             "out": list(roster.out),
-            "dropped": dict(sorted(self.links.dropped.items())),
+            "dropped": dict(sorted(self.links.drop_counts.items())),
         }
 
     def _age(self, name: str, now: int) -> int | None:
-        known = self.members.others.get(name)
-        return (now - known.heard) // MS if known is not None and known.heard else None
+        known = self.peer_table.peers.get(name)
+        return (now - known.heard_at) // MS if known is not None and known.heard_at else None
 
 
 def encoded_int(number: int) -> bytes:
--- a/ternquay/hosted/fleet/store.py
+++ b/ternquay/hosted/fleet/store.py
@@ -19,7 +19,7 @@
 from ternquay.hosted.store import ANSWERS_MOST, Commit, Store, StoreError, unkept
 from ternquay.hosted.tenants.registry import Entry as Tenant
 from ternquay.hosted.tenants.registry import Registry
-from ternquay.peers.members import COUNTER
+from ternquay.peers.peer_table import BOOT_RANDOM_BITS
 
 TABLES = """
 CREATE TABLE IF NOT EXISTS fleet_meta (name TEXT PRIMARY KEY, value BLOB NOT NULL) WITHOUT ROWID;
@@ -121,7 +121,7 @@
         if self._told(db, "disk") is None:
             self._tell(db, disk=token_hex(8), boots=0)
         boots = int(self._told(db, "boots") or b"0") + 1
-        self._tell(db, boots=boots, boot=boots << COUNTER | randbits(COUNTER))
+        self._tell(db, boots=boots, boot=boots << BOOT_RANDOM_BITS | randbits(BOOT_RANDOM_BITS))
 
     def _life(self) -> Life:
         db = self._ready()
--- a/ternquay/hosted/service.py
+++ b/ternquay/hosted/service.py
@@ -27,7 +27,7 @@
 from ternquay.hosted.tenants.tenancy import Process
 from ternquay.hosted.tenants.tenant import Key, Place, Scope, Tenant, Unfit, placed
 from ternquay.net.launch import descriptors
-from ternquay.peers.frames import KEY_LEAST
+from ternquay.peers.frames import MIN_KEY_BYTES
 
 MS = 1_000_000
 FELLOWS_MOST = 15
@@ -232,8 +232,8 @@
         key = (path.parent / told.key_file).read_bytes().strip()
     except OSError as fault:
         raise Unfit("peers.key_file", f"{told.key_file}: {fault.strerror}") from fault
-    if len(key) < KEY_LEAST:
-        raise Unfit("peers.key_file", f"{KEY_LEAST} bytes at least are wanted")
+    if len(key) < MIN_KEY_BYTES:
+        raise Unfit("peers.key_file", f"{MIN_KEY_BYTES} bytes at least are wanted")
     return key
 
 
--- a/ternquay/peers/frames.py
+++ b/ternquay/peers/frames.py
@@ -1,7 +1,7 @@
 """Frames between members of a fleet: what goes over a link, and what is dropped.
 
-    text = sealed(Frame(...), key)
-    frame = opened(text, key, fleet, me, founded)      # raises Dropped, with the reason by which it is counted
+    text = seal(Frame(...), key)
+    frame = open_frame(text, key, fleet, me, founded)      # raises FrameRejected with a short reason
 
 A digest with a key that all members have (RFC 2104, SHA-256) keeps out who isn't of the fleet, no more than that:
 nothing is hidden from who can read the wire, and a frame that is sent again is taken again, so what a body says has
@@ -13,33 +13,33 @@
 
 import msgspec
 
-VERSION = 1  # of the form; others are dropped and counted, as between two versions of the program
-FRAME_MOST = 1 << 20
-DIGEST = 16  # bytes of it that a frame carries
-KEY_LEAST = 16
+FRAME_VERSION = 1  # of the form; others are dropped and counted, as between two versions of the program
+MAX_FRAME_BYTES = 1 << 20
+DIGEST_BYTES = 16  # bytes of it that a frame carries
+MIN_KEY_BYTES = 16
 
 
-class Dropped(ValueError):
+class FrameRejected(ValueError):
     """A frame that isn't taken; the text is one of a few words."""
 
 
-class What(IntEnum):
+class FrameKind(IntEnum):
     PING = 0
-    AGREEMENT = 1
+    CONSENSUS = 1
     CALL = 2
     REPLY = 3
-    SET_BACK = 4  # the receiver's disk is an old copy
+    DISK_ROLLED_BACK = 4  # the receiver's disk is an old copy
 
 
-class Marks(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """What a disk holds that others may count on; it never gets less while it is the same disk."""
+class DurableState(msgspec.Struct, frozen=True, array_like=True, order=True):
+    """FrameKind a disk holds that others may count on; it never gets less while it is the same disk."""
 
     term: int = 0
     voted: bool = False
     last_term: int = 0
     last: int = 0
 
-    def less_than(self, other: "Marks") -> bool:
+    def is_behind(self, other: "DurableState") -> bool:
         return (self.term, self.voted) < (other.term, other.voted) or (self.last_term, self.last) < (
             other.last_term,
             other.last,
@@ -49,13 +49,13 @@
 class Frame(msgspec.Struct, frozen=True, array_like=True):
     version: int
     fleet: str
-    founded: str  # the id of the fleet that it was founded as, "" before that
+    fleet_id: str  # the id of the fleet that it was founded as, "" before that
     sender: str
-    disk: str
-    boot: int  # of this process: rises with each start, its last 20 bits are drawn
-    to: str
-    marks: Marks
-    what: What
+    disk_id: str
+    boot_id: int  # of this process: rises with each start, its last 20 bits are drawn
+    recipient: str
+    durable: DurableState
+    kind: FrameKind
     body: bytes
 
 
@@ -67,25 +67,25 @@
 _head = msgspec.msgpack.Decoder(_Head)
 
 
-def sealed(frame: Frame, key: bytes) -> bytes:
+def seal(frame: Frame, key: bytes) -> bytes:
     text = msgspec.msgpack.encode(frame)
-    return hmac.digest(key, text, "sha256")[:DIGEST] + text
+    return hmac.digest(key, text, "sha256")[:DIGEST_BYTES] + text
 
 
-def opened(text: bytes, key: bytes, fleet: str, me: str, founded: str) -> Frame:
-    """Raises Dropped."""
-    if len(text) > FRAME_MOST or len(text) <= DIGEST:
-        raise Dropped("size")
-    if not hmac.compare_digest(text[:DIGEST], hmac.digest(key, text[DIGEST:], "sha256")[:DIGEST]):
-        raise Dropped("digest")
+def open_frame(text: bytes, key: bytes, fleet: str, me: str, fleet_id: str) -> Frame:
+    """Raises FrameRejected."""
+    if len(text) > MAX_FRAME_BYTES or len(text) <= DIGEST_BYTES:
+        raise FrameRejected("size")
+    if not hmac.compare_digest(text[:DIGEST_BYTES], hmac.digest(key, text[DIGEST_BYTES:], "sha256")[:DIGEST_BYTES]):
+        raise FrameRejected("digest")
     try:
-        if _head.decode(text[DIGEST:]).version != VERSION:
-            raise Dropped("version")
-        frame = _decoder.decode(text[DIGEST:])
+        if _head.decode(text[DIGEST_BYTES:]).version != FRAME_VERSION:
+            raise FrameRejected("version")
+        frame = _decoder.decode(text[DIGEST_BYTES:])
     except msgspec.DecodeError as fault:
-        raise Dropped("form") from fault
-    if frame.fleet != fleet or (founded and frame.founded and frame.founded != founded):
-        raise Dropped("fleet")
-    if frame.to != me or frame.sender == me:
-        raise Dropped("address")
+        raise FrameRejected("form") from fault
+    if frame.fleet != fleet or (fleet_id and frame.fleet_id and frame.fleet_id != fleet_id):
+        raise FrameRejected("fleet")
+    if frame.recipient != me or frame.sender == me:
+        raise FrameRejected("address")
     return frame
--- a/ternquay/peers/links.py
+++ b/ternquay/peers/links.py
@@ -1,7 +1,7 @@
 """Links between members on TCP, and pings on UDP at the same port: bytes in, bytes out, nothing decided.
 
-One connection from each member to each other, for what that one has to say; so a cut one way is one. What can't go
-out now is dropped and counted: who has something to say says it again.
+One connection from each member to each other, for what that one has to say; so a cut one way is one. FrameKind can't go
+out now is drop_counts and counted: who has something to say says it again.
 """
 
 import socket
@@ -20,38 +20,40 @@
 from zope.interface import implementer
 
 from ternquay.net.request_deadline import SECOND, Part, Position, RequestDeadline
-from ternquay.peers.frames import FRAME_MOST
+from ternquay.peers.frames import MAX_FRAME_BYTES
 
-DIAL, AGAIN = 0.5, 0.2  # seconds
-GONE_MS = 2000  # without an acknowledgement of what was sent, a connection is over
-UNPROVEN_MOST, UNPROVEN_S = 32, 5.0
-LOOK = 0.25  # seconds between two looks for frames that stand still
-DATAGRAM_MOST = 8192
+CONNECT_TIMEOUT_SECONDS = 0.5
+RECONNECT_DELAY_SECONDS = 0.2
+TCP_USER_TIMEOUT_MS = 2000  # without an acknowledgement of what was sent, a connection is over
+MAX_UNAUTHENTICATED_LINKS = 32
+AUTHENTICATION_TIMEOUT_SECONDS = 5.0
+STALL_CHECK_INTERVAL_SECONDS = 0.25  # seconds between two looks for frames that stand still
+MAX_DATAGRAM_BYTES = 8192
 
-Where = tuple[str, int]
+Address = tuple[str, int]
 
 
 @implementer(IPushProducer)
-class Outgoing(Int32StringReceiver):
+class OutgoingConnection(Int32StringReceiver):
     MAX_LENGTH = 64
-    full = False
+    buffer_full = False
 
     def connectionMade(self) -> None:
         assert self.transport is not None
         self.transport.setTcpNoDelay(True)
         with suppress(AttributeError, OSError):
-            self.transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, GONE_MS)
+            self.transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
         self.transport.registerProducer(self, True)
-        self.factory.link.connected(self)
+        self.factory.link.connection_made(self)
 
     def pauseProducing(self) -> None:
-        self.full = True
+        self.buffer_full = True
 
     def resumeProducing(self) -> None:
-        self.full = False
+        self.buffer_full = False
 
     def stopProducing(self) -> None:
-        self.full = True
+        self.buffer_full = True
 
     def stringReceived(self, string: bytes) -> None:
         """Nothing is said here."""
@@ -60,177 +62,182 @@
         self.transport.abortConnection()  # type: ignore[union-attr]
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.factory.link.lost(self)
+        self.factory.link.connection_lost(self)
 
 
-class Dialler(ClientFactory):
-    protocol = Outgoing
+class LinkFactory(ClientFactory):
+    protocol = OutgoingConnection
     noisy = False
 
     def __init__(self, link: "Link") -> None:
         self.link = link
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self.link.again()
+        self.link.reconnect_later()
 
 
 class Link:
     """To one other member."""
 
-    def __init__(self, reactor: Any, where: Where, random: Random, dropped: "Counter[str]") -> None:
-        self.reactor, self.where, self.random, self.dropped = reactor, where, random, dropped
-        self.connection: Outgoing | None = None
-        self.ended = False
+    def __init__(self, reactor: Any, address: Address, random: Random, drop_counts: "Counter[str]") -> None:
+        self.reactor, self.address, self.random, self.drop_counts = reactor, address, random, drop_counts
+        self.connection: OutgoingConnection | None = None
+        self.stopped = False
 
-    def dial(self) -> None:
-        if not self.ended:
-            self.reactor.connectTCP(*self.where, Dialler(self), timeout=DIAL)
+    def connect(self) -> None:
+        if not self.stopped:
+            self.reactor.connectTCP(*self.address, LinkFactory(self), timeout=CONNECT_TIMEOUT_SECONDS)
 
-    def again(self) -> None:
-        if not self.ended:
-            self.reactor.callLater(AGAIN * (0.5 + self.random.random()), self.dial)
+    def reconnect_later(self) -> None:
+        if not self.stopped:
+            self.reactor.callLater(RECONNECT_DELAY_SECONDS * (0.5 + self.random.random()), self.connect)
 
-    def connected(self, connection: Outgoing) -> None:
-        if self.ended:
+    def connection_made(self, connection: OutgoingConnection) -> None:
+        if self.stopped:
             connection.transport.abortConnection()  # type: ignore[union-attr]
             return
         self.connection = connection
 
-    def lost(self, connection: Outgoing) -> None:
+    def connection_lost(self, connection: OutgoingConnection) -> None:
         if self.connection is connection:
             self.connection = None
-            self.again()
+            self.reconnect_later()
 
     def send(self, text: bytes) -> bool:
-        if self.connection is None or self.connection.full:
-            self.dropped["no link" if self.connection is None else "link full"] += 1
+        if self.connection is None or self.connection.buffer_full:
+            self.drop_counts["no link" if self.connection is None else "link full"] += 1
             return False
         self.connection.sendString(text)  # type: ignore[no-untyped-call]
         return True
 
     def stop(self) -> None:
-        self.ended = True
+        self.stopped = True
         if self.connection is not None:
             self.connection.transport.abortConnection()  # type: ignore[union-attr]
 
 
-class Incoming(Int32StringReceiver):
-    MAX_LENGTH = FRAME_MOST
-    proven = False
-    factory: "Door"
+class IncomingLink(Int32StringReceiver):
+    MAX_LENGTH = MAX_FRAME_BYTES
+    authenticated = False
+    factory: "LinkListener"
 
     def __init__(self) -> None:
-        self.frames = 0
+        self.frame_count = 0
         self.deadline = RequestDeadline()
 
     def connectionMade(self) -> None:
-        self.factory.came(self)
+        self.factory.link_made(self)
 
     def dataReceived(self, data: bytes) -> None:
         super().dataReceived(data)  # type: ignore[no-untyped-call]
         # A frame is a value whose length was told: one that does not go on holds up all behind it.
         part = Part.VALUE if self._unprocessed else Part.NONE
-        self.deadline.read(self.factory.now(), Position(part, self.frames), len(data))
+        self.deadline.read(self.factory.now(), Position(part, self.frame_count), len(data))
 
-    def overdue(self) -> bool:
+    def is_stalled(self) -> bool:
         """Whether a frame has begun to arrive and is not whole in its time: the link may be out of step."""
         due = self.deadline.due()
         return due is not None and self.factory.now() >= due
 
     def stringReceived(self, string: bytes) -> None:
-        self.frames += 1
-        if self.factory.taken(string):
-            self.proven = True
-        elif not self.proven:
+        self.frame_count += 1
+        if self.factory.on_frame(string):
+            self.authenticated = True
+        elif not self.authenticated:
             self.transport.abortConnection()  # type: ignore[union-attr]
 
     def lengthLimitExceeded(self, length: int) -> None:
-        self.factory.dropped["size"] += 1
+        self.factory.drop_counts["size"] += 1
         self.transport.abortConnection()  # type: ignore[union-attr]
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.factory.left(self)
+        self.factory.link_lost(self)
 
 
-class Door(Factory):
-    protocol = Incoming  # type: ignore[assignment]
+class LinkListener(Factory):
+    protocol = IncomingLink  # type: ignore[assignment]
     noisy = False
 
-    def __init__(self, reactor: Any, taken: Callable[[bytes], bool], dropped: "Counter[str]") -> None:
-        self.reactor, self.taken, self.dropped = reactor, taken, dropped
-        self.all: dict[Incoming, None] = {}
-        self.looks: Any = None  # the next look for frames that are overdue
+    def __init__(self, reactor: Any, on_frame: Callable[[bytes], bool], drop_counts: "Counter[str]") -> None:
+        self.reactor, self.on_frame, self.drop_counts = reactor, on_frame, drop_counts
+        self.links: dict[IncomingLink, None] = {}
+        self.stall_check: Any = None  # the next look for frames that are overdue
 
     def now(self) -> int:
         return int(self.reactor.seconds() * SECOND)
 
-    def look(self) -> None:
+    def check_stalls(self) -> None:
         """Ends the links on which a frame stands still."""
-        self.looks = self.reactor.callLater(LOOK, self.look)
-        for one in [one for one in self.all if one.overdue()]:
-            self.dropped["half a frame"] += 1
+        self.stall_check = self.reactor.callLater(STALL_CHECK_INTERVAL_SECONDS, self.check_stalls)
+        for one in [one for one in self.links if one.is_stalled()]:
+            self.drop_counts["half a frame"] += 1
             one.transport.abortConnection()  # type: ignore[union-attr]
 
     def stop(self) -> None:
-        if self.looks is not None and self.looks.active():
-            self.looks.cancel()
-
-    def came(self, one: Incoming) -> None:
-        unproven = [other for other in self.all if not other.proven]
-        if len(unproven) >= UNPROVEN_MOST:
-            unproven[0].transport.abortConnection()  # type: ignore[union-attr]
-        self.all[one] = None
-        self.reactor.callLater(UNPROVEN_S, self._look, one)
-
-    def _look(self, one: Incoming) -> None:
-        if one in self.all and not one.proven:
+        if self.stall_check is not None and self.stall_check.active():
+            self.stall_check.cancel()
+
+    def link_made(self, one: IncomingLink) -> None:
+        unauthenticated = [other for other in self.links if not other.authenticated]
+        if len(unauthenticated) >= MAX_UNAUTHENTICATED_LINKS:
+            unauthenticated[0].transport.abortConnection()  # type: ignore[union-attr]
+        self.links[one] = None
+        self.reactor.callLater(AUTHENTICATION_TIMEOUT_SECONDS, self._close_unauthenticated, one)
+
+    def _close_unauthenticated(self, one: IncomingLink) -> None:
+        if one in self.links and not one.authenticated:
             one.transport.abortConnection()  # type: ignore[union-attr]
 
-    def left(self, one: Incoming) -> None:
-        self.all.pop(one, None)
+    def link_lost(self, one: IncomingLink) -> None:
+        self.links.pop(one, None)
 
 
-class Pings(DatagramProtocol):
+class PingSocket(DatagramProtocol):
     noisy = False
 
-    def __init__(self, taken: Callable[[bytes], bool]) -> None:
-        self.taken = taken
+    def __init__(self, on_frame: Callable[[bytes], bool]) -> None:
+        self.on_frame = on_frame
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        self.taken(datagram)
+        self.on_frame(datagram)
 
-    def send(self, text: bytes, where: Where) -> None:
-        if self.transport is not None and len(text) <= DATAGRAM_MOST:
+    def send(self, text: bytes, address: Address) -> None:
+        if self.transport is not None and len(text) <= MAX_DATAGRAM_BYTES:
             with suppress(OSError):
-                self.transport.write(text, where)  # type: ignore[call-arg, arg-type]
+                self.transport.write(text, address)  # type: ignore[call-arg, arg-type]
 
 
 class Links:
-    """`taken` is told each frame as it came, and says whether it was one."""
+    """`on_frame` is told each frame as it came, and says whether it was one."""
 
     def __init__(
-        self, reactor: Any, listen: Where, others: Mapping[str, Where], taken: Callable[[bytes], bool], random: Random
+        self,
+        reactor: Any,
+        listen: Address,
+        addresses: Mapping[str, Address],
+        on_frame: Callable[[bytes], bool],
+        random: Random,
     ) -> None:
-        self.reactor, self.listen, self.others = reactor, listen, dict(others)
-        self.dropped: Counter[str] = Counter()
-        self.door = Door(reactor, taken, self.dropped)
-        self.pings = Pings(taken)
-        self.links = {name: Link(reactor, where, random, self.dropped) for name, where in others.items()}
-        self.port: Any = None
-        self.udp: Any = None
+        self.reactor, self.listen, self.addresses = reactor, listen, dict(addresses)
+        self.drop_counts: Counter[str] = Counter()
+        self.listener = LinkListener(reactor, on_frame, self.drop_counts)
+        self.ping_socket = PingSocket(on_frame)
+        self.links = {name: Link(reactor, address, random, self.drop_counts) for name, address in addresses.items()}
+        self.tcp_port: Any = None
+        self.udp_port: Any = None
 
     def start(self) -> None:
         """Raises CannotListenError, with nothing left open."""
         host, port = self.listen
-        self.port = self.reactor.listenTCP(port, self.door, 64, host)
+        self.tcp_port = self.reactor.listenTCP(port, self.listener, 64, host)
         try:
-            self.udp = self.reactor.listenUDP(port, self.pings, host, DATAGRAM_MOST)
+            self.udp_port = self.reactor.listenUDP(port, self.ping_socket, host, MAX_DATAGRAM_BYTES)
         except CannotListenError:
-            self.port.stopListening()
+            self.tcp_port.stopListening()
             raise
         for link in self.links.values():
-            link.dial()
-        self.door.look()
+            link.connect()
+        self.listener.check_stalls()
         logger.info("members of the fleet reach this one at {}:{}", host, port)
 
     def send(self, name: str, text: bytes) -> None:
@@ -239,15 +246,15 @@
             link.send(text)
 
     def ping(self, name: str, text: bytes) -> None:
-        if name in self.others:
-            self.pings.send(text, self.others[name])
+        if name in self.addresses:
+            self.ping_socket.send(text, self.addresses[name])
 
     def stop(self) -> None:
-        for port in (self.port, self.udp):
+        for port in (self.tcp_port, self.udp_port):
             if port is not None:
                 port.stopListening()
-        self.door.stop()
+        self.listener.stop()
         for link in self.links.values():
             link.stop()
-        for one in list(self.door.all):
+        for one in list(self.listener.links):
             one.transport.abortConnection()  # type: ignore[union-attr]
--- a/tests/test_half_messages.py
+++ b/tests/test_half_messages.py
@@ -9,7 +9,7 @@
 from twisted.internet.testing import StringTransport
 
 from ternquay.net.http import CallIn, CallLimits, CallPort
-from ternquay.peers.links import Door, Incoming
+from ternquay.peers.links import IncomingLink, LinkListener
 
 
 class Port(CallPort):
@@ -55,12 +55,12 @@
 def test_a_link_between_members_on_which_half_a_frame_stands_still_is_ended() -> None:
     clock: Any = Clock()
     dropped: Counter[str] = Counter()
-    door = Door(clock, lambda text: True, dropped)
-    door.look()
-    links = [Incoming() for _ in range(3)]
+    listener = LinkListener(clock, lambda text: True, dropped)
+    listener.check_stalls()
+    links = [IncomingLink() for _ in range(3)]
     transports = []
     for one in links:
-        one.factory = door
+        one.factory = listener
         transports.append(opened(one))
     whole, half, steps = b"\0\0\0\x02ab", b"\0\x0f\0\0ab", b"\0\0\0\x64" + b"x" * 100
     for second in range(8):
@@ -73,5 +73,5 @@
     assert dropped["half a frame"] >= 2
     for one in links:
         one.connectionLost(connectionDone)
-    door.stop()
+    listener.stop()
     assert not clock.getDelayedCalls()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,28 +9,39 @@
 from ternquay.consensus.founding import Founding
 from ternquay.consensus.messages import Member, decoded
 from ternquay.hosted.service import ServiceError, read_service
-from ternquay.peers.frames import DIGEST, FRAME_MOST, Dropped, Frame, Marks, What, opened, sealed
-from ternquay.peers.members import COUNTER, Members
+from ternquay.peers.frames import (
+    DIGEST_BYTES,
+    MAX_FRAME_BYTES,
+    DurableState,
+    Frame,
+    FrameKind,
+    FrameRejected,
+    open_frame,
+    seal,
+)
+from ternquay.peers.peer_table import BOOT_RANDOM_BITS, PeerTable
 
 KEY, OTHER = b"k" * 32, b"o" * 32
-FRAME = Frame(1, "f", "id", "a", "disk", 1 << COUNTER | 7, "b", Marks(1, True, 1, 5), What.PING, b"body")
+FRAME = Frame(
+    1, "f", "id", "a", "disk", 1 << BOOT_RANDOM_BITS | 7, "b", DurableState(1, True, 1, 5), FrameKind.PING, b"body"
+)
 
 
 def dropped(text: bytes, **terms: str) -> str:
-    told = {"fleet": "f", "me": "b", "founded": "id"} | terms
-    with pytest.raises(Dropped) as found:
-        opened(text, KEY, **told)
+    told = {"fleet": "f", "me": "b", "fleet_id": "id"} | terms
+    with pytest.raises(FrameRejected) as found:
+        open_frame(text, KEY, **told)
     return str(found.value)
 
 
 def test_a_frame_is_taken_whole_or_dropped_for_a_reason() -> None:
-    text = sealed(FRAME, KEY)
-    assert opened(text, KEY, "f", "b", "id") == opened(text, KEY, "f", "b", "") == FRAME
-    assert dropped(sealed(FRAME, OTHER)) == "digest"
-    assert dropped(text, fleet="g") == "fleet" and dropped(text, founded="other") == "fleet"
+    text = seal(FRAME, KEY)
+    assert open_frame(text, KEY, "f", "b", "id") == open_frame(text, KEY, "f", "b", "") == FRAME
+    assert dropped(seal(FRAME, OTHER)) == "digest"
+    assert dropped(text, fleet="g") == "fleet" and dropped(text, fleet_id="other") == "fleet"
     assert dropped(text, me="c") == "address" and dropped(text, me="a") == "address"
-    assert dropped(b"") == dropped(text[:DIGEST]) == dropped(b"x" * (FRAME_MOST + 1)) == "size"
-    assert dropped(sealed(msgspec.structs.replace(FRAME, version=2), KEY)) == "version"
+    assert dropped(b"") == dropped(text[:DIGEST_BYTES]) == dropped(b"x" * (MAX_FRAME_BYTES + 1)) == "size"
+    assert dropped(seal(msgspec.structs.replace(FRAME, version=2), KEY)) == "version"
     for at in range(len(text)):
         assert dropped(text[:at] + bytes([text[at] ^ 1]) + text[at + 1 :]) == "digest"
 
@@ -41,42 +52,42 @@
     drawn = Random(3)
     for n in range(300):
         body = drawn.randbytes(drawn.randrange(1, 60)) if n % 2 else msgspec.msgpack.encode([1, "f", n, {}])
-        text = hmac.digest(KEY, body, "sha256")[:DIGEST] + body
+        text = hmac.digest(KEY, body, "sha256")[:DIGEST_BYTES] + body
         assert dropped(text) in ("form", "version")
         with pytest.raises(ValueError):
             decoded(body)
 
 
-def heard(members: Members, boot: int, marks: Marks, disk: str = "disk", now: int = 0) -> str:
-    frame = msgspec.structs.replace(FRAME, boot=boot, marks=marks, disk=disk)
+def heard(peers: PeerTable, boot: int, durable: DurableState, disk: str = "disk", now: int = 0) -> str:
+    frame = msgspec.structs.replace(FRAME, boot_id=boot, durable=durable, disk_id=disk)
     try:
-        members.heard(frame, now)
-    except Dropped as fault:
+        peers.record(frame, now)
+    except FrameRejected as fault:
         return str(fault)
     return ""
 
 
 def test_a_disk_that_holds_less_than_it_told_is_set_back_and_a_start_that_is_over_is_not_heard() -> None:
-    members, boot = Members(("a",), 100), [n << COUNTER | n for n in range(9)]
-    assert heard(members, boot[1], Marks(3, False, 2, 10)) == ""
-    assert heard(members, boot[1], Marks(2, False, 2, 9)) == ""  # of one start: a message that was overtaken
-    assert heard(members, boot[2], Marks(3, False, 2, 10)) == ""  # came back with all
-    assert heard(members, boot[1], Marks(3, False, 2, 10)) == "start"
-    for marks in (Marks(2, True, 2, 10), Marks(3, False, 1, 50), Marks(3, False, 2, 9)):
-        assert heard(members, boot[3], marks) == "set back"
-    assert heard(members, boot[3], Marks(9, True, 9, 99)) == "set back"  # whatever that start says later
-    assert heard(members, boot[2] + 1, Marks(3, False, 2, 10)) == "set back"  # the counter's copy too
-    assert heard(members, boot[1], Marks(), "another") == ""
-    assert heard(Members(("b",), 100), boot[1], Marks()) == "stranger"
+    peers, boot = PeerTable(("a",), 100), [n << BOOT_RANDOM_BITS | n for n in range(9)]
+    assert heard(peers, boot[1], DurableState(3, False, 2, 10)) == ""
+    assert heard(peers, boot[1], DurableState(2, False, 2, 9)) == ""  # of one start: a message that was overtaken
+    assert heard(peers, boot[2], DurableState(3, False, 2, 10)) == ""  # came back with all
+    assert heard(peers, boot[1], DurableState(3, False, 2, 10)) == "start"
+    for durable in (DurableState(2, True, 2, 10), DurableState(3, False, 1, 50), DurableState(3, False, 2, 9)):
+        assert heard(peers, boot[3], durable) == "set back"
+    assert heard(peers, boot[3], DurableState(9, True, 9, 99)) == "set back"  # whatever that start says later
+    assert heard(peers, boot[2] + 1, DurableState(3, False, 2, 10)) == "set back"  # the counter's copy too
+    assert heard(peers, boot[1], DurableState(), "another") == ""
+    assert heard(PeerTable(("b",), 100), boot[1], DurableState()) == "stranger"
 
 
 def test_suspicion_is_taken_back_by_a_late_word() -> None:
-    members = Members(("a",), 100)
-    assert members.believed(0) == {"a": "never heard"}
-    heard(members, 1, Marks(), now=10)
-    assert members.believed(109) == {"a": "alive"} and members.believed(110) == {"a": "suspected"}
-    heard(members, 1, Marks(), now=300)
-    assert members.believed(301) == {"a": "alive"}
+    peers = PeerTable(("a",), 100)
+    assert peers.reachability(0) == {"a": "never heard"}
+    heard(peers, 1, DurableState(), now=10)
+    assert peers.reachability(109) == {"a": "alive"} and peers.reachability(110) == {"a": "suspected"}
+    heard(peers, 1, DurableState(), now=300)
+    assert peers.reachability(301) == {"a": "alive"}
 
 
 def test_a_fleet_is_founded_once_all_are_heard_and_one_may_bring_a_registry() -> None:
