--- a/ternquay/consensus/log.py
+++ b/ternquay/consensus/log.py
@@ -1,92 +1,96 @@
-"""The log of a member: entries behind a base that is no longer kept, and what can be read from them alone."""
+"""A member's log: the entries after a compacted prefix, and what can be derived from the entries alone."""
 
 from dataclasses import dataclass, field
 
-from ternquay.consensus.messages import Entry, Kind, Roster, roster_of
+from ternquay.consensus.messages import EntryKind, LogEntry, Membership, membership_of
 
 
 @dataclass(slots=True)
 class Log:
-    base: int = 0  # the last index that is no longer kept
+    """Entries `base_index + 1` to `last_index`; indexes start at 1."""
+
+    base_index: int = 0  # the last compacted index
     base_term: int = 0
-    base_roster: Roster = Roster()
-    entries: list[Entry] = field(default_factory=list)  # changed by the methods below alone
-    _roster: tuple[Roster, int] | None = None  # as last found, until the entries change
-    _undecided: int = -1
+    base_membership: Membership = Membership()
+    entries: list[LogEntry] = field(default_factory=list)  # only the methods below change it
+    _membership: tuple[Membership, int] | None = None  # cached until the entries change
+    _open_proposal: int = -1
 
     @property
-    def last(self) -> int:
-        return self.base + len(self.entries)
+    def last_index(self) -> int:
+        return self.base_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
         return self.entries[-1].term if self.entries else self.base_term
 
-    def term(self, index: int) -> int:
-        """-1 where it isn't known."""
-        if index == self.base:
+    def term_at(self, index: int) -> int:
+        """The term of the entry at `index`, -1 where it is unknown."""
+        if index == self.base_index:
             return self.base_term
-        return self.entries[index - self.base - 1].term if self.base < index <= self.last else -1
+        return self.entries[index - self.base_index - 1].term if self.base_index < index <= self.last_index else -1
 
-    def entry(self, index: int) -> Entry:
-        if not self.base < index <= self.last:
+    def entry(self, index: int) -> LogEntry:
+        """Raises IndexError for an index that is compacted or past the end."""
+        if not self.base_index < index <= self.last_index:
             raise IndexError(index)
-        return self.entries[index - self.base - 1]
-
-    def after(self, index: int, most: int, size: int) -> tuple[Entry, ...]:
-        """Up to so many entries and bytes behind `index`; one at least, if there is one."""
-        found: list[Entry] = []
-        for entry in self.entries[index - self.base : index - self.base + most]:
-            size -= len(entry.body)
-            if found and size < 0:
+        return self.entries[index - self.base_index - 1]
+
+    def entries_after(self, index: int, max_entries: int, max_bytes: int) -> tuple[LogEntry, ...]:
+        """The entries after `index` within both limits, but at least one if there is any."""
+        found: list[LogEntry] = []
+        for entry in self.entries[index - self.base_index : index - self.base_index + max_entries]:
+            max_bytes -= len(entry.body)
+            if found and max_bytes < 0:
                 break
             found.append(entry)
         return tuple(found)
 
-    def add(self, entries: tuple[Entry, ...]) -> None:
+    def append(self, entries: tuple[LogEntry, ...]) -> None:
         self.entries += entries
-        self._roster, self._undecided = None, -1
-
-    def cut(self, index: int) -> None:
-        """Nothing stays behind `index`."""
-        self._roster, self._undecided = None, -1
-        del self.entries[index - self.base :]
-
-    def roster(self) -> tuple[Roster, int]:
-        """Who belongs to the fleet, as the log has it last, and at which index that stands."""
-        if self._roster is None:
-            self._roster = self.roster_at(self.last)
-        return self._roster
-
-    def roster_at(self, index: int) -> tuple[Roster, int]:
-        for at in range(index, self.base, -1):
-            entry = self.entries[at - self.base - 1]
-            if entry.kind is Kind.MEMBERS:
-                return roster_of(entry), at
-        return self.base_roster, self.base
-
-    def undecided(self) -> int:
-        """The one proposal that has no outcome in this log, or 0."""
-        if self._undecided < 0:
-            self._undecided = next(iter(self.opens(self.last)), 0)
-        return self._undecided
-
-    def opens(self, index: int) -> list[int]:
-        """The proposals, the last first, that have no outcome up to `index`."""
+        self._membership, self._open_proposal = None, -1
+
+    def truncate_after(self, index: int) -> None:
+        """Removes all entries after `index`."""
+        self._membership, self._open_proposal = None, -1
+        del self.entries[index - self.base_index :]
+
+    def membership(self) -> tuple[Membership, int]:
+        """The latest membership in the log, committed or not, and its index."""
+        if self._membership is None:
+            self._membership = self.membership_at(self.last_index)
+        return self._membership
+
+    def membership_at(self, index: int) -> tuple[Membership, int]:
+        """The latest membership at or before `index`, and its index."""
+        for at in range(index, self.base_index, -1):
+            entry = self.entries[at - self.base_index - 1]
+            if entry.kind is EntryKind.MEMBERSHIP:
+                return membership_of(entry), at
+        return self.base_membership, self.base_index
+
+    def open_proposal(self) -> int:
+        """The index of the only proposal without an outcome in this log, or 0."""
+        if self._open_proposal < 0:
+            self._open_proposal = next(iter(self.open_proposals(self.last_index)), 0)
+        return self._open_proposal
+
+    def open_proposals(self, index: int) -> list[int]:
+        """The indexes, latest first, of the proposals without an outcome up to `index`."""
         found: list[int] = []
-        for at in range(self.last, self.base, -1):
-            entry = self.entries[at - self.base - 1]
-            if entry.kind is Kind.PROPOSE:
+        for at in range(self.last_index, self.base_index, -1):
+            entry = self.entries[at - self.base_index - 1]
+            if entry.kind is EntryKind.PROPOSE:
                 found.append(at)
-            elif entry.about and at <= index:
+            elif entry.proposal_index and at <= index:
                 break
         return found
 
-    def forget(self, index: int) -> None:
-        """Entries up to `index` are no longer kept; a proposal without outcome stays, as its body is wanted."""
-        index = min([index, *(at - 1 for at in self.opens(index))])
-        if index <= self.base:
+    def compact(self, index: int) -> None:
+        """Discards the entries up to `index`, but no proposal without an outcome: its body is still needed."""
+        index = min([index, *(at - 1 for at in self.open_proposals(index))])
+        if index <= self.base_index:
             return
-        roster, term = self.roster_at(index)[0], self.term(index)
-        del self.entries[: index - self.base]
-        self.base, self.base_term, self.base_roster, self._roster = index, term, roster, None
+        membership, term = self.membership_at(index)[0], self.term_at(index)
+        del self.entries[: index - self.base_index]
+        self.base_index, self.base_term, self.base_membership, self._membership = index, term, membership, None
--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -23,10 +23,10 @@
 from twisted.internet.defer import Deferred, fail, succeed
 from twisted.internet.error import CannotListenError
 
-from ternquay.consensus.core import Core, Figures, Outcome, Write
+from ternquay.consensus.core import Core, Outcome, Timing, Write
 from ternquay.consensus.errors import ChangeAborted, OutcomeUnknown, RetryLater
 from ternquay.consensus.founding import Founding
-from ternquay.consensus.messages import Member, Unfitness, decoded, encoded
+from ternquay.consensus.messages import Member, Rejection, decode_message, encode
 from ternquay.hosted.administration.api import Call, Reply, problem
 from ternquay.hosted.fleet.store import Applied, FleetStore, Forgot, Founded, Job, Life, carried_of
 from ternquay.hosted.service import Fellows
@@ -127,7 +127,7 @@
     ) -> None:
         self.reactor, self.fellows, self.host, self.stored, self.store = reactor, fellows, host, stored, store
         self.clock, self.random = clock, Random()
-        self.figures = Figures.of(fellows.lease, fellows.go_on)
+        self.timing = Timing.for_lease(fellows.lease, fellows.go_on)
         self.patience = PATIENCE + 3 * fellows.lease / SECOND
         others = {name: place for name, place in fellows.places.items() if name != fellows.me}
         self.peer_table = PeerTable(tuple(others), SUSPECT)
@@ -166,9 +166,11 @@
         self._unprepare()
         self.life, self.founded = life, life.founded
         self.me = Member(self.fellows.me, life.disk)
-        self.core = Core(self.me, life.kept, self.figures, self.random, life.boot, now)
-        self.durable = DurableState(life.kept.term, bool(life.kept.voted), life.kept.log.last_term, life.kept.log.last)
-        empty = self.founded is None and not life.was_of_fleet and not self.core.log.last
+        self.core = Core(self.me, life.kept, self.timing, self.random, life.boot, now)
+        self.durable = DurableState(
+            life.kept.term, bool(life.kept.voted_for), life.kept.log.last_term, life.kept.log.last_index
+        )
+        empty = self.founded is None and not life.was_of_fleet and not self.core.log.last_index
         self.founding = Founding(self.me, tuple(self.fellows.places), self.agreed_registry.version) if empty else None
         self._hold()
 
@@ -189,7 +191,7 @@
 
     def step_down(self) -> None:
         """It is told to end: another one leads, while this one finishes what it has taken."""
-        self.core.resign(self.clock())
+        self.core.step_down(self.clock())
 
     def stop(self) -> None:
         self.ended = True
@@ -202,7 +204,7 @@
 
     def _tick(self) -> None:
         if not self.ended:
-            self.reactor.callLater(self.figures.every / 3 / SECOND, self._tick)
+            self.reactor.callLater(self.timing.heartbeat_interval / 3 / SECOND, self._tick)
             self.core.tick(self.clock())
             self._drive()
             self._tell()
@@ -220,7 +222,7 @@
     # ---- whether a tx may be taken ----
 
     def admission_delay(self, tenant: str) -> int:
-        if self.unread or self.unfit or not self.core.may(self.clock()):
+        if self.unread or self.unfit or not self.core.may_serve(self.clock()):
             return FENCED
         return HELD if tenant in self.held else 0
 
@@ -229,12 +231,12 @@
         if self.founding is not None:
             missing = ", ".join(self.founding.missing())
             return self.founding.conflict or f"the fleet isn't founded: {missing} not heard yet"
-        return self.unread or self.unfit or self.core.why_not(self.clock())
+        return self.unread or self.unfit or self.core.refusal_reason(self.clock())
 
     def _hold(self) -> None:
         names = set()
-        for at in self.core.held:
-            if self.core.log.base < at <= self.core.log.last:
+        for at in self.core.held_proposals:
+            if self.core.log.base_index < at <= self.core.log.last_index:
                 names.add(_change.decode(self.core.log.entry(at).body).tenant)
         self.held = frozenset(names)
 
@@ -248,7 +250,7 @@
                 self.fellows.fleet,
                 founded,
                 self.me.name,
-                self.me.disk,
+                self.me.disk_id,
                 self.life.boot,
                 to,
                 self.durable,
@@ -279,10 +281,10 @@
 
     def _heard(self, frame: Frame) -> None:
         now, sender = self.clock(), Member(frame.sender, frame.disk_id)
-        self.core.learners[sender.name] = sender.disk
+        self.core.learners[sender.name] = sender.disk_id
         if frame.kind is FrameKind.CONSENSUS:
             if self.founding is None:
-                self.core.receive(sender, decoded(frame.body), now)
+                self.core.receive(sender, decode_message(frame.body), now)
                 self._drive()
         elif frame.kind is FrameKind.PING:
             self._pinged(sender, _ping.decode(frame.body))
@@ -306,15 +308,15 @@
         self.pings[sender.name] = ping
         if self.founding is not None:
             if ping.founded is None:
-                self.founding.heard(sender.name, sender.disk, ping.version)
+                self.founding.heard(sender.name, sender.disk_id, ping.version)
                 self._found()
-            elif self.me in ping.founded.roster.members:
+            elif self.me in ping.founded.membership.members:
                 self._begin_as(ping.founded)
             elif self.agreed_registry.version:
                 self.founding.conflict = "has a registry of its own, and the fleet is there: begin with an empty store"
             else:
                 self.founding = None  # a fleet that is there takes it in
-        elif self.founded is None and ping.founded is not None and self.core.voter():
+        elif self.founded is None and ping.founded is not None and self.core.is_voter():
             self.founded = ping.founded
             self._carry(ping.founded)
 
@@ -328,8 +330,8 @@
     def _begin_as(self, founded: Founded) -> None:
         self.founded, self.founding = founded, None
         self.jobs.append(founded)  # goes to disk with what the core writes for it, or neither does
-        self.core.found(founded.roster, int(bool(founded.brings)), founded.brings == self.me.name, self.clock())
-        logger.bind(fleet=founded.id).info("the fleet is founded, of {}", ", ".join(founded.roster.names()))
+        self.core.bootstrap(founded.membership, int(bool(founded.brings)), founded.brings == self.me.name, self.clock())
+        logger.bind(fleet=founded.id).info("the fleet is founded, of {}", ", ".join(founded.membership.names()))
         self._drive()
 
     def _set_back(self) -> None:
@@ -357,8 +359,8 @@
 
     def _drive(self) -> None:
         core = self.core
-        if core.installed is not None:
-            one, core.installed = core.installed, None
+        if core.installed_snapshot is not None:
+            one, core.installed_snapshot = core.installed_snapshot, None
             if one.data:
                 self._installed(one.data)
         writes, core.writes = core.writes, []
@@ -367,29 +369,29 @@
         outcomes, core.outcomes = core.outcomes, []
         for outcome in outcomes:
             self._outcome(outcome)
-        judge, core.to_judge = core.to_judge, []
+        judge, core.to_validate = core.to_validate, []
         for at, body in judge:
-            core.judged(at, self._judge(at, body), self.clock())
+            core.validated(at, self._judge(at, body), self.clock())
         self._hold()
-        out, core.out = core.out, []
+        out, core.outbox = core.outbox, []
         for name, message in out:
-            self.links.send(name, self._frame(name, FrameKind.CONSENSUS, encoded(message)))
-        if core.wants_snapshot and not self.reading:
+            self.links.send(name, self._frame(name, FrameKind.CONSENSUS, encode(message)))
+        if core.snapshot_needed and not self.reading:
             self.reading = True
             self.stored.do(self.store.snapshot).addCallbacks(self._snapshot, self._no_snapshot)
-        if judge or core.writes or core.outcomes or core.to_judge:
+        if judge or core.writes or core.outcomes or core.to_validate:
             self._drive()
         self._overtaken()
 
     def _snapshot(self, found: tuple[int, bytes]) -> None:
         self.reading = False
-        self.core.provide(*found)
+        self.core.provide_snapshot(*found)
 
     def _no_snapshot(self, failure: Any) -> None:
-        self.reading = self.core.wants_snapshot = False
+        self.reading = self.core.snapshot_needed = False
         self._troubled(failure)
 
-    def _judge(self, at: int, body: bytes) -> Unfitness | None:
+    def _judge(self, at: int, body: bytes) -> Rejection | None:
         """Whether this machine can have it: its listeners are bound, and accept nothing yet."""
         try:
             commit = commit_of(_change.decode(body))
@@ -399,9 +401,9 @@
             self._unprepare()
             self.prepared[at] = name, self.host.prepare(self._after(commit), name)
         except Unfit as fault:
-            return Unfitness("", fault.field, fault.why)
+            return Rejection("", fault.field, fault.why)
         except (StoreError, msgspec.DecodeError) as fault:
-            return Unfitness("", "change", f"can't be read here: {fault}")
+            return Rejection("", "change", f"can't be read here: {fault}")
         return None
 
     def _unprepare(self) -> None:
@@ -418,14 +420,14 @@
     def _outcome(self, one: Outcome) -> None:
         if self.unread:
             return
-        waiting = self.waiters.pop((one.term, one.about), None)
-        name, prepared = self.prepared.pop(one.about, ("", None))
+        waiting = self.waiters.pop((one.term, one.proposal_index), None)
+        name, prepared = self.prepared.pop(one.proposal_index, ("", None))
         if not one.decided:
             if prepared is not None:
                 prepared.drop()
             self._carry(Applied(one.index))
             if waiting is not None:
-                waiting.errback(ChangeAborted(one.unfit.member, one.unfit.field, one.unfit.why))
+                waiting.errback(ChangeAborted(one.rejection.member, one.rejection.field, one.rejection.reason))
             return
         try:
             commit = commit_of(_change.decode(one.body))
@@ -524,20 +526,22 @@
             if isinstance(job, Write):
                 number = job.number
                 if job.install is not None:
-                    self.durable = DurableState(job.term, bool(job.voted), job.install.term, job.install.index)
+                    self.durable = DurableState(job.term, bool(job.voted_for), job.install.term, job.install.index)
                 elif job.entries:
                     self.durable = DurableState(
-                        job.term, bool(job.voted), job.entries[-1].term, job.cut + len(job.entries)
+                        job.term, bool(job.voted_for), job.entries[-1].term, job.truncate_after + len(job.entries)
                     )
                 else:
-                    self.durable = DurableState(job.term, bool(job.voted), self.durable.last_term, self.durable.last)
+                    self.durable = DurableState(
+                        job.term, bool(job.voted_for), self.durable.last_term, self.durable.last
+                    )
             elif isinstance(job, Applied):
                 if job.change is not None and job.change.answered is not None:
                     self.unsaved.pop((job.change.answered.who, job.change.answered.key), None)
-                if job.index - self.core.log.base >= self.fellows.log_kept * 5 // 4:
+                if job.index - self.core.log.base_index >= self.fellows.log_kept * 5 // 4:
                     self._forget(job.index - self.fellows.log_kept)
         if number:
-            self.core.saved(number, self.clock())
+            self.core.write_completed(number, self.clock())
             self._drive()
         if not self.writing:
             self._write()
@@ -559,10 +563,10 @@
 
     def _forget(self, index: int) -> None:
         log = self.core.log
-        before = log.base
-        self.core.forget(index)
-        if log.base != before:
-            self._carry(Forgot(log.base, log.base_term, log.base_roster))
+        before = log.base_index
+        self.core.compact(index)
+        if log.base_index != before:
+            self._carry(Forgot(log.base_index, log.base_term, log.base_membership))
 
     def _unwritten(self, failure: Any) -> None:
         """It says so, tries again, and meanwhile says nothing that would have to be on disk."""
@@ -581,7 +585,7 @@
     # ---- changes ----
 
     def is_leader(self) -> bool:
-        return self.core.leads()
+        return self.core.is_leader()
 
     def propose(self, commit: Commit) -> "Deferred[None]":
         try:
@@ -610,13 +614,13 @@
     def _overtaken(self) -> None:
         """A proposal in whose place another entry is committed is nowhere, and never will be in force."""
         for (term, at), waiting in list(self.waiters.items()):
-            if at <= self.core.commit and self.core.log.term(at) not in (term, -1):
+            if at <= self.core.commit_index and self.core.log.term_at(at) not in (term, -1):
                 waiting.errback(RetryLater("another one leads by now", self.core.leader))
-        if self.led and not self.core.leads():
+        if self.led and not self.core.is_leader():
             # Whether the next leader carries it on is mostly known by then; else whoever asked asks again.
             for key in self.waiters:
                 self.reactor.callLater(self.fellows.lease / SECOND, self._unknown, key)
-        self.led = self.core.leads()
+        self.led = self.core.is_leader()
         for leader, reply in list(self.passed.values()):
             if self.core.leader not in ("", leader):
                 reply.callback(UNKNOWN)  # to that one nobody listens any more
@@ -672,11 +676,11 @@
 
     def remove_member(self, name: str) -> Reply:
         """Takes a member out, for good; here, where the fleet is led."""
-        return self._members(self.core.leave, name, "leaving")
+        return self._members(self.core.remove_member, name, "leaving")
 
     def readmit_member(self, name: str) -> Reply:
         """Lets one that was taken out come in again."""
-        return self._members(self.core.welcome, name, "welcome")
+        return self._members(self.core.readmit_member, name, "welcome")
 
     def _members(self, change: Callable[[str, int], None], name: str, word: str) -> Reply:
         try:
@@ -692,8 +696,8 @@
 
     def status(self) -> dict[str, Any]:
         now, believed = self.clock(), self.peer_table.reachability(self.clock())
-        roster = self.core.roster()
-        disks = {one.name: one.disk for one in roster.members}
+        membership = self.core.membership()
+        disks = {one.name: one.disk_id for one in membership.members}
         rows = []
         for name in sorted({*self.fellows.places, *disks}):
             mine, ping = name == self.me.name, self.pings.get(name)
@@ -711,21 +715,21 @@
                     "heard_ms": 0 if mine else self._age(name, now),
                 }
             )
-        open_at = self.core.log.undecided()
+        open_at = self.core.log.open_proposal()
         return {
             "fleet": self.fellows.fleet,
             "me": self.me.name,
             "leader": self.core.leader,
             "term": self.core.term,
             "version": self.agreed_registry.version,
-            "log": self.core.log.last,
-            "committed": self.core.commit,
+            "log": self.core.log.last_index,
+            "committed": self.core.commit_index,
             "under_way": bool(open_at),
-            "waits_for": self.core.missing(now) if self.is_leader() else [],
+            "waits_for": self.core.waiting_for(now) if self.is_leader() else [],
             "alone": "go-on" if self.fellows.go_on else "stop",
             "lease_ms": self.fellows.lease // MS,
             "members": rows,
-            "out": list(roster.out),
+            "out": list(membership.removed),
             "dropped": dict(sorted(self.links.drop_counts.items())),
         }
 
--- a/ternquay/hosted/fleet/store.py
+++ b/ternquay/hosted/fleet/store.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from ternquay.consensus.core import Kept, Write
+from ternquay.consensus.core import PersistentState, Write
 from ternquay.consensus.log import Log
-from ternquay.consensus.messages import Entry, Kind, Roster
+from ternquay.consensus.messages import EntryKind, LogEntry, Membership
 from ternquay.hosted.store import ANSWERS_MOST, Commit, Store, StoreError, unkept
 from ternquay.hosted.tenants.registry import Entry as Tenant
 from ternquay.hosted.tenants.registry import Registry
@@ -33,7 +33,7 @@
     """As what the fleet began; `brings`: whose registry, "" for an empty one."""
 
     id: str
-    roster: Roster
+    membership: Membership
     brings: str = ""
 
 
@@ -65,7 +65,7 @@
 
     base: int
     term: int
-    roster: Roster
+    membership: Membership
 
 
 Job = Write | Applied | Forgot | Founded
@@ -76,7 +76,7 @@
     disk: str
     boot: int
     founded: Founded | None
-    kept: Kept = field(default_factory=Kept)
+    kept: PersistentState = field(default_factory=PersistentState)
     was_of_fleet: bool = False  # its registry is a fleet's, though its disk counts for nothing any more
 
 
@@ -130,11 +130,11 @@
         rows = db.execute("SELECT at, term, kind, about, body FROM fleet_log ORDER BY at").fetchall()
         if [row[0] for row in rows] != list(range(number["base"] + 1, number["base"] + 1 + len(rows))):
             raise ValueError("entries are missing")
-        roster = msgspec.msgpack.decode(told["roster"], type=Roster) if "roster" in told else Roster()
+        roster = msgspec.msgpack.decode(told["roster"], type=Membership) if "roster" in told else Membership()
         log = Log(number["base"], number["base_term"], roster)
-        log.add(tuple(Entry(term, Kind(kind), bytes(body), about) for _, term, kind, about, body in rows))
+        log.append(tuple(LogEntry(term, EntryKind(kind), bytes(body), about) for _, term, kind, about, body in rows))
         founded = msgspec.msgpack.decode(told["founded"], type=Founded) if "founded" in told else None
-        kept = Kept(number["term"], told.get("voted", b"").decode(), log, number["applied"], number["least"])
+        kept = PersistentState(number["term"], told.get("voted", b"").decode(), log, number["applied"], number["least"])
         return Life(told["disk"].decode(), number["boot"], founded, kept, "was" in told)
 
     def give_up_disk(self) -> Life:
@@ -166,25 +166,28 @@
                     self._tell(db, applied=job.index)
             elif isinstance(job, Forgot):
                 db.execute("DELETE FROM fleet_log WHERE at <= ?", (job.base,))
-                self._tell(db, base=job.base, base_term=job.term, roster=msgspec.msgpack.encode(job.roster))
+                self._tell(db, base=job.base, base_term=job.term, roster=msgspec.msgpack.encode(job.membership))
             else:
                 self._tell(db, founded=msgspec.msgpack.encode(job), least=int(bool(job.brings)))
 
     def _log(self, db: sqlite3.Connection, job: Write) -> None:
-        self._tell(db, term=job.term, voted=job.voted)
+        self._tell(db, term=job.term, voted=job.voted_for)
         if job.install is not None:
             one = job.install
             db.execute("DELETE FROM fleet_log")
             self._tell(
-                db, base=one.index, base_term=one.term, roster=msgspec.msgpack.encode(one.roster), applied=one.index
+                db, base=one.index, base_term=one.term, roster=msgspec.msgpack.encode(one.membership), applied=one.index
             )
             if one.data:
                 self._install(db, carried_of(one.data))
-        elif job.cut >= 0:
-            db.execute("DELETE FROM fleet_log WHERE at > ?", (job.cut,))
+        elif job.truncate_after >= 0:
+            db.execute("DELETE FROM fleet_log WHERE at > ?", (job.truncate_after,))
             db.executemany(
                 "INSERT INTO fleet_log VALUES (?, ?, ?, ?, ?)",
-                [(job.cut + 1 + n, e.term, int(e.kind), e.about, e.body) for n, e in enumerate(job.entries)],
+                [
+                    (job.truncate_after + 1 + n, e.term, int(e.kind), e.proposal_index, e.body)
+                    for n, e in enumerate(job.entries)
+                ],
             )
 
     def _install(self, db: sqlite3.Connection, one: Carried) -> None:
--- a/ternquay/rig/walk.py
+++ b/ternquay/rig/walk.py
@@ -14,10 +14,10 @@
 from random import Random
 from typing import Any
 
-from ternquay.consensus.core import Core, Figures, Kept, Outcome, Write
+from ternquay.consensus.core import Core, Outcome, PersistentState, Timing, Write
 from ternquay.consensus.errors import RetryLater
 from ternquay.consensus.log import Log
-from ternquay.consensus.messages import Member, Message, Roster, Unfitness
+from ternquay.consensus.messages import Member, Membership, Message, Rejection
 
 MS = 1_000_000
 FLIGHT_MOST = 40  # messages under way; the oldest are lost
@@ -45,7 +45,7 @@
     me: Member
     offset: int
     rate: float
-    disk: Kept
+    disk: PersistentState
     core: Core | None = None
     boot: int = 0
     stopped: bool = False
@@ -62,12 +62,17 @@
         self, seed: int, members: int = 3, core: Callable[..., Core] = Core, go_on: bool = False, drift: float = 0.02
     ) -> None:
         self.random = Random(seed)
-        self.make, self.figures = core, Figures.of(1000 * MS, go_on)
+        self.make, self.figures = core, Timing.for_lease(1000 * MS, go_on)
         self.time = 1000 * MS
-        roster = Roster(tuple(Member(f"m{n}", f"d{n}") for n in range(members)))
+        membership = Membership(tuple(Member(f"m{n}", f"d{n}") for n in range(members)))
         self.nodes = [
-            Node(one, self.random.randrange(10**12), 1 + drift * (n % 3 - 1), Kept(log=Log(base_roster=roster)))
-            for n, one in enumerate(roster.members)
+            Node(
+                one,
+                self.random.randrange(10**12),
+                1 + drift * (n % 3 - 1),
+                PersistentState(log=Log(base_membership=membership)),
+            )
+            for n, one in enumerate(membership.members)
         ]
         self.flight: list[tuple[int, Member, Message]] = []
         self.late: list[tuple[int, tuple[int, Member, Message]]] = []  # by when they come
@@ -89,11 +94,11 @@
     def start(self, node: Node) -> None:
         node.boot, node.stopped, node.queue, node.checked = node.boot + 1, False, [], 0
         kept = copy.deepcopy(node.disk)
-        node.applied = {index: one for index, one in self.outcomes.items() if index <= kept.applied}
+        node.applied = {index: one for index, one in self.outcomes.items() if index <= kept.applied_index}
         core = node.core = self.make(
             node.me, kept, self.figures, Random(self.random.random()), node.boot, node.now(self.time)
         )
-        core.entries_most = 1 + node.boot % 2  # so that what goes in one message elsewhere goes in several here
+        core.max_append_entries = 1 + node.boot % 2  # so that what goes in one message elsewhere goes in several here
 
     def crash(self, node: Node) -> None:
         node.core, node.queue = None, []
@@ -105,14 +110,16 @@
         assert core is not None
         node.queue += core.writes
         core.writes = []
-        if core.installed is not None:
-            node.applied = {index: one for index, one in self.outcomes.items() if index <= core.installed.index}
-            core.installed = None
+        if core.installed_snapshot is not None:
+            node.applied = {
+                index: one for index, one in self.outcomes.items() if index <= core.installed_snapshot.index
+            }
+            core.installed_snapshot = None
         outcomes, core.outcomes = core.outcomes, []
         for one in outcomes:
             self.apply(node, one)
-        judge, core.to_judge = core.to_judge, []
-        out, core.out = core.out, []
+        judge, core.to_validate = core.to_validate, []
+        out, core.outbox = core.outbox, []
         numbers = {other.me.name: n for n, other in enumerate(self.nodes)}
         mine = numbers[node.me.name]
         for sent in [(numbers[name], node.me, message) for name, message in out if name in numbers]:
@@ -122,13 +129,13 @@
                 self.late.append((self.time + self.random.randrange(100, 2500) * MS, sent))
         del self.flight[:-FLIGHT_MOST]
         for index, body in judge:
-            core.judged(index, Unfitness(why="no") if body.endswith(b"!") else None, node.now(self.time))
+            core.validated(index, Rejection(reason="no") if body.endswith(b"!") else None, node.now(self.time))
             self.carry(node)
-        if core.wants_snapshot:
-            core.provide(core.applied, b"x" * 10)
+        if core.snapshot_needed:
+            core.provide_snapshot(core.applied_index, b"x" * 10)
 
     def apply(self, node: Node, one: Outcome) -> None:
-        told = (one.about, one.term, one.body, one.decided)
+        told = (one.proposal_index, one.term, one.body, one.decided)
         if self.outcomes.setdefault(one.index, told) != told:
             raise Broken(f"{node.me.name} has {told} at {one.index}, another {self.outcomes[one.index]}")
         if self.bodies.setdefault(one.body, one.decided) != one.decided:
@@ -140,20 +147,20 @@
     def sync(self, node: Node) -> None:
         write = node.queue.pop(0)
         disk = node.disk
-        disk.term, disk.voted = write.term, write.voted
+        disk.term, disk.voted_for = write.term, write.voted_for
         if write.install is not None:
             one = write.install
-            disk.log, disk.applied = Log(one.index, one.term, one.roster), one.index
-        elif write.cut >= 0:
-            disk.log.cut(write.cut)
-            disk.log.add(write.entries)
+            disk.log, disk.applied_index = Log(one.index, one.term, one.membership), one.index
+        elif write.truncate_after >= 0:
+            disk.log.truncate_after(write.truncate_after)
+            disk.log.append(write.entries)
         if node.core is not None:
             if self.random.random() < 0.5:
-                disk.applied = max(disk.applied, min(node.core.applied, disk.log.last))
+                disk.applied_index = max(disk.applied_index, min(node.core.applied_index, disk.log.last_index))
                 if self.random.random() < 0.2:
-                    disk.log.forget(disk.applied - 2)
-                    node.core.forget(disk.applied - 2)
-            node.core.saved(write.number, node.now(self.time))
+                    disk.log.compact(disk.applied_index - 2)
+                    node.core.compact(disk.applied_index - 2)
+            node.core.write_completed(write.number, node.now(self.time))
             self.carry(node)
 
     def deliver(self, at: int, keep: bool = False) -> None:
@@ -211,14 +218,14 @@
             core = node.core
             if core is None:
                 continue
-            for at in range(max(node.checked, core.log.base) + 1, core.commit + 1):
-                if self.committed.setdefault(at, core.log.term(at)) != core.log.term(at):
+            for at in range(max(node.checked, core.log.base_index) + 1, core.commit_index + 1):
+                if self.committed.setdefault(at, core.log.term_at(at)) != core.log.term_at(at):
                     raise Broken(f"{node.me.name} has another entry committed at {at}")
-            node.checked = core.commit
-            if core.leads() and self.leaders.setdefault(core.term, node.me.name) != node.me.name:
+            node.checked = core.commit_index
+            if core.is_leader() and self.leaders.setdefault(core.term, node.me.name) != node.me.name:
                 raise Broken(f"term {core.term} has two leaders")
             # A stopped one acts only after it has looked at its clock again, which is when it goes on.
-            if node.stopped or not core.may(node.now(self.time)) or core.held:
+            if node.stopped or not core.may_serve(node.now(self.time)) or core.held_proposals:
                 continue
             self.counts["taken"] += 1
             mine = max((index for index, one in node.applied.items() if one[3]), default=0)
@@ -305,8 +312,10 @@
                 self.deliver(0)
             self.check()
         cores = [node.core for node in self.nodes if node.core is not None]
-        if len({core.applied for core in cores}) != 1 or any(core.log.undecided() for core in cores):
-            raise Broken(f"it doesn't settle: {[(c.term, c.role.value, c.applied, c.log.last) for c in cores]}")
+        if len({core.applied_index for core in cores}) != 1 or any(core.log.open_proposal() for core in cores):
+            raise Broken(
+                f"it doesn't settle: {[(c.term, c.role.value, c.applied_index, c.log.last_index) for c in cores]}"
+            )
 
 
 def walked(seed: int, steps: int, **terms: Any) -> dict[str, int]:
@@ -333,7 +342,7 @@
                 world.sync(node)
         while world.flight:
             world.deliver(0)
-        if any(node.core is not None and node.core.settled() for node in world.nodes):
+        if any(node.core is not None and node.core.is_established_leader() for node in world.nodes):
             break
     world.propose(b"1")
     seen = {_print(world)}
@@ -376,18 +385,25 @@
 def _print(world: World) -> int:
     """Two worlds that are alike in all that the next step can meet."""
     nodes = tuple(
-        (node.core is not None, node.disk.term, node.disk.voted, node.disk.log.last, node.disk.applied, len(node.queue))
+        (
+            node.core is not None,
+            node.disk.term,
+            node.disk.voted_for,
+            node.disk.log.last_index,
+            node.disk.applied_index,
+            len(node.queue),
+        )
         + (
             (
                 node.core.term,
                 node.core.role,
-                node.core.voted,
-                node.core.log.last,
-                node.core.commit,
-                tuple(node.core.held),
+                node.core.voted_for,
+                node.core.log.last_index,
+                node.core.commit_index,
+                tuple(node.core.held_proposals),
                 node.core.lease_until,
-                node.core.due,
-                node.core.verdict[0],
+                node.core.election_due,
+                node.core.validation[0],
                 tuple(sorted(node.core.votes)),
             )
             if node.core
--- a/tests/test_agreement_walk.py
+++ b/tests/test_agreement_walk.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ternquay.consensus.core import Core
-from ternquay.consensus.messages import Append
+from ternquay.consensus.messages import AppendRequest
 from ternquay.rig.walk import MS, Broken, World, explored, walked
 
 
@@ -32,62 +32,64 @@
     world.crash(world.nodes[dead])
     rest = {0, 1, 2} - {dead}
     began = world.time
-    world.among(rest, lambda: any(core and core.settled() for core in (world.nodes[n].core for n in rest)))
+    world.among(
+        rest, lambda: any(core and core.is_established_leader() for core in (world.nodes[n].core for n in rest))
+    )
     assert world.propose(b"1")
     world.among(rest, lambda: len(world.outcomes) == 1)
     assert world.time - began < 2000 * MS
 
 
 class VoteNotStored(Core):
-    def _write(self, *terms: Any, **more: Any) -> int:
-        number = super()._write(*terms, **more)
-        self.writes[-1] = replace(self.writes[-1], voted="")
+    def _queue_write(self, *terms: Any, **more: Any) -> int:
+        number = super()._queue_write(*terms, **more)
+        self.writes[-1] = replace(self.writes[-1], voted_for="")
         return number
 
 
 class CountsOlderTerms(Core):
-    def _counts(self, end: int) -> bool:
+    def _is_current_term(self, end: int) -> bool:
         return True
 
 
 class LeadsAtOnce(Core):
     """Grants leases before an entry of its own term is committed."""
 
-    def settled(self) -> bool:
-        return self.leads()
+    def is_established_leader(self) -> bool:
+        return self.is_leader()
 
 
 class LeaseFromTheAnswer(Core):
-    def _leased(self, message: Append, now: int) -> int:
-        return now + self.figures.lease
+    def _lease_end(self, message: AppendRequest, now: int) -> int:
+        return now + self.timing.lease
 
 
 class AdoptsLater(Core):
-    def _adopted(self, message: Append) -> bool:
+    def _is_caught_up(self, message: AppendRequest) -> bool:
         return True
 
 
 class HoldsNothing(Core):
-    def _holds(self, name: str, at: int) -> bool:
+    def _has_hold(self, name: str, at: int) -> bool:
         return True
 
-    def _held(self, at: int) -> bool:
+    def _acquire_hold(self, at: int) -> bool:
         return True
 
 
 class NobodyIsWaitedFor(Core):
     """Takes a silent member to have lapsed at once."""
 
-    def lapsed(self, name: str, now: int) -> bool:
-        known = self.progress.get(name)
-        return known is None or now - known.round > 2 * self.figures.every
+    def lease_expired(self, name: str, now: int) -> bool:
+        progress = self.progress.get(name)
+        return progress is None or now - progress.leader_clock > 2 * self.timing.heartbeat_interval
 
 
 class NewLeaderForgets(Core):
     """A new leader takes nobody to have a lease by the one before."""
 
-    def lapsed(self, name: str, now: int) -> bool:
-        return now >= self.granted.get(name, 0) + self.figures.lapse
+    def lease_expired(self, name: str, now: int) -> bool:
+        return now >= self.lease_sent_at.get(name, 0) + self.timing.lease_expiry
 
 
 WRONG = [LeadsAtOnce, LeaseFromTheAnswer, AdoptsLater, HoldsNothing, NobodyIsWaitedFor, NewLeaderForgets]
@@ -95,7 +97,7 @@
 
 def led(world: World, number: int) -> Callable[[], bool]:
     core = world.nodes[number].core
-    return lambda: core is not None and core.leads()
+    return lambda: core is not None and core.is_leader()
 
 
 def figure_eight(make: Callable[..., Core]) -> None:
@@ -107,7 +109,12 @@
     world.among(
         {0, 1, 2},
         lambda: bool(
-            zero.core and zero.core.settled() and one.core and one.core.commit and two.core and two.core.commit
+            zero.core
+            and zero.core.is_established_leader()
+            and one.core
+            and one.core.commit_index
+            and two.core
+            and two.core.commit_index
         ),
     )
     world.flight.clear()
@@ -122,18 +129,21 @@
     world.crash(one)
     world.start(zero)
     assert zero.core is not None and two.core is not None
-    zero.core.entries_most = 1
-    last = zero.disk.log.last
+    zero.core.max_append_entries = 1
+    last = zero.disk.log.last_index
     world.among(
         {0, 2},
         lambda: bool(
-            two.disk.log.last == last and zero.core and zero.core.leads() and zero.core.progress["m2"].saved >= last
+            two.disk.log.last_index == last
+            and zero.core
+            and zero.core.is_leader()
+            and zero.core.progress["m2"].durable_index >= last
         ),
     )
     world.crash(zero)
     world.flight.clear()
     world.start(one)
-    world.among({1, 2}, lambda: bool(one.core and one.core.settled()))
+    world.among({1, 2}, lambda: bool(one.core and one.core.is_established_leader()))
     world.settle()
 
 
@@ -158,7 +168,7 @@
             world.flight = [one for one in world.flight if one[1] == first.me and one[0] == 2]
     world.deliver(0)
     world.flight.clear()
-    assert first.core is not None and first.core.leads()
+    assert first.core is not None and first.core.is_leader()
     world.check()
     world.crash(voter)
     world.start(voter)
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -9,7 +9,7 @@
 from twisted.internet.task import Clock
 
 from ternquay.consensus.core import Outcome, Write
-from ternquay.consensus.messages import Unfitness
+from ternquay.consensus.messages import Rejection
 from ternquay.hosted.fleet.member import Change, FleetMember
 from ternquay.hosted.fleet.store import Applied, FleetStore, Founded
 from ternquay.hosted.service import Fellows
@@ -42,7 +42,7 @@
     assert [type(job) for job in disk.batches[0]][:2] == [Founded, Write]
     one.store.carry(disk.batches[0])
     life = one.store.begin_boot()
-    assert life.founded is not None and life.kept.log.base_roster.names() == ("a",)
+    assert life.founded is not None and life.kept.log.base_membership.names() == ("a",)
 
 
 def test_what_can_not_be_read_is_taken_by_no_longer_nor_passed_over(tmp_path: Path) -> None:
@@ -53,10 +53,10 @@
     one.core.lease_until = 10**12
     assert one.admission_delay("sur") == 0
     good = msgspec.msgpack.encode(Change("sur", 1, 1, "w", "gone", b"{}", None, None, None))
-    one._outcome(Outcome(5, 4, 1, b"\xc1 nothing", True, Unfitness()))
+    one._outcome(Outcome(5, 4, 1, b"\xc1 nothing", True, Rejection()))
     assert one.admission_delay("sur") > 0 and "can't be read" in one.why_not()
     one._adopt()  # as a timer from before may
-    one._outcome(Outcome(7, 6, 1, good, True, Unfitness()))
+    one._outcome(Outcome(7, 6, 1, good, True, Rejection()))
     assert one.admission_delay("sur") > 0
     assert not [job for batch in [*disk.batches, one.jobs] for job in batch if isinstance(job, Applied)]
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ternquay.consensus.founding import Founding
-from ternquay.consensus.messages import Member, decoded
+from ternquay.consensus.messages import Member, decode_message
 from ternquay.hosted.service import ServiceError, read_service
 from ternquay.peers.frames import (
     DIGEST_BYTES,
@@ -55,7 +55,7 @@
         text = hmac.digest(KEY, body, "sha256")[:DIGEST_BYTES] + body
         assert dropped(text) in ("form", "version")
         with pytest.raises(ValueError):
-            decoded(body)
+            decode_message(body)
 
 
 def heard(peers: PeerTable, boot: int, durable: DurableState, disk: str = "disk", now: int = 0) -> str:
