--- a/ternquay/consensus/__init__.py
+++ b/ternquay/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""The agreement of a fleet's members on one log of changes, without I/O (docs/agreement.md)."""
+"""Consensus of the members of a fleet on one log of changes, without I/O (docs/agreement.md)."""
