--- a/ternquay/hosted/administration/admin.py
+++ b/ternquay/hosted/administration/admin.py
@@ -20,7 +20,7 @@
 from ternquay.hosted.administration.plan import Step, planned
 from ternquay.hosted.service import ListedDocument, ServiceError, listed, read_tables
 from ternquay.hosted.tenants.documents import TenantDocument, plain, read
-from ternquay.hosted.tenants.tenant import Unfit
+from ternquay.hosted.tenants.tenant import InvalidField
 
 DIFFERS = 7
 app = typer.Typer(add_completion=False, no_args_is_help=True, help="The administration API of a hosted service.")
@@ -78,7 +78,7 @@
     except CallFailed as fault:
         typer.echo(f"ternquay admin: {fault}", err=True)
         raise typer.Exit(fault.code) from fault
-    except (Unfit, ServiceError) as fault:
+    except (InvalidField, ServiceError) as fault:
         typer.echo(f"ternquay admin: {fault}", err=True)
         raise typer.Exit(BAD) from fault
 
@@ -430,8 +430,8 @@
         entry = read(ListedDocument, one, f"tenants[{i}]")
         try:
             listed(entry)
-        except Unfit as fault:
-            raise Unfit(f"tenants[{i}].{fault.field}", fault.why) from fault
+        except InvalidField as fault:
+            raise InvalidField(f"tenants[{i}].{fault.field}", fault.reason) from fault
         whole = plain(entry)
         found.append((read(TenantDocument, {n: v for n, v in whole.items() if n != "state"}), entry.state))
     return found
--- a/ternquay/hosted/administration/api.py
+++ b/ternquay/hosted/administration/api.py
@@ -30,7 +30,7 @@
     SetState,
     Stale,
 )
-from ternquay.hosted.tenants.tenant import Key, Scope, Server, State, Tenant, Unfit
+from ternquay.hosted.tenants.tenant import InvalidField, Key, Scope, Server, State, Tenant
 
 SECOND = 1_000_000_000
 PAGE, PAGE_MOST, WAIT_MOST = 50, 200, 60
@@ -194,8 +194,8 @@
         except Denied as denied:
             headers = {"www-authenticate": "Bearer"} if denied.status == 401 else None
             return problem(denied.status, denied.why, headers=headers)
-        except Unfit as fault:
-            return problem(422, fault.why, fault.field)
+        except InvalidField as fault:
+            return problem(422, fault.reason, fault.field)
         except NotThere:
             return problem(404, "there is nothing of that name")
         except Stale as stale:
@@ -334,7 +334,7 @@
         self, call: Call, registry: Registry, who: Who, now: int, told: d.TenantDocument, entry: Entry
     ) -> Outcome:
         if told.name != entry.tenant.name:
-            raise Unfit("name", "a tenant keeps its name")
+            raise InvalidField("name", "a tenant keeps its name")
         return self._replaced(who, entry, d.tenant_of(told), "replace", d.plain(told), now)
 
     def _end_tenant(self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: Entry) -> Outcome:
@@ -356,7 +356,7 @@
         self, call: Call, registry: Registry, who: Who, now: int, told: d.ServerDocument, entry: Entry, name: str
     ) -> Outcome:
         if told.name != name:
-            raise Unfit("name", "is another than the path's")
+            raise InvalidField("name", "is another than the path's")
         one = d.server_of(told, "server")
         there = entry.tenant.servers
         if any(server.name == name for server in there):
--- a/ternquay/hosted/administration/changes.py
+++ b/ternquay/hosted/administration/changes.py
@@ -21,7 +21,7 @@
 from ternquay.hosted.administration.api import Api, Call, Look, Proposal, Reply, problem, tag
 from ternquay.hosted.store import Answered, Commit, Logged, Noted, Store, StoreError, StoreUnsure
 from ternquay.hosted.tenants.registry import Registry, Remove
-from ternquay.hosted.tenants.tenant import Unfit
+from ternquay.hosted.tenants.tenant import InvalidField
 
 SECOND = 1_000_000_000
 WAITING_MOST, WATCHES_MOST, NOTES_MOST = 64, 64, 1000
@@ -166,8 +166,8 @@
             if failure.check(Nowhere):
                 told = failure.value
                 return problem(422, f"{told.member}: {told.why}; the change is nowhere", told.field)
-            if failure.check(Unfit):
-                return problem(422, failure.value.why, failure.value.field)
+            if failure.check(InvalidField):
+                return problem(422, failure.value.reason, failure.value.field)
             logger.error("a call failed: {}", failure.getTraceback())
             return problem(500, "a fault of the program; it is in its log")
 
--- a/ternquay/hosted/administration/http.py
+++ b/ternquay/hosted/administration/http.py
@@ -17,7 +17,7 @@
 from ternquay.hosted.service import ApiDocument, Service
 from ternquay.hosted.shared.fairness import SECOND, Bucket
 from ternquay.hosted.tenants.documents import place_text
-from ternquay.hosted.tenants.tenant import Unfit
+from ternquay.hosted.tenants.tenant import InvalidField
 from ternquay.net.http import CallIn, CallLimits, CallPort, Channel
 
 QUERY_MOST = 1024
@@ -101,7 +101,7 @@
             else:
                 self.port = self.reactor.listenTCP(where.port, self, 64, where.host)
         except CannotListenError as fault:
-            raise Unfit("api.listen", f"can't be bound: {fault.socketError}") from fault
+            raise InvalidField("api.listen", f"can't be bound: {fault.socketError}") from fault
         logger.info("the administration API listens on {}", place_text(where))
 
     def reload(self, service: Service) -> None:
--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -1,7 +1,7 @@
 """One member of a fleet as it runs: the agreement's core with links, disk and tenants, and what it tells of itself.
 
     fleet = Fleet(reactor, service, host, stored, life)
-    fleet.begin()                          # raises Unfit where the members' port can't be bound
+    fleet.begin()                          # raises InvalidField where the members' port can't be bound
     fleet.propose(commit)                  # -> a Deferred: the change is in force, or fails as Nowhere, Unknown, NotNow
     fleet.wait(tenant)                     # nought, or how long a new tx of that tenant is told to wait
 
@@ -31,7 +31,7 @@
 from ternquay.hosted.service import Fellows
 from ternquay.hosted.store import Answered, Commit, Logged, Noted, StoreError, kept, unkept
 from ternquay.hosted.tenants.registry import Entry, Registry
-from ternquay.hosted.tenants.tenant import Unfit
+from ternquay.hosted.tenants.tenant import InvalidField
 from ternquay.peers.frames import VERSION, Dropped, Frame, Marks, What, opened, sealed
 from ternquay.peers.links import Links
 from ternquay.peers.members import Members
@@ -172,11 +172,11 @@
     # ---- beginning and end ----
 
     def begin(self) -> None:
-        """Raises Unfit."""
+        """Raises InvalidField."""
         try:
             self.links.begin()
         except CannotListenError as fault:
-            raise Unfit("peers.members", f"{self.fellows.me}: can't be bound: {fault.socketError}") from fault
+            raise InvalidField("peers.members", f"{self.fellows.me}: can't be bound: {fault.socketError}") from fault
         many = len(self.fellows.places)
         if many % 2 == 0 or many == 1:
             logger.warning("{} members bear the loss of {}, as {} would", many, (many - 1) // 2, max(1, many - 1))
@@ -390,11 +390,11 @@
             commit = commit_of(_change.decode(body))
             name = commit.logged.tenant
             if commit.entry is None and name in self.host.tenancies and not self.host.tenancies[name].over():
-                raise Unfit("state", "transactions of it are still open")
+                raise InvalidField("state", "transactions of it are still open")
             self._unprepare()
             self.prepared[at] = name, self.host.prepare(self._after(commit), name)
-        except Unfit as fault:
-            return Unfitness("", fault.field, fault.why)
+        except InvalidField as fault:
+            return Unfitness("", fault.field, fault.reason)
         except (StoreError, msgspec.DecodeError) as fault:
             return Unfitness("", "change", f"can't be read here: {fault}")
         return None
@@ -441,27 +441,27 @@
         self.agreed = after = self._after(commit)
         try:
             if self.unfit:
-                raise Unfit("", self.unfit)
+                raise InvalidField("", self.unfit)
             if prepared is None:
                 prepared = self.host.prepare(after, logged.tenant)
             self.host.apply(after, logged.tenant, prepared)
-        except Unfit as fault:
+        except InvalidField as fault:
             if prepared is not None:
                 prepared.drop()
             self._cannot(logged.tenant, fault)
         except Exception as fault:  # of the program: this member is without the change, so it takes nothing
             logger.bind(tenant=logged.tenant, version=logged.version).exception("a change could not be applied")
-            self._cannot(logged.tenant, Unfit("", f"a fault of the program: {fault}"))
+            self._cannot(logged.tenant, InvalidField("", f"a fault of the program: {fault}"))
         logger.bind(
             tenant=logged.tenant, version=logged.version, who=logged.who, kind=logged.kind, clock=time.monotonic_ns()
         ).info("changed")
         self.news()
 
-    def _cannot(self, name: str, fault: Unfit) -> None:
+    def _cannot(self, name: str, fault: InvalidField) -> None:
         if not self.unfit:
             self.reactor.callLater(ADOPT_AGAIN, self._adopt)
             logger.bind(tenant=name, cause=str(fault)).error("what is in force can't be had here; nothing is taken")
-        self.unfit = f"tenants.{name}.{fault.field}: {fault.why}" if fault.field else fault.why
+        self.unfit = f"tenants.{name}.{fault.field}: {fault.reason}" if fault.field else fault.reason
 
     def _installed(self, data: bytes) -> None:
         """What is in force came whole, as the log goes back no further."""
@@ -486,11 +486,11 @@
                 continue
             try:
                 self.host.apply(there, name, self.host.prepare(there, name))
-            except Unfit as fault:
+            except InvalidField as fault:
                 self._cannot(name, fault)
             except Exception as fault:
                 logger.bind(tenant=name).exception("a tenant that is in force could not be applied")
-                self._cannot(name, Unfit("", f"a fault of the program: {fault}"))
+                self._cannot(name, InvalidField("", f"a fault of the program: {fault}"))
         self.host.registry = there
 
     # ---- disk ----
--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -19,7 +19,7 @@
 from ternquay.hosted.tenants.ledger import Ledger
 from ternquay.hosted.tenants.registry import Change, Make, NotThere, Registry, Remove, Replace, SetState, Stale
 from ternquay.hosted.tenants.tenancy import Common, Prepared, Tenancy, bound
-from ternquay.hosted.tenants.tenant import Guarantee, State, Tenant, Unfit
+from ternquay.hosted.tenants.tenant import Guarantee, InvalidField, State, Tenant
 from ternquay.net import library_log
 from ternquay.net.closing import once_paid
 from ternquay.net.limits import MS, SECOND
@@ -63,16 +63,16 @@
     # ---- beginning ----
 
     def begin(self) -> None:
-        """Raises Unfit where a listener can't be bound."""
+        """Raises InvalidField where a listener can't be bound."""
         prepared = {}
         for name, entry in self.registry.tenants.items():
             try:
                 places = () if entry.tenant.state is State.ENDING else entry.tenant.listeners
                 prepared[name] = bound(self.reactor, places, self.own)
-            except Unfit as fault:
+            except InvalidField as fault:
                 for one in prepared.values():
                     one.drop()
-                raise Unfit(f"tenants.{name}.{fault.field}", fault.why) from fault
+                raise InvalidField(f"tenants.{name}.{fault.field}", fault.reason) from fault
         for name in self.registry.tenants:
             self._made(name)
         self._settle()
@@ -88,7 +88,7 @@
     # ---- changes ----
 
     def prepare(self, registry: Registry, name: str) -> Prepared:
-        """Binds what the change needs; raises Unfit with nothing bound."""
+        """Binds what the change needs; raises InvalidField with nothing bound."""
         after, before = registry.tenants.get(name), self.registry.tenants.get(name)
         if after is None or after.tenant.state is State.ENDING:
             return Prepared()
@@ -96,9 +96,9 @@
         new = tuple(place for place in after.tenant.listeners if place not in there)
         try:
             return bound(self.reactor, new, self.own)
-        except Unfit as fault:
+        except InvalidField as fault:
             at = after.tenant.listeners.index(new[int(fault.field[len("listeners[") : -1])])
-            raise Unfit(f"listeners[{at}]", fault.why) from fault
+            raise InvalidField(f"listeners[{at}]", fault.reason) from fault
 
     def apply(self, registry: Registry, name: str, prepared: Prepared) -> None:
         """All of it, in one step of the loop. What raises leaves the other tenants as they are."""
@@ -137,7 +137,7 @@
                 self._settle()
 
     def change(self, change: Change) -> None:
-        """Makes a change that is not stored. Raises Unfit, NotThere or Stale, and nothing is changed."""
+        """Makes a change that is not stored. Raises InvalidField, NotThere or Stale, and nothing is changed."""
         name = change.tenant.name if isinstance(change, Make | Replace) else change.name
         after = self.registry.changed(change)
         self.apply(after, name, self.prepare(after, name))
@@ -145,7 +145,7 @@
     def _removed_here(self, name: str) -> None:
         try:
             self.change(Remove(name))
-        except (Unfit, NotThere, Stale):
+        except (InvalidField, NotThere, Stale):
             logger.exception("a tenant that has ended could not be removed")
 
     def _settle(self) -> None:
@@ -228,7 +228,7 @@
                 self.change(change)
             except Exception as fault:  # of one tenant, and no reason to leave out the others
                 name = change.tenant.name if isinstance(change, Make | Replace) else change.name
-                expected = isinstance(fault, Unfit | NotThere | Stale)
+                expected = isinstance(fault, InvalidField | NotThere | Stale)
                 logger.opt(exception=not expected).bind(tenant=name, cause=str(fault)).error(
                     "the file's change was not made"
                 )
@@ -369,8 +369,8 @@
 
                 self.api = ApiPort(self.reactor, self.service, self.keeper)
                 self.api.begin()
-        except Unfit as fault:
-            raise ServiceError(f"{self.service.path}: {fault.field}: {fault.why}") from fault
+        except InvalidField as fault:
+            raise ServiceError(f"{self.service.path}: {fault.field}: {fault.reason}") from fault
         logger.info("{} serves {} tenants", self.service.name, len(self.host.tenancies))
 
     def reload(self) -> None:
--- a/ternquay/hosted/service.py
+++ b/ternquay/hosted/service.py
@@ -25,7 +25,7 @@
 )
 from ternquay.hosted.tenants.registry import Make, Registry
 from ternquay.hosted.tenants.tenancy import Process
-from ternquay.hosted.tenants.tenant import Key, Place, Scope, Tenant, Unfit, placed
+from ternquay.hosted.tenants.tenant import InvalidField, Key, Place, Scope, Tenant, placed
 from ternquay.net.launch import descriptors
 from ternquay.peers.frames import KEY_LEAST
 
@@ -163,15 +163,15 @@
     """Raises ServiceError."""
     try:
         return _service(path, read(ServiceDocument, read_tables(path)))
-    except Unfit as fault:
-        raise ServiceError(f"{path}: {fault.field}: {fault.why}") from fault
+    except InvalidField as fault:
+        raise ServiceError(f"{path}: {fault.field}: {fault.reason}") from fault
 
 
 def _service(path: Path, told: ServiceDocument) -> Service:
     if told.store is not None and told.tenants:
-        raise Unfit("tenants", "stand in the store where there is one; `ternquay admin apply` brings them there")
+        raise InvalidField("tenants", "stand in the store where there is one; `ternquay admin apply` brings them there")
     if told.api is not None and told.store is None:
-        raise Unfit("api", "a store is wanted, as what is acknowledged has to last")
+        raise InvalidField("api", "a store is wanted, as what is acknowledged has to last")
     fellows = _fellows(path, told)
     return Service(
         path=str(path),
@@ -192,28 +192,30 @@
     if peers is None:
         return None
     if told.store is None:
-        raise Unfit("peers", "a store is wanted, as what is agreed on has to last")
+        raise InvalidField("peers", "a store is wanted, as what is agreed on has to last")
     if (told.process.balancers, told.process.number) != (1, 0):
-        raise Unfit("process.balancers", "is how many members there are, where there are peers")
+        raise InvalidField("process.balancers", "is how many members there are, where there are peers")
     places: dict[str, Place] = {}
     for i, one in enumerate(peers.members):
         place = place_of(one.place, f"peers.members[{i}].place")
         placed(place, f"peers.members[{i}].place")
         if one.name in places:
-            raise Unfit(f"peers.members[{i}].name", f"{one.name} stands there twice")
+            raise InvalidField(f"peers.members[{i}].name", f"{one.name} stands there twice")
         if place in places.values():
-            raise Unfit(f"peers.members[{i}].place", "another member has it")
+            raise InvalidField(f"peers.members[{i}].place", "another member has it")
         places[one.name] = place
     if peers.me not in places:
-        raise Unfit("peers.me", f"{peers.me} is none of the members")
+        raise InvalidField("peers.me", f"{peers.me} is none of the members")
     if len(places) > FELLOWS_MOST:
-        raise Unfit("peers.members", f"{FELLOWS_MOST} members are the most, as each is in every round of the leader's")
+        raise InvalidField(
+            "peers.members", f"{FELLOWS_MOST} members are the most, as each is in every round of the leader's"
+        )
     listen = place_of(peers.listen, "peers.listen") if peers.listen is not None else places[peers.me]
     placed(listen, "peers.listen")
     try:
         address = str(ip_address(peers.address)) if peers.address else ""
     except ValueError as fault:
-        raise Unfit("peers.address", "an address is wanted") from fault
+        raise InvalidField("peers.address", "an address is wanted") from fault
     return Fellows(
         peers.fleet,
         peers.me,
@@ -231,9 +233,9 @@
     try:
         key = (path.parent / told.key_file).read_bytes().strip()
     except OSError as fault:
-        raise Unfit("peers.key_file", f"{told.key_file}: {fault.strerror}") from fault
+        raise InvalidField("peers.key_file", f"{told.key_file}: {fault.strerror}") from fault
     if len(key) < KEY_LEAST:
-        raise Unfit("peers.key_file", f"{KEY_LEAST} bytes at least are wanted")
+        raise InvalidField("peers.key_file", f"{KEY_LEAST} bytes at least are wanted")
     return key
 
 
@@ -243,7 +245,7 @@
             told, balancers=len(fellows.places), number=sorted(fellows.places).index(fellows.me)
         )
     if told.number >= told.balancers:
-        raise Unfit("process.number", f"there are {told.balancers} balancers, from 0")
+        raise InvalidField("process.number", f"there are {told.balancers} balancers, from 0")
     seed = told.seed if told.seed is not None else Random().getrandbits(64)
     return Process(min(told.sockets, descriptors()), told.memory_mb, told.balancers, told.number, seed)
 
@@ -259,12 +261,12 @@
     place = place_of(told.listen, "api.listen")
     placed(place, "api.listen")
     if told.tls is None and not (place.host.startswith("127.") or place.host == "::1"):
-        raise Unfit("api.tls", "is wanted, as plain HTTP is for loopback alone")
+        raise InvalidField("api.tls", "is wanted, as plain HTTP is for loopback alone")
     if told.tls is not None:
         for name in ("certificate", "key", "clients_ca"):
             where = getattr(told.tls, name)
             if where and not (path.parent / where).is_file():
-                raise Unfit(f"api.tls.{name}", f"{where} is no file")
+                raise InvalidField(f"api.tls.{name}", f"{where} is no file")
     return place
 
 
@@ -272,11 +274,11 @@
     found = []
     for i, one in enumerate(told.operators if told is not None else ()):
         if one.until_ms and one.until_ms <= one.since_ms:
-            raise Unfit(f"api.operators[{i}].until_ms", "is not after it begins")
+            raise InvalidField(f"api.operators[{i}].until_ms", "is not after it begins")
         found.append(Key(one.name, bytes.fromhex(one.digest), Scope.OPERATOR, one.since_ms * MS, one.until_ms * MS))
     names = [key.name for key in found]
     if len(set(names)) != len(names):
-        raise Unfit("api.operators", "a name stands there twice")
+        raise InvalidField("api.operators", "a name stands there twice")
     return tuple(found)
 
 
@@ -286,11 +288,11 @@
 
 
 def registry_of(tenants: tuple[ListedDocument, ...]) -> Registry:
-    """Raises Unfit with the path from the file's root."""
+    """Raises InvalidField with the path from the file's root."""
     registry = Registry()
     for i, one in enumerate(tenants):
         try:
             registry = registry.changed(Make(listed(one)))
-        except Unfit as fault:
-            raise Unfit(f"tenants[{i}].{fault.field}", fault.why) from fault
+        except InvalidField as fault:
+            raise InvalidField(f"tenants[{i}].{fault.field}", fault.reason) from fault
     return registry
--- a/ternquay/hosted/store.py
+++ b/ternquay/hosted/store.py
@@ -19,7 +19,7 @@
 
 from ternquay.hosted.tenants.documents import KeptKey, KeptTenant, document_of, state_of, tenant_of
 from ternquay.hosted.tenants.registry import Entry, Registry
-from ternquay.hosted.tenants.tenant import Key, Scope, Tenant, Unfit
+from ternquay.hosted.tenants.tenant import InvalidField, Key, Scope, Tenant
 
 FORMAT = 1
 SECOND = 1_000_000_000
@@ -107,7 +107,7 @@
         told = msgspec.json.decode(body, type=KeptTenant)
         keys = tuple(Key(k.name, k.digest, Scope(k.scope), k.since, k.until) for k in told.keys)
         return replace(tenant_of(told.tenant), keys=keys, state=state_of(told.state))
-    except (msgspec.DecodeError, Unfit, ValueError) as fault:
+    except (msgspec.DecodeError, InvalidField, ValueError) as fault:
         raise StoreError(f"a tenant that is kept can't be read: {fault}") from fault
 
 
--- a/ternquay/hosted/tenants/documents.py
+++ b/ternquay/hosted/tenants/documents.py
@@ -1,8 +1,8 @@
 """Tenants as documents: what the administration API, the store and the operators' files hold, and how they are read.
 
-    tenant = read(TenantDocument, told)      # a decoded JSON or TOML object -> a document; raises Unfit with a path
-    fit_for = tenant_of(document)            # -> a Tenant, checked by itself; raises Unfit
-    document_of(tenant)                      # -> a document again
+    tenant = read(TenantDocument, told)  # a decoded JSON or TOML object -> a document; raises InvalidField with a path
+    fit_for = tenant_of(document)  # -> a Tenant, checked by itself; raises InvalidField
+    document_of(tenant)  # -> a document again
 
 Times are whole milliseconds here and whole nanoseconds in a Tenant. Keys are no part of a tenant's document.
 """
@@ -15,6 +15,7 @@
 from ternquay import model as m
 from ternquay.hosted.tenants.tenant import (
     Guarantee,
+    InvalidField,
     NamedProfile,
     Place,
     RuleFigures,
@@ -23,7 +24,6 @@
     State,
     Tenant,
     TenantLimits,
-    Unfit,
     fit,
 )
 
@@ -134,30 +134,30 @@
 
 
 def read(kind: type[Read], told: Any, within: str = "") -> Read:
-    """An object as that kind of document. Raises Unfit with the path to the field at fault."""
+    """An object as that kind of document. Raises InvalidField with the path to the field at fault."""
     try:
         return msgspec.convert(told, kind)
     except msgspec.ValidationError as fault:
         text, _, path = str(fault).partition(" - at `$")
         field = ".".join(part for part in (within, path.strip(".`")) if part)
-        raise Unfit(field or "the document", text) from fault
+        raise InvalidField(field or "the document", text) from fault
 
 
 def decoded(kind: type[Read], body: bytes) -> Read:
-    """The same, from the bytes of a JSON text. Raises Unfit."""
+    """The same, from the bytes of a JSON text. Raises InvalidField."""
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.ValidationError as fault:
         text, _, path = str(fault).partition(" - at `$")
-        raise Unfit(path.strip(".`") or "the document", text) from fault
+        raise InvalidField(path.strip(".`") or "the document", text) from fault
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise Unfit("the document", f"is no JSON that can be read: {str(fault) or 'nested too deep'}") from fault
+        raise InvalidField("the document", f"is no JSON that can be read: {str(fault) or 'nested too deep'}") from fault
 
 
 def place_of(text: str, field: str) -> Place:
     found = WHERE.fullmatch(text)
     if found is None:
-        raise Unfit(field, f"an address and a port are wanted, not {text!r:.80}")
+        raise InvalidField(field, f"an address and a port are wanted, not {text!r:.80}")
     return Place(found[1] or found[2], int(found[3]))
 
 
@@ -251,7 +251,7 @@
 
 
 def tenant_of(told: TenantDocument) -> Tenant:
-    """Raises Unfit at the first thing that is wrong with it by itself."""
+    """Raises InvalidField at the first thing that is wrong with it by itself."""
     tenant = Tenant(
         told.name,
         tuple(place_of(one, f"listeners[{i}]") for i, one in enumerate(told.listeners)),
--- a/ternquay/hosted/tenants/registry.py
+++ b/ternquay/hosted/tenants/registry.py
@@ -1,7 +1,7 @@
 """All tenants of a process as one value: a change is checked whole against all others, then made in one step.
 
     registry = Registry()
-    registry = registry.changed(Make(tenant))                # -> another registry, or Unfit, NotThere, Stale
+    registry = registry.changed(Make(tenant))                # -> another registry, or InvalidField, NotThere, Stale
     registry.tenants["archivo-sur"].version                  # of the change that made it what it is
 
 No I/O and no clock. Versions only rise, over all tenants together; a tenant that is made again under an old name
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field, replace
 from types import MappingProxyType
 
-from ternquay.hosted.tenants.tenant import Key, Place, Server, State, Tenant, TenantLimits, Unfit, fit
+from ternquay.hosted.tenants.tenant import InvalidField, Key, Place, Server, State, Tenant, TenantLimits, fit
 
 TENANTS_MOST = 1000
 PARTS = ("cpu", "sockets", "memory")
@@ -106,7 +106,7 @@
     version: int = 0  # of the last change of any
 
     def changed(self, change: Change) -> "Registry":
-        """The registry after that change. Raises Unfit, NotThere or Stale, and is itself what it was."""
+        """The registry after that change. Raises InvalidField, NotThere or Stale, and is itself what it was."""
         if isinstance(change, Remove):
             return self._removed(change)
         tenant = self._wanted(change)
@@ -121,20 +121,20 @@
         """The tenant as the change would have it."""
         if isinstance(change, Make):
             if change.tenant.name in self.tenants:
-                raise Unfit("name", f"{change.tenant.name} is there already")
+                raise InvalidField("name", f"{change.tenant.name} is there already")
             if len(self.tenants) >= TENANTS_MOST:
-                raise Unfit("name", f"there are {TENANTS_MOST} tenants, which is the most")
+                raise InvalidField("name", f"there are {TENANTS_MOST} tenants, which is the most")
             return change.tenant
         if isinstance(change, Replace):
             there = self._there(change.tenant.name, change.meant)
             if change.tenant.state is not there.state:
-                raise Unfit("state", "is changed by itself")
+                raise InvalidField("state", "is changed by itself")
             return change.tenant
         assert not isinstance(change, Remove)
         there = self._there(change.name, change.meant)
         if isinstance(change, SetState):
             if change.state is not there.state and change.state not in FOLLOWS[there.state]:
-                raise Unfit("state", f"{change.state.value} does not follow {there.state.value}")
+                raise InvalidField("state", f"{change.state.value} does not follow {there.state.value}")
             return replace(there, state=change.state)
         if isinstance(change, SetServers):
             return replace(there, servers=change.servers)
@@ -153,32 +153,34 @@
     def _removed(self, change: Remove) -> "Registry":
         there = self._there(change.name, change.meant)
         if there.state is not State.ENDING:
-            raise Unfit("state", f"{change.name} is {there.state.value}, and only what is ending is removed")
+            raise InvalidField("state", f"{change.name} is {there.state.value}, and only what is ending is removed")
         left = {name: entry for name, entry in self.tenants.items() if name != change.name}
         return Registry(MappingProxyType(left), self.version + 1)
 
     def _beside(self, tenant: Tenant) -> None:
-        """Raises Unfit where a tenant can't stand beside the others."""
+        """Raises InvalidField where a tenant can't stand beside the others."""
         others = [entry.tenant for name, entry in self.tenants.items() if name != tenant.name]
         taken = {place: other.name for other in others for place in other.listeners}
         own: set[Place] = set()
         for i, place in enumerate(tenant.listeners):
             if place in taken or place in own:
-                raise Unfit(f"listeners[{i}]", f"{place.host}:{place.port} is taken by {taken.get(place, tenant.name)}")
+                raise InvalidField(
+                    f"listeners[{i}]", f"{place.host}:{place.port} is taken by {taken.get(place, tenant.name)}"
+                )
             own.add(place)
         for i, server in enumerate(tenant.servers):
             if server.place in taken or server.place in own:
                 # Against a balancer that sends what it takes to itself, round and round.
-                raise Unfit(f"servers[{i}].place", "is a listener of this process")
+                raise InvalidField(f"servers[{i}].place", "is a listener of this process")
         hosts = {server.place for other in others for server in other.servers}
         for i, place in enumerate(tenant.listeners):
             if place in hosts:
-                raise Unfit(f"listeners[{i}]", "another tenant has it as a cache host")
+                raise InvalidField(f"listeners[{i}]", "another tenant has it as a cache host")
         digests = {key.digest for other in others for key in other.keys}
         for i, key in enumerate(tenant.keys):
             if key.digest in digests:
-                raise Unfit(f"keys[{i}]", "is another tenant's too")
+                raise InvalidField(f"keys[{i}]", "is another tenant's too")
         for part in PARTS:
             least = sum(getattr(one.limits, part).least for one in (*others, tenant))
             if least > 1 + 1e-9:
-                raise Unfit(f"limits.{part}.least", f"with it {least:.3f} of the process would be promised")
+                raise InvalidField(f"limits.{part}.least", f"with it {least:.3f} of the process would be promised")
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -15,7 +15,7 @@
 from ternquay.hosted.shared.loop import Loop
 from ternquay.hosted.tenants.ledger import Ledger, Named
 from ternquay.hosted.tenants.registry import Entry
-from ternquay.hosted.tenants.tenant import Place, Server, State, Tenant, Unfit
+from ternquay.hosted.tenants.tenant import InvalidField, Place, Server, State, Tenant
 from ternquay.net.closing import all_accepted
 from ternquay.net.discovery import Discovery
 from ternquay.net.door import Door, Outgoing
@@ -219,7 +219,7 @@
 
 
 def bound(reactor: Any, places: tuple[Place, ...], own: str = "", backlog: int = 1024) -> Prepared:
-    """`own` stands for 0.0.0.0 here. Raises Unfit, with nothing left bound, if one of them can't be."""
+    """`own` stands for 0.0.0.0 here. Raises InvalidField, with nothing left bound, if one of them can't be."""
     prepared = Prepared()
     for i, place in enumerate(places):
         host = own if own and place.host == "0.0.0.0" else place.host
@@ -228,7 +228,7 @@
             port.startListening()
         except CannotListenError as fault:
             prepared.drop()
-            raise Unfit(f"listeners[{i}]", f"can't be bound: {fault.socketError}") from fault
+            raise InvalidField(f"listeners[{i}]", f"can't be bound: {fault.socketError}") from fault
         prepared.ports[place] = port
     return prepared
 
--- a/ternquay/hosted/tenants/tenant.py
+++ b/ternquay/hosted/tenants/tenant.py
@@ -121,22 +121,22 @@
     source: Place | None = None  # where the list of cache hosts is followed, instead of `servers`
 
 
-class Unfit(ValueError):
-    """What can't be a tenant, or can't stand beside the others; `field` is the path to what is at fault."""
+class InvalidField(ValueError):
+    """The configuration is invalid, by itself or beside other tenants; `field` is the path to the offending field."""
 
-    def __init__(self, field: str, why: str) -> None:
-        super().__init__(f"{field}: {why}")
-        self.field, self.why = field, why
+    def __init__(self, field: str, reason: str) -> None:
+        super().__init__(f"{field}: {reason}")
+        self.field, self.reason = field, reason
 
 
 def named(name: str, field: str) -> None:
     if not NAME.fullmatch(name):
-        raise Unfit(field, f"a name of up to 48 small letters, digits and dashes is wanted, not {name!r:.60}")
+        raise InvalidField(field, f"a name of up to 48 small letters, digits and dashes is wanted, not {name!r:.60}")
 
 
 def counted(many: int, field: str, least: int, most: int) -> None:
     if not least <= many <= most:
-        raise Unfit(field, f"from {least} to {most} are wanted, not {many}")
+        raise InvalidField(field, f"from {least} to {most} are wanted, not {many}")
 
 
 def once(names: list[str], field: str) -> None:
@@ -144,7 +144,7 @@
     seen: set[str] = set()
     for i, name in enumerate(names):
         if name in seen:
-            raise Unfit(f"{field}[{i}]", f"{name} stands there already")
+            raise InvalidField(f"{field}[{i}]", f"{name} stands there already")
         seen.add(name)
 
 
@@ -152,19 +152,19 @@
     try:
         ip_address(place.host)
     except ValueError as fault:
-        raise Unfit(f"{field}.host", f"an address is wanted, not {place.host!r:.60}") from fault
+        raise InvalidField(f"{field}.host", f"an address is wanted, not {place.host!r:.60}") from fault
     if not 0 < place.port < 65536:
-        raise Unfit(f"{field}.port", f"a port is wanted, not {place.port}")
+        raise InvalidField(f"{field}.port", f"a port is wanted, not {place.port}")
 
 
 def positive(value: float, field: str) -> None:
     # Written so that what is no number at all is not positive either.
     if not 0 < value < float("inf"):
-        raise Unfit(field, f"more than nought is wanted, not {value}")
+        raise InvalidField(field, f"more than nought is wanted, not {value}")
 
 
 def fit(tenant: Tenant) -> None:
-    """Raises Unfit at the first thing that is wrong with a tenant by itself."""
+    """Raises InvalidField at the first thing that is wrong with a tenant by itself."""
     named(tenant.name, "name")
     counted(len(tenant.listeners), "listeners", 1, LISTENERS_MOST)
     for i, listener in enumerate(tenant.listeners):
@@ -175,13 +175,13 @@
         placed(server.place, f"servers[{i}].place")
         positive(server.weight, f"servers[{i}].weight")
         if server.started < 0:
-            raise Unfit(f"servers[{i}].started", f"a time is wanted, not {server.started}")
+            raise InvalidField(f"servers[{i}].started", f"a time is wanted, not {server.started}")
     once([server.name for server in tenant.servers], "servers")
     once([f"{server.place.host}:{server.place.port}" for server in tenant.servers], "servers")
     if tenant.source is not None:
         placed(tenant.source, "source")
         if tenant.servers:
-            raise Unfit("servers", "are listed by the source")
+            raise InvalidField("servers", "are listed by the source")
     _fit_profiles(tenant)
     _fit_rules(tenant.rules)
     _fit_limits(tenant.limits)
@@ -199,9 +199,9 @@
         named(named_one.name, f"{field}.name")
         positive(profile.service_goal, f"{field}.service_goal")
         if profile.hard_limit < profile.service_goal:
-            raise Unfit(f"{field}.hard_limit", "is before the service goal")
+            raise InvalidField(f"{field}.hard_limit", "is before the service goal")
         if profile.kind is m.Kind.JOURNALLED and profile.memory <= 0:
-            raise Unfit(f"{field}.memory", "a journalled profile needs the time for which its mark is known")
+            raise InvalidField(f"{field}.memory", "a journalled profile needs the time for which its mark is known")
     once([one.name for one in tenant.profiles], "profiles")
 
 
@@ -209,7 +209,7 @@
     for name in ("drain_grace", "warm_within", "tip_multiple", "tip_window"):
         positive(getattr(rules, name), f"rules.{name}")
     if not 0 < rules.cold_share <= 1:
-        raise Unfit("rules.cold_share", f"a part of one is wanted, not {rules.cold_share}")
+        raise InvalidField("rules.cold_share", f"a part of one is wanted, not {rules.cold_share}")
 
 
 def _fit_limits(limits: TenantLimits) -> None:
@@ -218,7 +218,7 @@
     for name in ("cpu", "sockets", "memory"):
         part: Guarantee = getattr(limits, name)
         if not 0 <= part.least <= part.most <= 1 or part.most <= 0:
-            raise Unfit(f"limits.{name}", f"0 <= least <= most <= 1 is wanted, not {part.least} and {part.most}")
+            raise InvalidField(f"limits.{name}", f"0 <= least <= most <= 1 is wanted, not {part.least} and {part.most}")
 
 
 def _fit_keys(keys: tuple[Key, ...]) -> None:
@@ -227,8 +227,8 @@
     for i, key in enumerate(keys):
         named(key.name, f"keys[{i}].name")
         if len(key.digest) != DIGEST:
-            raise Unfit(f"keys[{i}].digest", f"{DIGEST} bytes are wanted")
+            raise InvalidField(f"keys[{i}].digest", f"{DIGEST} bytes are wanted")
         if key.scope is Scope.OPERATOR:
-            raise Unfit(f"keys[{i}].scope", "a tenant has no operator's key")
+            raise InvalidField(f"keys[{i}].scope", "a tenant has no operator's key")
         if key.until and key.until <= key.since:
-            raise Unfit(f"keys[{i}].until", "is not after it begins")
+            raise InvalidField(f"keys[{i}].until", "is not after it begins")
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -19,7 +19,7 @@
 from ternquay.hosted.tenants.documents import TenantDocument, decoded, document_of, plain, read, tenant_of
 from ternquay.hosted.tenants.ledger import FAILS, GONE_KEPT, Ledger, Named
 from ternquay.hosted.tenants.registry import Make, Registry
-from ternquay.hosted.tenants.tenant import Guarantee, Key, Place, Scope, Unfit
+from ternquay.hosted.tenants.tenant import Guarantee, InvalidField, Key, Place, Scope
 from ternquay.net.turn import Turn
 from tests.helper import START, T0
 from tests.hosted_helper import document
@@ -215,7 +215,7 @@
     ],
 )
 def test_what_is_no_tenant_names_its_field(change: dict[str, Any], field: str) -> None:
-    with pytest.raises(Unfit) as fault:
+    with pytest.raises(InvalidField) as fault:
         tenant_of(read(TenantDocument, TOLD | change))
     assert fault.value.field == field
 
@@ -225,7 +225,7 @@
 
 @pytest.mark.parametrize("body", [b"", b"{", b"\xff\xfe", b"[" * 100_000, DEEP, b"null"])
 def test_what_can_not_be_read_is_unfit_and_nothing_worse(body: bytes) -> None:
-    with pytest.raises(Unfit):
+    with pytest.raises(InvalidField):
         decoded(TenantDocument, body)
 
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -20,6 +20,7 @@
 )
 from ternquay.hosted.tenants.tenant import (
     Guarantee,
+    InvalidField,
     Key,
     NamedProfile,
     Place,
@@ -30,7 +31,6 @@
     State,
     Tenant,
     TenantLimits,
-    Unfit,
 )
 from tests.helper import MARKED, READ
 
@@ -126,7 +126,7 @@
     if isinstance(change, SetState):
         registry = registry.changed(Make(tenant("este", 3))).changed(SetState("este", State.ENDING))
     before = dict(registry.tenants)
-    with pytest.raises(Unfit) as told:
+    with pytest.raises(InvalidField) as told:
         registry.changed(change)
     assert told.value.field == field and dict(registry.tenants) == before
 
@@ -134,9 +134,9 @@
 def test_two_tenants_may_name_one_machine_but_not_promise_more_than_there_is() -> None:
     shared = (Server("same", Place("127.0.1.1", 11211)),)
     registry = made(tenant("sur"), tenant("norte", 2, servers=shared), *(tenant(f"t{n}", n) for n in (3, 4, 5)))
-    with pytest.raises(Unfit) as told:
+    with pytest.raises(InvalidField) as told:
         registry.changed(Make(tenant("sexto", 6)))
-    assert told.value.field == "limits.cpu.least" and "1.200 of the process" in told.value.why
+    assert told.value.field == "limits.cpu.least" and "1.200 of the process" in told.value.reason
     freed = registry.changed(SetState("t5", State.ENDING)).changed(Remove("t5"))
     assert "sexto" in freed.changed(Make(tenant("sexto", 6))).tenants
 
