--- a/ternquay/hosted/administration/api.py
+++ b/ternquay/hosted/administration/api.py
@@ -437,5 +437,7 @@
 
 def started(old: tuple[Server, ...], new: tuple[Server, ...], now: int) -> tuple[Server, ...]:
     """A cache host that a change adds is cold from then on, unless it is said since when it holds copies."""
-    known = {server.place: server.started for server in old}
-    return tuple(server if server.started else replace(server, started=known.get(server.place, now)) for server in new)
+    known = {server.endpoint: server.started for server in old}
+    return tuple(
+        server if server.started else replace(server, started=known.get(server.endpoint, now)) for server in new
+    )
--- a/ternquay/hosted/administration/http.py
+++ b/ternquay/hosted/administration/http.py
@@ -16,7 +16,7 @@
 from ternquay.hosted.administration.changes import Keeper
 from ternquay.hosted.service import ApiDocument, Service
 from ternquay.hosted.shared.fairness import SECOND, Bucket
-from ternquay.hosted.tenants.documents import place_text
+from ternquay.hosted.tenants.documents import format_endpoint
 from ternquay.hosted.tenants.tenant import InvalidField
 from ternquay.net.http import CallIn, CallLimits, CallPort, Channel
 
@@ -102,7 +102,7 @@
                 self.port = self.reactor.listenTCP(where.port, self, 64, where.host)
         except CannotListenError as fault:
             raise InvalidField("api.listen", f"can't be bound: {fault.socketError}") from fault
-        logger.info("the administration API listens on {}", place_text(where))
+        logger.info("the administration API listens on {}", format_endpoint(where))
 
     def reload(self, service: Service) -> None:
         """Raises ServiceError where the certificate can't be used; then the old one stays."""
--- a/ternquay/hosted/service.py
+++ b/ternquay/hosted/service.py
@@ -12,12 +12,12 @@
 
 from ternquay.hosted.tenants.documents import (
     Document,
+    EndpointText,
     Millis,
     Name,
-    PlaceText,
     TenantDocument,
     Wall,
-    place_of,
+    parse_endpoint,
     plain,
     read,
     state_of,
@@ -25,7 +25,7 @@
 )
 from ternquay.hosted.tenants.registry import Make, Registry
 from ternquay.hosted.tenants.tenancy import Process
-from ternquay.hosted.tenants.tenant import InvalidField, Key, Place, Scope, Tenant, placed
+from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Key, Scope, Tenant, check_endpoint
 from ternquay.net.launch import descriptors
 from ternquay.peers.frames import KEY_LEAST
 
@@ -87,7 +87,7 @@
 
 class FellowDocument(Document, frozen=True):
     name: Name
-    place: PlaceText
+    place: EndpointText
 
 
 class PeersDocument(Document, frozen=True):
@@ -97,7 +97,7 @@
     me: Name
     key_file: Annotated[str, msgspec.Meta(min_length=1)]
     members: tuple[FellowDocument, ...]
-    listen: PlaceText | None = None  # where the others' words come in, if not at its own place in `members`
+    listen: EndpointText | None = None  # where the others' words come in, if not at its own place in `members`
     address: str = ""  # of this machine; what tenants' listeners on 0.0.0.0 are bound to
     lease_ms: Annotated[int, msgspec.Meta(ge=300, le=60_000)] = 1000
     alone: Literal["stop", "go-on"] = "stop"
@@ -120,8 +120,8 @@
 
     fleet: str
     me: str
-    places: Mapping[str, Place]
-    listen: Place
+    places: Mapping[str, Endpoint]
+    listen: Endpoint
     key: bytes
     lease: int
     go_on: bool
@@ -137,7 +137,7 @@
     process: Process
     store: str
     api: ApiDocument | None
-    listen: Place | None
+    listen: Endpoint | None
     operators: tuple[Key, ...]
     log: LogDocument
     registry: Registry  # of the file, where there is no store
@@ -195,10 +195,10 @@
         raise InvalidField("peers", "a store is wanted, as what is agreed on has to last")
     if (told.process.balancers, told.process.number) != (1, 0):
         raise InvalidField("process.balancers", "is how many members there are, where there are peers")
-    places: dict[str, Place] = {}
+    places: dict[str, Endpoint] = {}
     for i, one in enumerate(peers.members):
-        place = place_of(one.place, f"peers.members[{i}].place")
-        placed(place, f"peers.members[{i}].place")
+        place = parse_endpoint(one.place, f"peers.members[{i}].place")
+        check_endpoint(place, f"peers.members[{i}].place")
         if one.name in places:
             raise InvalidField(f"peers.members[{i}].name", f"{one.name} stands there twice")
         if place in places.values():
@@ -210,8 +210,8 @@
         raise InvalidField(
             "peers.members", f"{FELLOWS_MOST} members are the most, as each is in every round of the leader's"
         )
-    listen = place_of(peers.listen, "peers.listen") if peers.listen is not None else places[peers.me]
-    placed(listen, "peers.listen")
+    listen = parse_endpoint(peers.listen, "peers.listen") if peers.listen is not None else places[peers.me]
+    check_endpoint(listen, "peers.listen")
     try:
         address = str(ip_address(peers.address)) if peers.address else ""
     except ValueError as fault:
@@ -255,11 +255,11 @@
     return str(path.parent / told.path) if told is not None else ""
 
 
-def _listen(path: Path, told: ApiDocument | None) -> Place | None:
+def _listen(path: Path, told: ApiDocument | None) -> Endpoint | None:
     if told is None:
         return None
-    place = place_of(told.listen, "api.listen")
-    placed(place, "api.listen")
+    place = parse_endpoint(told.listen, "api.listen")
+    check_endpoint(place, "api.listen")
     if told.tls is None and not (place.host.startswith("127.") or place.host == "::1"):
         raise InvalidField("api.tls", "is wanted, as plain HTTP is for loopback alone")
     if told.tls is not None:
--- a/ternquay/hosted/tenants/documents.py
+++ b/ternquay/hosted/tenants/documents.py
@@ -14,10 +14,10 @@
 
 from ternquay import model as m
 from ternquay.hosted.tenants.tenant import (
+    Endpoint,
     Guarantee,
     InvalidField,
     NamedProfile,
-    Place,
     RuleFigures,
     Server,
     Share,
@@ -40,7 +40,7 @@
 Amount = Annotated[float, msgspec.Meta(gt=0.0, le=1e9)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=10**9)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=48, pattern="^[a-z](?:[a-z0-9-]{0,46}[a-z0-9])?$")]
-PlaceText = Annotated[str, msgspec.Meta(min_length=3, max_length=60, description="An address and a port.")]
+EndpointText = Annotated[str, msgspec.Meta(min_length=3, max_length=60, description="An address and a port.")]
 
 
 class Document(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -49,7 +49,7 @@
 
 class ServerDocument(Document, frozen=True):
     name: Name
-    place: PlaceText
+    place: EndpointText
     zone: Annotated[str, msgspec.Meta(max_length=64)] = ""
     weight: Amount = 1.0
     started_ms: Wall = 0  # wall-clock; 0 for long ago, that is warm
@@ -98,10 +98,10 @@
 
 class TenantDocument(Document, frozen=True):
     name: Name
-    listeners: tuple[PlaceText, ...]
+    listeners: tuple[EndpointText, ...]
     profiles: tuple[ProfileDocument, ...]
     servers: tuple[ServerDocument, ...] = ()
-    source: PlaceText | None = None
+    source: EndpointText | None = None
     rules: RulesDocument = RulesDocument()
     limits: LimitsDocument = LimitsDocument()
     shares: tuple[ShareDocument, ...] = ()
@@ -154,20 +154,25 @@
         raise InvalidField("the document", f"is no JSON that can be read: {str(fault) or 'nested too deep'}") from fault
 
 
-def place_of(text: str, field: str) -> Place:
+def parse_endpoint(text: str, field: str) -> Endpoint:
     found = WHERE.fullmatch(text)
     if found is None:
         raise InvalidField(field, f"an address and a port are wanted, not {text!r:.80}")
-    return Place(found[1] or found[2], int(found[3]))
+    return Endpoint(found[1] or found[2], int(found[3]))
 
 
-def place_text(place: Place) -> str:
+def format_endpoint(place: Endpoint) -> str:
     return f"[{place.host}]:{place.port}" if ":" in place.host else f"{place.host}:{place.port}"
 
 
 def server_of(told: ServerDocument, field: str) -> Server:
     return Server(
-        told.name, place_of(told.place, f"{field}.place"), told.zone, told.weight, told.started_ms * MS, told.draining
+        told.name,
+        parse_endpoint(told.place, f"{field}.place"),
+        told.zone,
+        told.weight,
+        told.started_ms * MS,
+        told.draining,
     )
 
 
@@ -177,7 +182,7 @@
 
 def server_document(server: Server) -> ServerDocument:
     return ServerDocument(
-        server.name, place_text(server.place), server.zone, server.weight, server.started // MS, server.draining
+        server.name, format_endpoint(server.endpoint), server.zone, server.weight, server.started // MS, server.draining
     )
 
 
@@ -254,13 +259,13 @@
     """Raises InvalidField at the first thing that is wrong with it by itself."""
     tenant = Tenant(
         told.name,
-        tuple(place_of(one, f"listeners[{i}]") for i, one in enumerate(told.listeners)),
+        tuple(parse_endpoint(one, f"listeners[{i}]") for i, one in enumerate(told.listeners)),
         servers_of(told.servers),
         tuple(map(profile_of, told.profiles)),
         rules_of(told.rules),
         limits_of(told.limits),
         tuple(Share(one.name, one.txs_a_second) for one in told.shares),
-        source=place_of(told.source, "source") if told.source is not None else None,
+        source=parse_endpoint(told.source, "source") if told.source is not None else None,
     )
     fit(tenant)
     return tenant
@@ -269,10 +274,10 @@
 def document_of(tenant: Tenant) -> TenantDocument:
     return TenantDocument(
         tenant.name,
-        tuple(map(place_text, tenant.listeners)),
+        tuple(map(format_endpoint, tenant.listeners)),
         tuple(map(profile_document, tenant.profiles)),
         tuple(map(server_document, tenant.servers)),
-        place_text(tenant.source) if tenant.source else None,
+        format_endpoint(tenant.source) if tenant.source else None,
         rules_document(tenant.rules),
         limits_document(tenant.limits),
         tuple(ShareDocument(one.name, one.txs_a_second) for one in tenant.shares),
--- a/ternquay/hosted/tenants/ledger.py
+++ b/ternquay/hosted/tenants/ledger.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from ternquay import model as m
-from ternquay.hosted.tenants.tenant import Place
+from ternquay.hosted.tenants.tenant import Endpoint
 
 MS, SECOND = 1_000_000, 1_000_000_000
 FAILS, OUT_FIRST, OUT_MOST = 4, SECOND, 8 * SECOND
@@ -24,7 +24,7 @@
 class Named:
     """What one tenant's list says of a cache host."""
 
-    place: Place
+    place: Endpoint
     standing: m.Standing
     since: int  # its latest start on our clock, 0 for long ago
 
@@ -33,7 +33,7 @@
 class Line:
     """What the tenant's decisions are told of it."""
 
-    place: Place
+    place: Endpoint
     standing: m.Standing
     since: int
     part: float  # of the budget of a cold host
@@ -52,7 +52,7 @@
 @dataclass(slots=True)
 class Ledger:
     weights: dict[str, float] = field(default_factory=dict)  # of tenants, for their parts of a budget
-    machines: dict[Place, Machine] = field(default_factory=dict)
+    machines: dict[Endpoint, Machine] = field(default_factory=dict)
     lists: dict[str, dict[str, Named]] = field(default_factory=dict)
 
     def settle(self, weights: Mapping[str, float]) -> set[str]:
@@ -70,7 +70,7 @@
             if len(self.machines[named.place].named) > 1
         }
 
-    def told(self, now: int, tenant: str, hosts: Mapping[str, Named], gone: Iterable[Place] = ()) -> set[str]:
+    def told(self, now: int, tenant: str, hosts: Mapping[str, Named], gone: Iterable[Endpoint] = ()) -> set[str]:
         """Its list is this one; `gone`: machines of which its source says that they are no more."""
         before = self.lists.get(tenant, {})
         self.lists[tenant] = dict(hosts)
@@ -122,7 +122,7 @@
         whole = sum(self.weights.get(other, 1.0) for other in machine.named)
         return Line(named.place, standing, since, self.weights.get(tenant, 1.0) / whole, True)
 
-    def ended(self, now: int, place: Place, end: m.End) -> set[str]:
+    def ended(self, now: int, place: Endpoint, end: m.End) -> set[str]:
         """A hop of some tenant ended there; the tenants to be told, where the machine's health is another now."""
         machine = self.machines.get(place)
         if machine is None or len(machine.named) < 2 or end in (m.End.SKIPPED, m.End.CANCELLED):
--- a/ternquay/hosted/tenants/registry.py
+++ b/ternquay/hosted/tenants/registry.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field, replace
 from types import MappingProxyType
 
-from ternquay.hosted.tenants.tenant import InvalidField, Key, Place, Server, State, Tenant, TenantLimits, fit
+from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Key, Server, State, Tenant, TenantLimits, fit
 
 TENANTS_MOST = 1000
 PARTS = ("cpu", "sockets", "memory")
@@ -161,7 +161,7 @@
         """Raises InvalidField where a tenant can't stand beside the others."""
         others = [entry.tenant for name, entry in self.tenants.items() if name != tenant.name]
         taken = {place: other.name for other in others for place in other.listeners}
-        own: set[Place] = set()
+        own: set[Endpoint] = set()
         for i, place in enumerate(tenant.listeners):
             if place in taken or place in own:
                 raise InvalidField(
@@ -169,10 +169,10 @@
                 )
             own.add(place)
         for i, server in enumerate(tenant.servers):
-            if server.place in taken or server.place in own:
+            if server.endpoint in taken or server.endpoint in own:
                 # Against a balancer that sends what it takes to itself, round and round.
                 raise InvalidField(f"servers[{i}].place", "is a listener of this process")
-        hosts = {server.place for other in others for server in other.servers}
+        hosts = {server.endpoint for other in others for server in other.servers}
         for i, place in enumerate(tenant.listeners):
             if place in hosts:
                 raise InvalidField(f"listeners[{i}]", "another tenant has it as a cache host")
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -15,7 +15,7 @@
 from ternquay.hosted.shared.loop import Loop
 from ternquay.hosted.tenants.ledger import Ledger, Named
 from ternquay.hosted.tenants.registry import Entry
-from ternquay.hosted.tenants.tenant import InvalidField, Place, Server, State, Tenant
+from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Server, State, Tenant
 from ternquay.net.closing import all_accepted
 from ternquay.net.discovery import Discovery
 from ternquay.net.door import Door, Outgoing
@@ -171,16 +171,16 @@
     """Its list goes by the ledger, and what its hops tell of machines that others name too."""
 
     told: Callable[[bool, tuple[Member, ...]], None]
-    machine_ended: Callable[[Place, m.End], None]
+    machine_ended: Callable[[Endpoint, m.End], None]
 
     def __init__(self, *terms: Any) -> None:
         super().__init__(*terms)
-        self.shared: dict[int, Place] = {}
+        self.shared: dict[int, Endpoint] = {}
 
     def list_told(self, whole: bool, members: tuple[Member, ...]) -> None:
         self.told(whole, members)
 
-    def settled(self, members: tuple[Member, ...], shared: Mapping[str, Place]) -> None:
+    def settled(self, members: tuple[Member, ...], shared: Mapping[str, Endpoint]) -> None:
         """The list as the decisions are to have it."""
         super().list_told(True, members)
         self.shared = {self.hosts[id]: place for id, place in shared.items() if id in self.hosts}
@@ -196,7 +196,7 @@
 class Prepared:
     """Listeners that a change needs, bound but not accepting yet."""
 
-    ports: dict[Place, Any] = field(default_factory=dict)
+    ports: dict[Endpoint, Any] = field(default_factory=dict)
 
     def drop(self) -> None:
         for port in self.ports.values():
@@ -218,7 +218,7 @@
         self.startReading()
 
 
-def bound(reactor: Any, places: tuple[Place, ...], own: str = "", backlog: int = 1024) -> Prepared:
+def bound(reactor: Any, places: tuple[Endpoint, ...], own: str = "", backlog: int = 1024) -> Prepared:
     """`own` stands for 0.0.0.0 here. Raises InvalidField, with nothing left bound, if one of them can't be."""
     prepared = Prepared()
     for i, place in enumerate(places):
@@ -255,7 +255,7 @@
         self.front.open_most = tenant.limits.open_txs
         self.front.gate = self._gate
         self.front.fenced = partial(common.wait, tenant.name) if common.wait is not None else None
-        self.ports: dict[Place, Any] = {}
+        self.ports: dict[Endpoint, Any] = {}
         self.members: dict[str, Member] = {}
         self.start_times = StartTimes(common.difference)
         self.discovery: Discovery | None = None
@@ -325,7 +325,7 @@
             self.front.shed()
         return not self.ports
 
-    def _close_port(self, place: Place, waits: bool = False) -> None:
+    def _close_port(self, place: Endpoint, waits: bool = False) -> None:
         if all_accepted(self.ports[place], self.sockets) or not waits:
             self.ports.pop(place).stopListening()
 
@@ -349,7 +349,7 @@
 
     # ---- its cache hosts ----
 
-    def _sourced(self, tenant: Tenant, before: Place | None = None) -> None:
+    def _sourced(self, tenant: Tenant, before: Endpoint | None = None) -> None:
         old = None
         if self.discovery is not None and tenant.source != before:
             # What it had written by now counts as told; where servers are listed by hand, the change itself does.
@@ -366,7 +366,7 @@
 
     def _member(self, server: Server) -> Member:
         # The place stands for the host: it is the same by whatever name it goes.
-        where = Address(server.place.host, server.place.port)
+        where = Address(server.endpoint.host, server.endpoint.port)
         standing = m.Standing.DRAINING if server.draining else m.Standing.READY
         cell = self.cells.get(str(where))
         return Member(str(where), where, server.zone, "", cell, standing, server.weight, server.started)
@@ -402,7 +402,7 @@
         )
         self.door.settled(members, {id: line.place for id, line in lines.items() if line.shared})
 
-    def _machine_ended(self, place: Place, end: m.End) -> None:
+    def _machine_ended(self, place: Endpoint, end: m.End) -> None:
         told = self.common.ledger.ended(self.door.now(), place, end)
         if told:
             self.common.retell(told)
@@ -431,8 +431,8 @@
         }
 
 
-def _place(where: Address) -> Place:
-    return Place(where.host, where.port)
+def _place(where: Address) -> Endpoint:
+    return Endpoint(where.host, where.port)
 
 
 class OwnTurn(Turn):
--- a/ternquay/hosted/tenants/tenant.py
+++ b/ternquay/hosted/tenants/tenant.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
+class Endpoint:
     host: str
     port: int
 
@@ -45,7 +45,7 @@
     """
 
     name: str
-    place: Place
+    endpoint: Endpoint
     zone: str = ""
     weight: float = 1.0
     started: int = 0
@@ -110,7 +110,7 @@
 @dataclass(slots=True, frozen=True)
 class Tenant:
     name: str
-    listeners: tuple[Place, ...]
+    listeners: tuple[Endpoint, ...]
     servers: tuple[Server, ...]
     profiles: tuple[NamedProfile, ...]
     rules: RuleFigures
@@ -118,7 +118,7 @@
     shares: tuple[Share, ...] = ()
     keys: tuple[Key, ...] = ()
     state: State = State.ACTIVE
-    source: Place | None = None  # where the list of cache hosts is followed, instead of `servers`
+    source: Endpoint | None = None  # where the list of cache hosts is followed, instead of `servers`
 
 
 class InvalidField(ValueError):
@@ -148,7 +148,7 @@
         seen.add(name)
 
 
-def placed(place: Place, field: str) -> None:
+def check_endpoint(place: Endpoint, field: str) -> None:
     try:
         ip_address(place.host)
     except ValueError as fault:
@@ -168,18 +168,18 @@
     named(tenant.name, "name")
     counted(len(tenant.listeners), "listeners", 1, LISTENERS_MOST)
     for i, listener in enumerate(tenant.listeners):
-        placed(listener, f"listeners[{i}]")
+        check_endpoint(listener, f"listeners[{i}]")
     counted(len(tenant.servers), "servers", 0, HOSTS_MOST)
     for i, server in enumerate(tenant.servers):
         named(server.name, f"servers[{i}].name")
-        placed(server.place, f"servers[{i}].place")
+        check_endpoint(server.endpoint, f"servers[{i}].place")
         positive(server.weight, f"servers[{i}].weight")
         if server.started < 0:
             raise InvalidField(f"servers[{i}].started", f"a time is wanted, not {server.started}")
     once([server.name for server in tenant.servers], "servers")
-    once([f"{server.place.host}:{server.place.port}" for server in tenant.servers], "servers")
+    once([f"{server.endpoint.host}:{server.endpoint.port}" for server in tenant.servers], "servers")
     if tenant.source is not None:
-        placed(tenant.source, "source")
+        check_endpoint(tenant.source, "source")
         if tenant.servers:
             raise InvalidField("servers", "are listed by the source")
     _fit_profiles(tenant)
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -14,7 +14,7 @@
 from ternquay.hosted.fleet.store import Applied, FleetStore, Founded
 from ternquay.hosted.service import Fellows
 from ternquay.hosted.tenants.registry import Registry
-from ternquay.hosted.tenants.tenant import Place
+from ternquay.hosted.tenants.tenant import Endpoint
 
 
 class Disk:
@@ -27,7 +27,7 @@
 
 
 def member(folder: Path, disk: Disk, names: str = "a") -> Fleet:
-    places = {name: Place("127.0.0.1", 9000 + n) for n, name in enumerate(names)}
+    places = {name: Endpoint("127.0.0.1", 9000 + n) for n, name in enumerate(names)}
     fellows = Fellows("f", "a", places, places["a"], b"k" * 32, 10**9, False, "", 64)
     store = FleetStore(folder / "registry.db")
     host: Any = SimpleNamespace(registry=Registry(), tenancies={})
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -19,7 +19,7 @@
 from ternquay.hosted.tenants.documents import TenantDocument, decoded, document_of, plain, read, tenant_of
 from ternquay.hosted.tenants.ledger import FAILS, GONE_KEPT, Ledger, Named
 from ternquay.hosted.tenants.registry import Make, Registry
-from ternquay.hosted.tenants.tenant import Guarantee, InvalidField, Key, Place, Scope
+from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, InvalidField, Key, Scope
 from ternquay.net.turn import Turn
 from tests.helper import START, T0
 from tests.hosted_helper import document
@@ -131,10 +131,10 @@
 # ---- machines that several tenants name ----
 
 
-PLACE, OTHER = Place("10.0.0.1", 80), Place("10.0.0.2", 80)
+PLACE, OTHER = Endpoint("10.0.0.1", 80), Endpoint("10.0.0.2", 80)
 
 
-def named(place: Place = PLACE, standing: m.Standing = m.Standing.READY, since: int = 0) -> Named:
+def named(place: Endpoint = PLACE, standing: m.Standing = m.Standing.READY, since: int = 0) -> Named:
     return Named(place, standing, since)
 
 
@@ -195,7 +195,7 @@
 def test_a_tenant_goes_through_its_document_and_back_unchanged() -> None:
     one = tenant_of(read(TenantDocument, TOLD))
     again = tenant_of(decoded(TenantDocument, msgspec.json.encode(document_of(one))))
-    assert again == one and one.servers[1].place == Place("::1", 81)
+    assert again == one and one.servers[1].endpoint == Endpoint("::1", 81)
     assert plain(document_of(one))["limits"]["cpu"] == {"least": 0.1, "most": 0.8}
 
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -19,11 +19,11 @@
     Stale,
 )
 from ternquay.hosted.tenants.tenant import (
+    Endpoint,
     Guarantee,
     InvalidField,
     Key,
     NamedProfile,
-    Place,
     RuleFigures,
     Scope,
     Server,
@@ -42,8 +42,8 @@
     return replace(
         Tenant(
             name,
-            (Place("127.0.0.1", 7000 + number),),
-            (Server("one", Place(f"127.0.1.{number}", 11211)),),
+            (Endpoint("127.0.0.1", 7000 + number),),
+            (Server("one", Endpoint(f"127.0.1.{number}", 11211)),),
             (NamedProfile("read", READ), NamedProfile("mark", MARKED)),
             RuleFigures(S // 2, 0.2, 20 * S, 4.0, S),
             LIMITS,
@@ -93,15 +93,15 @@
     (Make(tenant("Ñandú", 9)), "name"),
     (Make(tenant("x" * 49, 9)), "name"),
     (Make(tenant("este", 9, listeners=())), "listeners"),
-    (Make(tenant("este", 9, listeners=(Place("127.0.0.1", 7001),))), "listeners[0]"),
-    (Make(tenant("este", 9, listeners=(Place("127.0.0.1", 7009),) * 2)), "listeners[1]"),
-    (Make(tenant("este", 9, listeners=(Place("127.0.1.1", 11211),))), "listeners[0]"),
-    (Make(tenant("este", 9, listeners=(Place("example.org", 1),))), "listeners[0].host"),
-    (Make(tenant("este", 9, listeners=(Place("127.0.0.1", 0),))), "listeners[0].port"),
-    (SetServers("sur", (Server("loop", Place("127.0.0.1", 7002)),)), "servers[0].place"),
-    (SetServers("sur", (Server("a", Place("127.0.1.8", 1)), Server("a", Place("127.0.1.9", 1)))), "servers[1]"),
-    (SetServers("sur", (Server("a", Place("127.0.1.8", 1)), Server("b", Place("127.0.1.8", 1)))), "servers[1]"),
-    (SetServers("sur", (Server("a", Place("127.0.1.8", 1), "", float("nan")),)), "servers[0].weight"),
+    (Make(tenant("este", 9, listeners=(Endpoint("127.0.0.1", 7001),))), "listeners[0]"),
+    (Make(tenant("este", 9, listeners=(Endpoint("127.0.0.1", 7009),) * 2)), "listeners[1]"),
+    (Make(tenant("este", 9, listeners=(Endpoint("127.0.1.1", 11211),))), "listeners[0]"),
+    (Make(tenant("este", 9, listeners=(Endpoint("example.org", 1),))), "listeners[0].host"),
+    (Make(tenant("este", 9, listeners=(Endpoint("127.0.0.1", 0),))), "listeners[0].port"),
+    (SetServers("sur", (Server("loop", Endpoint("127.0.0.1", 7002)),)), "servers[0].place"),
+    (SetServers("sur", (Server("a", Endpoint("127.0.1.8", 1)), Server("a", Endpoint("127.0.1.9", 1)))), "servers[1]"),
+    (SetServers("sur", (Server("a", Endpoint("127.0.1.8", 1)), Server("b", Endpoint("127.0.1.8", 1)))), "servers[1]"),
+    (SetServers("sur", (Server("a", Endpoint("127.0.1.8", 1), "", float("nan")),)), "servers[0].weight"),
     (SetLimits("sur", replace(LIMITS, cpu=Guarantee(0.9, 1.0))), "limits.cpu.least"),
     (SetLimits("sur", replace(LIMITS, memory=Guarantee(0.5, 0.4))), "limits.memory"),
     (SetLimits("sur", replace(LIMITS, open_txs=0)), "limits.open_txs"),
@@ -132,7 +132,7 @@
 
 
 def test_two_tenants_may_name_one_machine_but_not_promise_more_than_there_is() -> None:
-    shared = (Server("same", Place("127.0.1.1", 11211)),)
+    shared = (Server("same", Endpoint("127.0.1.1", 11211)),)
     registry = made(tenant("sur"), tenant("norte", 2, servers=shared), *(tenant(f"t{n}", n) for n in (3, 4, 5)))
     with pytest.raises(InvalidField) as told:
         registry.changed(Make(tenant("sexto", 6)))
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -26,7 +26,7 @@
 from ternquay.hosted.service import ServiceError, read_service
 from ternquay.hosted.store import Store
 from ternquay.hosted.tenants.registry import Make, Registry, Remove, Replace, SetState
-from ternquay.hosted.tenants.tenant import Place, Server, State, TenantLimits
+from ternquay.hosted.tenants.tenant import Endpoint, Server, State, TenantLimits
 from ternquay.rig.ports import free_place
 from tests.hosted_helper import ROOT, Hosted, document
 from tests.test_hosted_parts import SMALL
@@ -157,16 +157,16 @@
     host.reactor.advance(0.01)
 
 
-def place(text: str) -> Place:
+def place(text: str) -> Endpoint:
     host, _, port = text.rpartition(":")
-    return Place(host, int(port))
+    return Endpoint(host, int(port))
 
 
 def listening(name: str, number: int = 1, **terms: Any) -> Any:
     return tenant(name, number, listeners=(place(free_place("127.0.0.1")),), limits=SMALL, **terms)
 
 
-def connects(listener: Place) -> bool:
+def connects(listener: Endpoint) -> bool:
     with suppress(OSError), socket.create_connection((listener.host, listener.port), timeout=1):
         return True
     return False
@@ -200,7 +200,7 @@
 
 
 def test_a_tenant_ends_while_a_connection_to_its_cache_host_is_being_made(tmp_path: Path) -> None:
-    one = listening("sur", servers=(Server("one", Place("127.0.1.1", 11211)),))
+    one = listening("sur", servers=(Server("one", Endpoint("127.0.1.1", 11211)),))
     host = hosts(Registry().changed(Make(one)), tmp_path)
     host.begin()
     tenancy = host.tenancies["sur"]
