--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -245,9 +245,9 @@
         lame = serve_on = leave = flush = 0
         for tenancy in self.tenancies.values():
             limits = tenancy.limits
-            tenancy.door.ends_at = now + limits.last
-            lame, leave = max(lame, limits.lame), max(leave, limits.leave)
-            serve_on, flush = max(serve_on, limits.serve_on), max(flush, limits.flush)
+            tenancy.door.ends_at = now + limits.last_answer_after
+            lame, leave = max(lame, limits.accept_grace), max(leave, limits.stop_after)
+            serve_on, flush = max(serve_on, limits.leave_after), max(flush, limits.flush_timeout)
         self.flush = flush
         self.reactor.callLater(lame / SECOND, self._close)
         self.reactor.callLater(serve_on / SECOND, self._leave)
--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -178,7 +178,7 @@
     def arrives(self, command: meta.Command, owed: Owed, unread: int) -> None:
         if self.front.full(self):
             self.front.safety.refuses(RefuseReason.SHARE, owed.id)
-            owed.roll_back(self.front.door.about(self.front.limits.come_again))
+            owed.roll_back(self.front.door.about(self.front.limits.retry_after))
             return
         owed.counted = True
         self.open += 1
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -20,7 +20,7 @@
 from ternquay.net.discovery import Discovery
 from ternquay.net.door import Door, Outgoing
 from ternquay.net.host_connection import HostConnection
-from ternquay.net.limits import SECOND, Limits, fill
+from ternquay.net.limits import SECOND, Limits, derive_limits
 from ternquay.net.listing import Address, Member
 from ternquay.net.pool import Pool
 from ternquay.net.safety import CloseReason, ServerCloseReason
@@ -127,18 +127,18 @@
         ],
         "Invariants": {"MustAskIn": 10_000_000},
     }
-    whole = fill(facts, process.sockets, process.memory_mb)
+    whole = derive_limits(facts, process.sockets, process.memory_mb)
     memory = int(own.memory.most * process.memory_mb * (1 << 20))
     return replace(
         whole,
         sockets=max(4, int(own.sockets.most * process.sockets) - SPARE),
         spare=SPARE,
         clients=own.clients,
-        value=65536,
-        answer=1 << 20,
-        whole=1 << 20,  # kept whole, as a tenant's memory is counted
-        held=max(1 << 20, min(own.held, memory)),
-        resting=max(8, own.clients // 2),
+        value_bytes=65536,
+        answer_bytes=1 << 20,
+        stream_above_bytes=1 << 20,  # kept whole, as a tenant's memory is counted
+        buffered_bytes=max(1 << 20, min(own.held, memory)),
+        idle_clients=max(8, own.clients // 2),
     )
 
 
@@ -246,7 +246,7 @@
         self.pool = self.door.pool = TenantPool(
             common.loop, self.id, reactor, self.door, self.limits, self.sockets, True
         )
-        self.turn = OwnTurn(turn, self.limits.turn)
+        self.turn = OwnTurn(turn, self.limits.turn_duration)
         self.door.stood_still = self.turn.stood_still
         self.dues = Dues(tenant.limits.txs_a_second, tenant.limits.burst)
         self.front = TenantFront(
@@ -297,7 +297,7 @@
         self.limits = limits_of(self.common.process, tenant)
         self.door.limits = self.pool.limits = self.front.limits = self.sockets.limits = self.limits
         self.sockets.hosts_most = tenant.limits.host_connections
-        self.turn.most = self.limits.turn
+        self.turn.most = self.limits.turn_duration
         self.dues.change(tenant.limits.txs_a_second, tenant.limits.burst)
         self.front.open_most = tenant.limits.open_txs
 
@@ -311,7 +311,7 @@
             port.gate(accept)
 
     def _stand(self, state: State) -> None:
-        self.front.shut = 0 if state is State.ACTIVE else self.limits.come_again
+        self.front.shut = 0 if state is State.ACTIVE else self.limits.retry_after
         if state is State.ENDING and not self.ending_since:
             self.ending_since = self.door.now()
             self.close_ports()
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -77,7 +77,9 @@
 
     def __init__(self, front: "Front") -> None:
         self.front = front
-        self.machine = meta.ClientSide(front.limits.line, front.limits.value, front.limits.whole)
+        self.machine = meta.ClientSide(
+            front.limits.line_bytes, front.limits.value_bytes, front.limits.stream_above_bytes
+        )
         self.owed: deque[Owed | bytes] = deque()  # bytes: an answer that needed no transaction
         self.crowded = self.closing = self.ended = self.reading = self.answered = False
         self.queued = 0  # bytes that the system has not taken yet
@@ -232,14 +234,14 @@
         """Counts what is kept unread."""
         self.front.kept += len(self.machine.buffer) - self.kept
         self.kept = len(self.machine.buffer)
-        if self.front.kept > self.front.limits.held:
+        if self.front.kept > self.front.limits.buffered_bytes:
             self.front.shed_kept(self)
 
     def taken(self, command: meta.Command) -> None:
         owed = Owed(self, command)
         self.owed.append(owed)
         if command.length:
-            self.pours, self.coming = owed, Flow(command.length, self.front.limits.piece, self.hold)
+            self.pours, self.coming = owed, Flow(command.length, self.front.limits.chunk_bytes, self.hold)
         now, turn = self.front.door.now(), self.front.turn
         # Against more than there is time for: all that is taken makes all else late, past its hard limit too.
         late = turn.over(now)
@@ -248,7 +250,7 @@
         why = self.no_room(late)
         if why is not None:
             self.front.safety.refuses(why, owed.id)
-            owed.roll_back(self.front.door.about(self.front.limits.come_again))
+            owed.roll_back(self.front.door.about(self.front.limits.retry_after))
             return
         self.arrives(command, owed, turn.unread(now, self.first_since()))
 
@@ -338,9 +340,9 @@
         self.owing += len(text)
         self.front.queued += len(text)
         self.moved = self.front.door.now()
-        if self.queued > self.front.limits.queued:
+        if self.queued > self.front.limits.queued_bytes:
             self.abort(CloseReason.ANSWERS_UNREAD)
-        elif self.front.queued > self.front.limits.held:
+        elif self.front.queued > self.front.limits.buffered_bytes:
             self.abort(CloseReason.MEMORY)
         else:
             self.transport.write(text)
@@ -382,9 +384,9 @@
         """It takes none of its answers, or is held back from a request that gets nowhere."""
         now = self.front.door.now()
         if self.queued:
-            return self.untaken(now) > self.front.limits.stalled
+            return self.untaken(now) > self.front.limits.stall_timeout
         half = self.ended or (self.unreading and not self.machine.quiet())
-        return half and now - self.moved > self.front.limits.stalled
+        return half and now - self.moved > self.front.limits.stall_timeout
 
     def untaken(self, now: int) -> int:
         """For how long the system has taken none of what is queued. What is read or queued meanwhile is no progress."""
--- a/ternquay/net/discovery.py
+++ b/ternquay/net/discovery.py
@@ -133,7 +133,7 @@
         if self.instead is not None:
             self.instead.end()
             self.instead = None
-        self.reactor.callLater(self.limits.breath / SECOND, self.end)
+        self.reactor.callLater(self.limits.empty_answer_delay / SECOND, self.end)
 
     def end(self) -> None:
         """No further call, and nothing is told any more, not even by the calls that are out."""
--- a/ternquay/net/door.py
+++ b/ternquay/net/door.py
@@ -125,7 +125,7 @@
     ) -> None:
         self.clock, self.names, self.limits = clock, names, limits
         self.start = start
-        self.tell = Flood(clock.seconds, limits.flood).tell
+        self.tell = Flood(clock.seconds, limits.warning_interval).tell
         self.safety = Safety(self.now, self.tell)
         self.balancer = decisions(start)
         self.timer: Call | None = None  # the decisions' one
@@ -228,9 +228,9 @@
             self.next_tx, asker, arrival.message, flow=arrival.flow, came=self.now(), whole=arrival.flow is None
         )
         self.next_tx += 1
-        if len(self.txs) >= self.limits.open_txs or self.held > self.limits.held:
+        if len(self.txs) >= self.limits.open_txs or self.held > self.limits.buffered_bytes:
             self.safety.refuses(RefuseReason.REQUESTS, asker.id)
-            asker.roll_back(self.about(self.limits.come_again))
+            asker.roll_back(self.about(self.limits.retry_after))
             return tx.id
         tx.seen = tx.came - arrival.unread
         self.txs[tx.id] = tx
@@ -345,7 +345,7 @@
     def _departed(self, tx: OpenTx) -> bool:
         """Whether the client has gone, as far as the system knows."""
         now = self.now()
-        if now - tx.seen <= self.limits.present:
+        if now - tx.seen <= self.limits.presence_check_after:
             return False
         if tx.asker.left():
             self.gone(tx.id)
--- a/ternquay/net/follow.py
+++ b/ternquay/net/follow.py
@@ -50,21 +50,21 @@
         queue: there all would call again, and make the queue longer.
         """
         if self.late < 0:
-            return self.limits.call
+            return self.limits.answer_slack_max
         most = int(self.late + DEVIATIONS * self.spread)
-        return max(self.limits.call_least, min(self.limits.call, most))
+        return max(self.limits.answer_slack_min, min(self.limits.answer_slack_max, most))
 
     def ask(self) -> Ask:
         if self.watching:
             # Not all alike: a change ends all watches at once, and from then on all would come back together.
-            wait = self.limits.watch - int(self.draw.random() * self.limits.watch / 4)
+            wait = self.limits.watch_wait - int(self.draw.random() * self.limits.watch_wait / 4)
             patience = wait + self.slack()
             self.asked = Ask(wait, patience, patience)
         else:
             # A new watch may wait in discovery's queue, or have fallen silent, and nothing tells which. So another is
             # made in time for the second, and this one keeps its place: else none would ever come where the queue is
             # longer than one call may take.
-            look, queue = self.limits.look, self.limits.queue
+            look, queue = self.limits.first_wait, self.limits.queue_time
             self.asked = Ask(look, look + queue, look + QUEUES_MOST * queue)
         return self.asked
 
@@ -72,10 +72,10 @@
         """How long to pause before the next call, as no later one goes on with this watch."""
         if not news or not self.watching:
             self._came(max(0, took - (0 if news else self.asked.wait)))
-        idle = not news and self.watching and took <= self.limits.breath
+        idle = not news and self.watching and took <= self.limits.empty_answer_delay
         self.watching, self.hurried, self.hurry_until, self.pause = True, False, 0, 0
         # Against a discovery that has nothing new and does not wait.
-        return self.limits.breath if idle else 0
+        return self.limits.empty_answer_delay if idle else 0
 
     def _came(self, late: int) -> None:
         if self.late < 0:
@@ -88,13 +88,15 @@
         """How long to pause before the next call."""
         self.watching = False
         if how is not Failure.ENDED and not self.hurried:
-            self.hurried, self.hurry_until, self.pause = True, now + self.limits.hurry, 0
+            self.hurried, self.hurry_until, self.pause = True, now + self.limits.fast_retry_window, 0
         if now < self.hurry_until:
             # Not longer each time, as the time that is left is short; and not for ever, as discovery may be down.
-            pause, self.pause = self.pause, min(self.limits.hasten, self.limits.again)
+            pause, self.pause = self.pause, min(self.limits.fast_retry_max, self.limits.pushed_retry_max)
             return self._about(pause)
         least, most = (
-            (self.limits.breath // 2, self.limits.again) if self.pushed else (self.limits.anew, self.limits.anew_most)
+            (self.limits.empty_answer_delay // 2, self.limits.pushed_retry_max)
+            if self.pushed
+            else (self.limits.watch_retry_min, self.limits.watch_retry_max)
         )
         self.pause = max(least, min(most, self.pause * 2))
         return self._about(self.pause)
--- a/ternquay/net/front.py
+++ b/ternquay/net/front.py
@@ -67,7 +67,7 @@
 
     def room(self) -> int:
         """How many clients may be accepted at once without passing the limit on sockets."""
-        return max(1, min(self.limits.accepts, self.sockets.left()))
+        return max(1, min(self.limits.accepts_per_turn, self.sockets.left()))
 
     def left(self, client: ClientConnection) -> None:
         if client not in self.all:
@@ -133,7 +133,7 @@
             self.resting[client] = None
             if client.answered:
                 self.asked[client] = None
-                if len(self.asked) > self.limits.resting:
+                if len(self.asked) > self.limits.idle_clients:
                     # Against clients that ask once and keep the connection: the others would get none.
                     self.close_resting(next(iter(self.asked)))
             # At a drain one that has just come is about to write: it is closed after its answer.
@@ -152,13 +152,13 @@
         """Closes the client connection that has been idle longest."""
         now = self.door.now()
         for client in self.resting:
-            if client.answered or now - client.moved > self.limits.fresh:
+            if client.answered or now - client.moved > self.limits.new_client_grace:
                 return self.close_resting(client)
         return self._close_unproven(1) > 0
 
     def _close_unproven(self, most: int) -> int:
         """Closes the oldest that have sent nothing whole for longer than a true one takes; how many."""
-        before = self.door.now() - self.limits.proof
+        before = self.door.now() - self.limits.first_command_timeout
         old: list[ClientConnection] = []
         for client in self.unproven:
             if client.made > before or len(old) >= most:
@@ -190,7 +190,7 @@
 
     def sweep(self) -> None:
         # Made first, so that a fault in one look does not end them all.
-        self.reactor.callLater(self.limits.sweep / SECOND, self.sweep)
+        self.reactor.callLater(self.limits.sweep_interval / SECOND, self.sweep)
         self.swept()
 
     def swept(self) -> None:
@@ -217,7 +217,7 @@
 
     def cut_off(self) -> None:
         """Closes what owes nothing and does not move: half a command, for one."""
-        before = self.door.now() - self.limits.fresh
+        before = self.door.now() - self.limits.new_client_grace
         for client in [c for c in self.all if not c.owed and not c.queued and c.moved <= before]:
             if may_close(CloseReason.LEAVING, owing=False, unread=client.lies_unread()):
                 client.abort(CloseReason.LEAVING)
--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -33,7 +33,7 @@
         self.pool, self.host = pool, host
         self.address = host.address  # where it leads; the host may go on at another
         self.connector: Any = None
-        self.machine = HostSide(pool.limits.line, pool.limits.answer, pool.limits.whole)
+        self.machine = HostSide(pool.limits.line_bytes, pool.limits.answer_bytes, pool.limits.stream_above_bytes)
         self.kept = 0  # bytes of an answer that is not whole
         self.to_write: deque[Outgoing] = deque()
         self.writing: Outgoing | None = None
@@ -155,7 +155,7 @@
         if not self.closing:
             self.pool.kept += len(self.machine.buffer) - self.kept
             self.kept = len(self.machine.buffer)
-            if self.pool.kept > self.pool.limits.held:
+            if self.pool.kept > self.pool.limits.buffered_bytes:
                 self.machine.fault = "more than there is room for"
         if self.machine.fault and not self.closing:
             self.pool.door.tell("WARNING", "{} answered badly: {}", self.host.address, self.machine.fault)
@@ -176,7 +176,7 @@
 
     def begins(self, begun: Begun) -> None:
         self.note, self.moved = begun.note, self.pool.door.now()
-        self.flow = Flow(begun.length, self.pool.limits.piece, self.hold, self.unwanted)
+        self.flow = Flow(begun.length, self.pool.limits.chunk_bytes, self.hold, self.unwanted)
         self.hand_back()  # against what is small behind what is large
 
     def unwanted(self) -> None:
@@ -213,7 +213,9 @@
         """A large value has begun, and nothing more of it comes though nobody holds it back."""
         flow = self.flow
         return (
-            flow is not None and not flow.held_back and (self.pool.door.now() - self.moved > self.pool.limits.stalled)
+            flow is not None
+            and not flow.held_back
+            and (self.pool.door.now() - self.moved > self.pool.limits.stall_timeout)
         )
 
     def takes_nothing(self) -> bool:
@@ -221,7 +223,7 @@
 
         A piece counts as taken once all of it is, so this bound is longer than the one for what comes in.
         """
-        return self.filled and self.up and self.pool.door.now() - self.filled_at > self.pool.limits.stalled
+        return self.filled and self.up and self.pool.door.now() - self.filled_at > self.pool.limits.stall_timeout
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         if self.rested >= 0 and not self.closing:
--- a/ternquay/net/idle_loss.py
+++ b/ternquay/net/idle_loss.py
@@ -13,9 +13,9 @@
     SHARE = 0.2
 
     def __init__(self, limits: Limits) -> None:
-        self.half, self.least, self.at = limits.wear, limits.wear_least, 0
+        self.half, self.least, self.at = limits.idle_loss_half_life, limits.idle_loss_min_samples, 0
         # Each span is twice as long as the last; none rests for longer than the limit.
-        spans = self._span(limits.idle) + 1
+        spans = self._span(limits.host_idle_timeout) + 1
         self.used, self.broke = [0.0] * spans, [0.0] * spans
 
     def _span(self, rested: int) -> int:
--- a/ternquay/net/launch.py
+++ b/ternquay/net/launch.py
@@ -10,7 +10,7 @@
 
 from ternquay import model as m
 from ternquay.facts import Names, read_start
-from ternquay.net.limits import Limits, fill
+from ternquay.net.limits import Limits, derive_limits
 from ternquay.net.listing import Address, ToldWrong, address, read_list
 
 LEAST_SOCKETS = 48
@@ -92,7 +92,7 @@
         start, names, limits = (
             read_start(read_seed(told.get("seed")), facts),
             Names(facts),
-            fill(facts, sockets, memory, managed=told_at is not None, two=two > 1),
+            derive_limits(facts, sockets, memory, managed=told_at is not None, two=two > 1),
         )
     except KeyError as fault:
         raise LaunchError(f"settings: {fault.args[0]} is missing or not known") from fault
--- a/ternquay/net/limits.py
+++ b/ternquay/net/limits.py
@@ -21,65 +21,69 @@
     sockets: int
     clients: int
     spare: int  # for clients that come when all is full: they are told so and closed
-    operators: int  # callers at the management address, set aside; one that has sent no whole call goes after so long
-    half_call: int
+    # Callers at the management address, set aside; one that has sent no whole call goes after so long.
+    management_connections: int
+    management_timeout: int
     backlog: int
-    second: int  # of the sockets, set aside for a process that starts beside this one
-    accepts: int  # clients in one turn of the loop, as far as they fit
+    successor_sockets: int  # of the sockets, set aside for a process that starts beside this one
+    accepts_per_turn: int  # clients in one turn of the loop, as far as they fit
     # Bytes: of one line, of a value that a client writes or a cache host answers with, queued for one client;
     # held: of all commands, of half-read ones, of half-read answers, of answers not taken yet.
-    line: int
-    value: int
-    answer: int
-    whole: int  # a longer one flows through in pieces of about `piece`
-    piece: int
-    queued: int
-    held: int
+    line_bytes: int
+    value_bytes: int
+    answer_bytes: int
+    stream_above_bytes: int  # a longer one flows through in pieces of about `chunk_bytes`
+    chunk_bytes: int
+    queued_bytes: int
+    buffered_bytes: int
     # Transactions: waiting on one client connection, open at a time, on one connection to a cache host.
     pipelined: int
     open_txs: int
-    per_connection: int
-    turn: int  # a turn of the loop that has lasted so long takes no more of them
-    come_again: int  # what is turned away for want of room is told to wait so long
-    present: int  # a hop that begins later than this after its client was there is asked about: has it left?
+    per_host_connection: int
+    turn_duration: int  # a turn of the loop that has lasted so long takes no more of them
+    retry_after: int  # what is turned away for want of room is told to wait so long
+    # A hop that begins later than this after its client was there is asked about: has it left?
+    presence_check_after: int
     # A new client that has sent nothing is not closed for another before so long.
-    fresh: int
-    proof: int  # one that has sent no whole command line by then is closed when room is short
-    resting: int  # connections that had an answer and stand idle; the one idle longest is closed beyond that
+    new_client_grace: int
+    first_command_timeout: int  # one that has sent no whole command line by then is closed when room is short
+    idle_clients: int  # connections that had an answer and stand idle; the one idle longest is closed beyond that
     # Connections to cache hosts.
-    dial: int
-    idle: int  # ours are closed well before the cache host does it
-    wear: int  # what was seen of idle ones counts half after so long, and for nothing under so many
-    wear_least: int
-    sweep: int
+    connect_timeout: int
+    host_idle_timeout: int  # ours are closed well before the cache host does it
+    idle_loss_half_life: int  # what was seen of idle ones counts half after so long, and for nothing under so many
+    idle_loss_min_samples: int
+    sweep_interval: int
     # A client with a command or an answer half way on which nothing moves for so long is closed.
-    stalled: int
+    stall_timeout: int
     # Discovery.
-    watch: int  # at most
-    call: int  # beyond the wait of a watch: at most, and until it is known how late answers come
-    call_least: int
-    look: int  # the wait of a call that begins a watch, which may stand in a queue for so long
-    queue: int
-    breath: int  # before the next watch, if one came back at once with nothing
-    again: int  # between failed calls at most, where lists are pushed
-    anew: int  # where they are asked for: at first, and at most
-    anew_most: int
-    hurry: int  # for so long after one that may have missed what counts as told, calls are hurried
-    hasten: int  # between failed calls then, at most
-    first_word: int  # where lists are pushed: a start waits so long for it at most
+    watch_wait: int  # at most
+    answer_slack_max: int  # beyond the wait of a watch: at most, and until it is known how late answers come
+    answer_slack_min: int
+    first_wait: int  # the wait of a call that begins a watch, which may stand in a queue for so long
+    queue_time: int
+    empty_answer_delay: int  # before the next watch, if one came back at once with nothing
+    pushed_retry_max: int  # between failed calls at most, where lists are pushed
+    watch_retry_min: int  # where they are asked for: at first, and at most
+    watch_retry_max: int
+    fast_retry_window: int  # for so long after one that may have missed what counts as told, calls are hurried
+    fast_retry_max: int  # between failed calls then, at most
+    first_list_timeout: int  # where lists are pushed: a start waits so long for it at most
     list_bytes: int
     # A planned end: accepting for so long, serving on for so long on what is open, the last answer, with time
     # left for it to be written, and gone at the latest.
-    lame: int
-    drained: int  # a drain: what then owes nothing and has not moved for `fresh` is cut off
-    serve_on: int
-    last: int
-    leave: int
-    flush: int  # for answers that the system has not taken by then
-    flood: int  # of one kind of warning there is one in so long, with the count of those between
+    accept_grace: int
+    drain_cutoff_after: int  # a drain: what then owes nothing and has not moved for `new_client_grace` is cut off
+    leave_after: int
+    last_answer_after: int
+    stop_after: int
+    flush_timeout: int  # for answers that the system has not taken by then
+    warning_interval: int  # of one kind of warning there is one in so long, with the count of those between
 
 
-def fill(facts: dict[str, Any], sockets: int, memory_mb: int, managed: bool = False, two: bool = False) -> Limits:
+def derive_limits(
+    facts: dict[str, Any], sockets: int, memory_mb: int, managed: bool = False, two: bool = False
+) -> Limits:
     allowed = facts["Limits"]
     # Standard streams, poll, wake-up, the listener, a spare of the library's, and discovery with two calls, one that
     # ends and one that idles, come first.
@@ -102,51 +106,51 @@
         sockets=left - spare,
         clients=(left - spare) * 2 // 3,
         spare=spare,
-        operators=operators,
-        half_call=2 * SECOND,
-        second=min(24, left // 4) if two else 0,
+        management_connections=operators,
+        management_timeout=2 * SECOND,
+        successor_sockets=min(24, left // 4) if two else 0,
         backlog=1024,
-        accepts=16,
-        line=2048,
-        value=4 * MIB,
-        answer=4 * MIB,
-        whole=65536,
-        piece=max(8192, min(65536, held // 256)),
-        queued=2 * MIB,
-        held=held,
+        accepts_per_turn=16,
+        line_bytes=2048,
+        value_bytes=4 * MIB,
+        answer_bytes=4 * MIB,
+        stream_above_bytes=65536,
+        chunk_bytes=max(8192, min(65536, held // 256)),
+        queued_bytes=2 * MIB,
+        buffered_bytes=held,
         pipelined=256,
         open_txs=int(number(allowed, "MostHeld", "Limits", 0, MOST, 0)) or 20000,
-        per_connection=max(1, int(number(allowed, "StreamsPerConn", "Limits", 0, MOST, 1))),
-        present=SECOND // 20,
-        turn=min(p["ServiceGoal"] for p in facts["Profiles"]) * US // 10,
-        fresh=SECOND,
-        proof=5 * SECOND // 2,
-        resting=whole // 6,
-        come_again=span(allowed, "MaxRetryAfter", "Limits", usual=0) // 4 if allowed.get("RetryAfter") else 0,
-        dial=span(allowed, "DialTimeout", "Limits", usual=0) or 250 * MS,
-        idle=idle * 3 // 5,
-        sweep=SECOND // 4,
-        wear=5 * SECOND,
-        wear_least=8,
-        stalled=5 * SECOND,
-        watch=min(SILENCE // 3, must_ask // 2),
-        call=SILENCE // 6,
-        call_least=SILENCE // 24,
-        look=SECOND // 20,
-        queue=5 * SILENCE // 12,
-        breath=SECOND // 10,
-        again=max(SECOND // 20, min(SECOND, grace // 2)),
-        anew=SILENCE // 12,
-        anew_most=SILENCE // 6,
-        hurry=2 * SILENCE,
-        hasten=SILENCE // 24,
-        first_word=SECOND,
+        per_host_connection=max(1, int(number(allowed, "StreamsPerConn", "Limits", 0, MOST, 1))),
+        presence_check_after=SECOND // 20,
+        turn_duration=min(p["ServiceGoal"] for p in facts["Profiles"]) * US // 10,
+        new_client_grace=SECOND,
+        first_command_timeout=5 * SECOND // 2,
+        idle_clients=whole // 6,
+        retry_after=span(allowed, "MaxRetryAfter", "Limits", usual=0) // 4 if allowed.get("RetryAfter") else 0,
+        connect_timeout=span(allowed, "DialTimeout", "Limits", usual=0) or 250 * MS,
+        host_idle_timeout=idle * 3 // 5,
+        sweep_interval=SECOND // 4,
+        idle_loss_half_life=5 * SECOND,
+        idle_loss_min_samples=8,
+        stall_timeout=5 * SECOND,
+        watch_wait=min(SILENCE // 3, must_ask // 2),
+        answer_slack_max=SILENCE // 6,
+        answer_slack_min=SILENCE // 24,
+        first_wait=SECOND // 20,
+        queue_time=5 * SILENCE // 12,
+        empty_answer_delay=SECOND // 10,
+        pushed_retry_max=max(SECOND // 20, min(SECOND, grace // 2)),
+        watch_retry_min=SILENCE // 12,
+        watch_retry_max=SILENCE // 6,
+        fast_retry_window=2 * SILENCE,
+        fast_retry_max=SILENCE // 24,
+        first_list_timeout=SECOND,
         list_bytes=8 * MIB,
-        lame=lame,
-        drained=3 * SECOND,
-        serve_on=max(lame, leave - SECOND // 3),
-        last=leave - 20 * MS,
-        leave=leave,
-        flush=60 * MS,
-        flood=SECOND,
+        accept_grace=lame,
+        drain_cutoff_after=3 * SECOND,
+        leave_after=max(lame, leave - SECOND // 3),
+        last_answer_after=leave - 20 * MS,
+        stop_after=leave,
+        flush_timeout=60 * MS,
+        warning_interval=SECOND,
     )
--- a/ternquay/net/management.py
+++ b/ternquay/net/management.py
@@ -74,8 +74,8 @@
 class ManagementPort(CallPort):
     def __init__(self, reactor: Any, service: Managed, limits: Limits) -> None:
         # The two that may be accepted in one step beyond the bound are closed in the next.
-        super().__init__(CallLimits(body=1024, connections=limits.operators, idle=2, one_call=True))
-        self.reactor, self.service, self.half = reactor, service, limits.half_call
+        super().__init__(CallLimits(body=1024, connections=limits.management_connections, idle=2, one_call=True))
+        self.reactor, self.service, self.half = reactor, service, limits.management_timeout
         self.port: Any = None
 
     def begin(self, where: Address) -> None:
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -89,7 +89,7 @@
             connection = place.idle.pop()
             # What the cache host closed, or added to its answer, may lie here unread: the hop would be lost.
             rested = now - connection.idle_since
-            if rested < self.limits.idle and self.idle_loss.holds(rested, now) and connection.untouched():
+            if rested < self.limits.host_idle_timeout and self.idle_loss.holds(rested, now) and connection.untouched():
                 connection.rested = rested
                 return connection
             connection.retire(ServerCloseReason.UNFIT)
@@ -99,14 +99,14 @@
             return None
         may = (c for c in place.all if c.current() and c.flow is None and not c.carries_large())
         least = min(may, key=HostConnection.load, default=None)
-        return least if least is not None and least.load() < self.limits.per_connection else None
+        return least if least is not None and least.load() < self.limits.per_host_connection else None
 
     def _dial(self, place: HostPlace) -> HostConnection:
         connection = self.connects(self, place)
         place.all[connection] = None
         self.sockets.host_opened()
         connection.connector = self.reactor.connectTCP(
-            place.address.host, place.address.port, Dialer(connection), timeout=self.limits.dial / SECOND
+            place.address.host, place.address.port, Dialer(connection), timeout=self.limits.connect_timeout / SECOND
         )
         return connection
 
@@ -145,12 +145,12 @@
 
     def sweep(self) -> None:
         # Made first, so that a fault in one look does not end them all.
-        self.reactor.callLater(self.limits.sweep / SECOND, self.sweep)
+        self.reactor.callLater(self.limits.sweep_interval / SECOND, self.sweep)
         self.swept()
 
     def swept(self) -> None:
         """Closes what stands idle before the cache host may: a write that crosses that is lost."""
-        before = self.door.now() - self.limits.idle
+        before = self.door.now() - self.limits.host_idle_timeout
         for place in list(self.places.values()):
             while place.idle and place.idle[0].idle_since <= before:
                 place.idle[0].retire(ServerCloseReason.UNFIT)
--- a/ternquay/net/replace.py
+++ b/ternquay/net/replace.py
@@ -41,7 +41,7 @@
         """Raises OSError where the folder can't be used."""
         self.service, self.slots = service, Slots(folder)
         limits = service.door.limits
-        self.ceilings = Ceilings(limits.sockets + limits.spare, limits.second)
+        self.ceilings = Ceilings(limits.sockets + limits.spare, limits.successor_sockets)
         self.other = self.second = self.other_serves = self.over = False
         self.since = self.wrote = 0  # when the other was met; when the last note was written
         self.told: tuple[Any, ...] = ()  # what it said
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -76,7 +76,7 @@
         self.shut = False  # another process takes the clients
         self.door = Door(reactor, launch.start, launch.names, self.limits, decisions)
         self.pool = self.door.pool = Pool(reactor, self.door, self.limits, sockets, launch.start.parallel)
-        self.turn = Turn(self.limits.turn)
+        self.turn = Turn(self.limits.turn_duration)
         self.door.stood_still = self.turn.stood_still
         self.front = Front(reactor, self.door, self.limits, sockets, self.turn)
         self.discovery = self._discovery(launch.discovery)
@@ -112,7 +112,7 @@
             # What is pushed counts as told from the first moment of a process, and the list that it was given may be
             # old: nobody is let in before the first word, or its failure, for a moment.
             self.discovery.first = self._listen
-            self.reactor.callLater(self.limits.first_word / SECOND, self._listen)
+            self.reactor.callLater(self.limits.first_list_timeout / SECOND, self._listen)
 
     def _listen(self) -> None:
         where = self.launch.listen
@@ -207,8 +207,8 @@
             self.leaves = [
                 self.reactor.callLater(at / SECOND, step)
                 for at, step in (
-                    (self.limits.lame, lambda: self.front.leave(self.limits.fresh)),
-                    (self.limits.drained, self.front.cut_off),
+                    (self.limits.accept_grace, lambda: self.front.leave(self.limits.new_client_grace)),
+                    (self.limits.drain_cutoff_after, self.front.cut_off),
                 )
             ]
             logger.info("out of service, {} transactions open", len(self.door.txs))
@@ -250,12 +250,12 @@
         if self.replacement is not None and self.replacement.other_serves:
             # What comes now is the other process's, and so is who has its answer.
             self._close_door()
-            self.front.leave(self.limits.fresh)
+            self.front.leave(self.limits.new_client_grace)
             self._wait()
-        self.door.ends_at = self.door.now() + self.limits.last
-        self.reactor.callLater(self.limits.lame / SECOND, self._close_door)
-        self.reactor.callLater(self.limits.serve_on / SECOND, self._leave)
-        self.reactor.callLater(self.limits.leave / SECOND, self._stop)
+        self.door.ends_at = self.door.now() + self.limits.last_answer_after
+        self.reactor.callLater(self.limits.accept_grace / SECOND, self._close_door)
+        self.reactor.callLater(self.limits.leave_after / SECOND, self._leave)
+        self.reactor.callLater(self.limits.stop_after / SECOND, self._stop)
 
     def _close_door(self) -> None:
         self.front.gate = lambda accept: None
@@ -284,7 +284,7 @@
     def _stop(self) -> None:
         if not self.stopping:
             self.stopping = True
-            once_paid(self.reactor, self.front.owes, self.limits.flush, self._stopped)
+            once_paid(self.reactor, self.front.owes, self.limits.flush_timeout, self._stopped)
 
     def _stopped(self) -> None:
         if self.reactor.running:
--- a/ternquay/rig/twins.py
+++ b/ternquay/rig/twins.py
@@ -21,12 +21,12 @@
         super().__init__(
             replace(
                 limits,
-                watch=5 * SECOND,
-                look=5 * SECOND,
-                queue=6 * SECOND,
-                call=6 * SECOND,
-                call_least=6 * SECOND,
-                hurry=0,
+                watch_wait=5 * SECOND,
+                first_wait=5 * SECOND,
+                queue_time=6 * SECOND,
+                answer_slack_max=6 * SECOND,
+                answer_slack_min=6 * SECOND,
+                fast_retry_window=0,
             ),
             draw,
             pushed,
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -20,7 +20,7 @@
 from ternquay.net.door import Door
 from ternquay.net.driver import LAST_DATA
 from ternquay.net.front import Front
-from ternquay.net.limits import fill
+from ternquay.net.limits import derive_limits
 from ternquay.net.listing import read_list
 from ternquay.net.pool import Pool
 from ternquay.net.sockets import Sockets
@@ -290,12 +290,12 @@
         self.trace: list[str] = []
         self.wires: list[Wire] = []
         self.reactor.advance(1000.0)
-        self.limits = replace(fill(facts, sockets, 96), **limits or {})
+        self.limits = replace(derive_limits(facts, sockets, 96), **limits or {})
         self.sockets = Sockets(self.limits)
         start = read_start(7, facts)
         self.door = Door(self.reactor, start, Names(facts), self.limits)
         self.pool = self.door.pool = Pool(self.reactor, self.door, self.limits, self.sockets, start.parallel)
-        self.turn = Turn(self.limits.turn)
+        self.turn = Turn(self.limits.turn_duration)
         self.front = Front(self.reactor, self.door, self.limits, self.sockets, self.turn)
         self.door.watch = lambda: self.say("the list is asked for")
         self.pool.sweep()
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -15,7 +15,7 @@
 
 
 def test_who_never_sends_a_whole_command_goes_by_age_and_not_before_a_true_one_could_have_ended() -> None:
-    net = Net(sockets=192, limits={"clients": 6, "proof": 2 * SECOND})
+    net = Net(sockets=192, limits={"clients": 6, "first_command_timeout": 2 * SECOND})
     crowd = [net.client() for _ in range(3)]
     for one in crowd[:2]:
         one.feed(b"mg k v")
@@ -34,7 +34,7 @@
 
 
 def test_while_there_is_room_nobody_is_closed_before_its_request_is_overdue() -> None:
-    net = Net(sockets=192, limits={"proof": SECOND})
+    net = Net(sockets=192, limits={"first_command_timeout": SECOND})
     half = net.client()
     half.feed(b"mg k v")
     net.run(2450)
@@ -44,7 +44,7 @@
 
 
 def test_a_place_that_is_wanted_comes_from_the_oldest_that_got_nowhere() -> None:
-    net = Net(sockets=192, limits={"clients": 2, "proof": SECOND, "sweep": 60 * SECOND})
+    net = Net(sockets=192, limits={"clients": 2, "first_command_timeout": SECOND, "sweep_interval": 60 * SECOND})
     first, second = net.client(), net.client()
     first.feed(b"mg k")
     net.run(500)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -423,7 +423,7 @@
 
 
 def test_a_large_value_whose_rest_came_while_the_process_stood_still_is_passed_on() -> None:
-    net = Net(limits={"whole": 8, "piece": 4})
+    net = Net(limits={"stream_above_bytes": 8, "chunk_bytes": 4})
     client = net.client()
     client.feed(mg(1))
     host = net.accept()
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -17,7 +17,7 @@
 from tests.test_review_links import free, serving, told, until
 
 MIB = 1 << 20
-SMALL = {"whole": 8, "piece": 4, "value": 100, "answer": 100}
+SMALL = {"stream_above_bytes": 8, "chunk_bytes": 4, "value_bytes": 100, "answer_bytes": 100}
 
 
 def put(number: int, value: bytes, profile: str = "once") -> bytes:
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -8,7 +8,7 @@
 from ternquay import model as m
 from ternquay.balance import Balancer
 from ternquay.net.follow import Failure, Follow
-from ternquay.net.limits import MS, SECOND, Limits, fill
+from ternquay.net.limits import MS, SECOND, Limits, derive_limits
 from tests.helper import START, T0
 
 PROFILE = {"Name": "read", "Semantics": "repeatable", "ServiceGoal": 150_000, "HardLimit": 500_000}
@@ -18,7 +18,7 @@
 
 def limits(must_ask: int | None = None, grace: int = 500) -> Limits:
     rules = {"DrainGrace": grace * 1000} | ({"MustAskIn": must_ask * 1000} if must_ask else {})
-    return fill({"Limits": {}, "Profiles": [PROFILE], "Invariants": rules}, 512, 96)
+    return derive_limits({"Limits": {}, "Profiles": [PROFILE], "Invariants": rules}, 512, 96)
 
 
 def known(follow: Follow, start: int, silent: int, late: int, down: tuple[int, int] = (0, 0)) -> tuple[int, int]:
@@ -53,7 +53,7 @@
         follow = Follow(limits(must_ask), draw, pushed)
         silent = int(draw.random() * 12 * SECOND) + 1
         begun, at = known(follow, 0, silent, late)
-        told = max(silent + SILENCE, begun + follow.limits.watch + 2 * SECOND)
+        told = max(silent + SILENCE, begun + follow.limits.watch_wait + 2 * SECOND)
         assert at <= told - ROOM, (seed, silent / SECOND, begun / SECOND, at / SECOND)
 
 
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -11,7 +11,7 @@
 import pytest
 from loguru import logger
 
-from ternquay.net.limits import MIB, fill
+from ternquay.net.limits import MIB, derive_limits
 from ternquay.rig.ports import free_place
 from tests.helper import FACTS, Net, member
 from tests.test_net import TOLD, mg, va
@@ -59,7 +59,7 @@
 
 def test_sockets_are_what_the_limits_and_the_memory_bear_and_never_fewer_than_a_thousand() -> None:
     def whole(sockets: int, memory: int) -> int:
-        found = fill(FACTS, sockets, memory)
+        found = derive_limits(FACTS, sockets, memory)
         return found.sockets + found.spare + 16
 
     assert [whole(n, 40) for n in (48, 512, 1024)] == [48, 512, 1024]
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -177,7 +177,7 @@
     first, second = net.accept(), net.accept()
     written.unread = b"m"  # it has written, and that was not read yet
     net.front.hello = meta.OUT_OF_SERVICE
-    net.front.leave(net.limits.fresh)
+    net.front.leave(net.limits.new_client_grace)
     net.take()
     assert idle.lost and not busy.lost and not written.lost
     written.unread = None
@@ -199,14 +199,14 @@
 
 
 def test_at_the_end_of_a_drain_half_a_command_is_cut_off_and_an_open_one_is_not() -> None:
-    net = Net(limits={"fresh": 100_000_000})
+    net = Net(limits={"new_client_grace": 100_000_000})
     half, busy = net.client(), net.client()
     half.feed(b"mg k v")
     busy.feed(mg(1))
     net.accept()
     net.run(150)
     moving = net.client()
-    net.front.leave(net.limits.fresh)
+    net.front.leave(net.limits.new_client_grace)
     net.run(80)
     moving.feed(b"mg k")
     net.front.cut_off()
@@ -227,7 +227,7 @@
     both = launched({"EDGE_MANAGEMENT": "127.0.0.1:9"}, management="127.0.0.1:8")
     assert str(both.management) == "127.0.0.1:8"
     # What is set aside for operators is not the clients' nor the cache hosts'.
-    assert both.limits.sockets + both.limits.spare + both.limits.operators + 3 + 16 == 128
+    assert both.limits.sockets + both.limits.spare + both.limits.management_connections + 3 + 16 == 128
     with pytest.raises(LaunchError, match="^management: an address and a port are wanted"):
         launched({}, management="here:80")
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -229,7 +229,7 @@
 
 
 def test_a_client_that_reads_nothing_is_cut_off() -> None:
-    net = Net(limits={"queued": 4 * 65536})
+    net = Net(limits={"queued_bytes": 4 * 65536})
     client = net.client()
     client.take = lambda: None  # type: ignore[method-assign]
     client.feed(mg(1))
@@ -248,7 +248,7 @@
 
 
 def test_half_a_command_does_not_hold_its_place_for_ever() -> None:
-    net = Net(limits={"held": 1000})
+    net = Net(limits={"buffered_bytes": 1000})
     slow, big = net.client(), net.client()
     slow.feed(b"mg k v")
     big.feed(b"ms k 2000 O1 Pc=once,d=9\r\n" + b"x" * 1500)
@@ -258,7 +258,7 @@
 
 
 def test_more_held_than_there_is_room_for_is_turned_away() -> None:
-    net = Net(limits={"held": 700})
+    net = Net(limits={"buffered_bytes": 700})
     for number in (1, 2, 3):
         net.client().feed(mg(number))
     net.matches("net_held")
@@ -311,7 +311,7 @@
 
 
 def test_a_value_that_is_kept_comes_back_whole_and_half_ones_have_a_bound() -> None:
-    net = Net(hosts=1, limits={"held": 700_000, "queued": 700_000, "whole": 1 << 20})
+    net = Net(hosts=1, limits={"buffered_bytes": 700_000, "queued_bytes": 700_000, "stream_above_bytes": 1 << 20})
     client, other = net.client(), net.client()
     client.feed(mg(1))
     host = net.accept()
@@ -351,7 +351,7 @@
 
 
 def test_clients_that_ask_once_and_stay_do_not_take_the_place_of_others() -> None:
-    net = Net(limits={"resting": 2})
+    net = Net(limits={"idle_clients": 2})
     clients = [net.client() for _ in range(4)]
     host = None
     for number, client in enumerate(clients):
@@ -581,7 +581,7 @@
     net.reactor.advance(0.3)
     client.feed(mg(2, ttl=600))  # may have come just after the poll before
     host.feed(va(2))
-    net.reactor.advance(net.limits.turn / 1e9 + 0.001)
+    net.reactor.advance(net.limits.turn_duration / 1e9 + 0.001)
     client.feed(mg(3))
     net.turn.begins(net.door.now())
     client.feed(mg(4))
--- a/tests/test_review_links.py
+++ b/tests/test_review_links.py
@@ -73,7 +73,7 @@
 
 
 def test_what_waits_behind_a_half_written_command_does_not_go_out_after_a_drain() -> None:
-    net = Net(hosts=1, limits={"sockets": 3, "per_connection": 4})
+    net = Net(hosts=1, limits={"sockets": 3, "per_host_connection": 4})
     first, second = net.client(), net.client()
     first.feed(mg(1))
     host, _, factory, *_ = net.reactor.tcpClients.pop(0)
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -340,7 +340,7 @@
 
 
 def test_a_value_that_a_cache_host_holds_up_is_not_its_clients_fault() -> None:
-    net = Net(limits={"whole": 8, "piece": 4, "stalled": 9 * SECOND})
+    net = Net(limits={"stream_above_bytes": 8, "chunk_bytes": 4, "stall_timeout": 9 * SECOND})
     client = net.client()
     client.feed(b"ms k 20 O1 Pc=once,d=800\r\n")
     client.protocol.hold(True)
@@ -354,7 +354,7 @@
 
 
 def test_a_large_value_that_stops_costs_its_cache_host_the_connection_and_has_not_run() -> None:
-    net = Net(limits={"whole": 8, "piece": 4})
+    net = Net(limits={"stream_above_bytes": 8, "chunk_bytes": 4})
     client = net.client()
     client.feed(mg(1) + b"ms k 20 O2 Pc=once,d=800\r\n0123456789")
     first, second = net.accept(), net.accept()
@@ -459,7 +459,7 @@
 
 
 def test_a_cache_host_that_takes_no_more_of_a_large_value_costs_its_client_no_silence() -> None:
-    net = Net(limits={"whole": 8, "piece": 4})
+    net = Net(limits={"stream_above_bytes": 8, "chunk_bytes": 4})
     client = net.client()
     client.feed(b"ms k 40 O1 Pc=once,d=800\r\n0123456789")
     *_, factory, _, _ = net.reactor.tcpClients.pop(0)
@@ -524,7 +524,7 @@
     monkeypatch.setattr(part, "swept", broken)
     for _ in range(4):
         with suppress(ValueError):
-            net.reactor.advance(net.limits.sweep / SECOND)
+            net.reactor.advance(net.limits.sweep_interval / SECOND)
     assert len(looks) >= 3
 
 
