--- a/ternquay/hosted/administration/api.py
+++ b/ternquay/hosted/administration/api.py
@@ -21,14 +21,14 @@
     Change,
     Entry,
     Make,
-    NotThere,
+    NotFound,
     Registry,
     Replace,
     SetKeys,
     SetLimits,
     SetServers,
     SetState,
-    Stale,
+    VersionConflict,
 )
 from ternquay.hosted.tenants.tenant import InvalidField, Key, Scope, Server, State, Tenant
 
@@ -196,10 +196,10 @@
             return problem(denied.status, denied.why, headers=headers)
         except InvalidField as fault:
             return problem(422, fault.reason, fault.field)
-        except NotThere:
+        except NotFound:
             return problem(404, "there is nothing of that name")
-        except Stale as stale:
-            return problem(412, f"it is at version {stale.there} by now", "If-Match", tag(stale.there))
+        except VersionConflict as stale:
+            return problem(412, f"it is at version {stale.current} by now", "If-Match", tag(stale.current))
 
     def identified(self, call: Call, registry: Registry, now: int) -> Who:
         kind, _, token = call.headers.get("authorization", "").partition(" ")
@@ -225,7 +225,7 @@
             return do(call, registry, who, now, told)
         entry = registry.tenants.get(names["tenant"])
         if entry is None:
-            raise NotThere(names["tenant"])
+            raise NotFound(names["tenant"])
         if route.changes and call.method != "POST":
             meant(call, entry)
         return do(call, registry, who, now, told, entry, *list(names.values())[1:])
@@ -368,7 +368,7 @@
     ) -> Outcome:
         left = tuple(server for server in entry.tenant.servers if server.name != name)
         if len(left) == len(entry.tenant.servers):
-            raise NotThere(name)
+            raise NotFound(name)
         return self._servers(who, entry, left, now, {"removed": name})
 
     def _set_limits(
@@ -418,7 +418,7 @@
     ) -> Outcome:
         old = next((key for key in entry.tenant.keys if key.name == name), None)
         if old is None:
-            raise NotThere(name)
+            raise NotFound(name)
         until = now + max(1, told.overlap_s * SECOND)
         ends = until if not old.until else min(until, old.until)
         left = tuple(replace(key, until=ends) if key is old else key for key in entry.tenant.keys)
@@ -430,7 +430,7 @@
     ) -> Outcome:
         left = tuple(key for key in entry.tenant.keys if key.name != name)
         if len(left) == len(entry.tenant.keys):
-            raise NotThere(name)
+            raise NotFound(name)
         change = SetKeys(entry.tenant.name, left, entry.version)
         return self._proposal(who, change, "key-removed", entry.tenant.name, {"key": name})
 
--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -17,7 +17,16 @@
 from ternquay.hosted.shared.fairness import Part as LentPart
 from ternquay.hosted.shared.loop import Loop
 from ternquay.hosted.tenants.ledger import Ledger
-from ternquay.hosted.tenants.registry import Change, Make, NotThere, Registry, Remove, Replace, SetState, Stale
+from ternquay.hosted.tenants.registry import (
+    Change,
+    Make,
+    NotFound,
+    Registry,
+    Remove,
+    Replace,
+    SetState,
+    VersionConflict,
+)
 from ternquay.hosted.tenants.tenancy import Common, Prepared, Tenancy, bound
 from ternquay.hosted.tenants.tenant import Guarantee, InvalidField, State, Tenant
 from ternquay.net import library_log
@@ -137,7 +146,10 @@
                 self._settle()
 
     def change(self, change: Change) -> None:
-        """Makes a change that is not stored. Raises InvalidField, NotThere or Stale, and nothing is changed."""
+        """Applies a change without storing it.
+
+        Raises InvalidField, NotFound or VersionConflict, and changes nothing then.
+        """
         name = change.tenant.name if isinstance(change, Make | Replace) else change.name
         after = self.registry.changed(change)
         self.apply(after, name, self.prepare(after, name))
@@ -145,7 +157,7 @@
     def _removed_here(self, name: str) -> None:
         try:
             self.change(Remove(name))
-        except (InvalidField, NotThere, Stale):
+        except (InvalidField, NotFound, VersionConflict):
             logger.exception("a tenant that has ended could not be removed")
 
     def _settle(self) -> None:
@@ -228,7 +240,7 @@
                 self.change(change)
             except Exception as fault:  # of one tenant, and no reason to leave out the others
                 name = change.tenant.name if isinstance(change, Make | Replace) else change.name
-                expected = isinstance(fault, InvalidField | NotThere | Stale)
+                expected = isinstance(fault, InvalidField | NotFound | VersionConflict)
                 logger.opt(exception=not expected).bind(tenant=name, cause=str(fault)).error(
                     "the file's change was not made"
                 )
--- a/ternquay/hosted/tenants/registry.py
+++ b/ternquay/hosted/tenants/registry.py
@@ -1,8 +1,8 @@
 """All tenants of a process as one value: a change is checked whole against all others, then made in one step.
 
     registry = Registry()
-    registry = registry.changed(Make(tenant))                # -> another registry, or InvalidField, NotThere, Stale
-    registry.tenants["archivo-sur"].version                  # of the change that made it what it is
+    registry = registry.changed(Make(tenant))  # a new registry; raises InvalidField, NotFound or VersionConflict
+    registry.tenants["archivo-sur"].version    # the version of the last change to that tenant
 
 No I/O and no clock. Versions only rise, over all tenants together; a tenant that is made again under an old name
 is another incarnation, so that nothing of the old one is taken for its own.
@@ -18,16 +18,16 @@
 PARTS = ("cpu", "sockets", "memory")
 
 
-class NotThere(LookupError):
-    """No tenant of that name, or no longer."""
+class NotFound(LookupError):
+    """No tenant, cache host or key of that name exists."""
 
 
-class Stale(Exception):
-    """The change was meant for another version than there is; nothing was changed."""
+class VersionConflict(Exception):
+    """The change expects another version than the current one; nothing was changed."""
 
-    def __init__(self, name: str, meant: int, there: int) -> None:
-        super().__init__(f"{name}: the change was meant for version {meant}, there is {there}")
-        self.meant, self.there = meant, there
+    def __init__(self, name: str, expected: int, current: int) -> None:
+        super().__init__(f"{name}: the change expects version {expected}, but the current version is {current}")
+        self.expected, self.current = expected, current
 
 
 @dataclass(slots=True, frozen=True)
@@ -106,7 +106,7 @@
     version: int = 0  # of the last change of any
 
     def changed(self, change: Change) -> "Registry":
-        """The registry after that change. Raises InvalidField, NotThere or Stale, and is itself what it was."""
+        """Returns the registry after the change. Raises InvalidField, NotFound or VersionConflict. Leaves self unchanged."""
         if isinstance(change, Remove):
             return self._removed(change)
         tenant = self._wanted(change)
@@ -145,9 +145,9 @@
     def _there(self, name: str, meant: int) -> Tenant:
         entry = self.tenants.get(name)
         if entry is None:
-            raise NotThere(name)
+            raise NotFound(name)
         if meant and meant != entry.version:
-            raise Stale(name, meant, entry.version)
+            raise VersionConflict(name, meant, entry.version)
         return entry.tenant
 
     def _removed(self, change: Remove) -> "Registry":
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -8,7 +8,7 @@
 from ternquay.hosted.tenants.registry import (
     Change,
     Make,
-    NotThere,
+    NotFound,
     Registry,
     Remove,
     Replace,
@@ -16,7 +16,7 @@
     SetLimits,
     SetServers,
     SetState,
-    Stale,
+    VersionConflict,
 )
 from ternquay.hosted.tenants.tenant import (
     Endpoint,
@@ -81,9 +81,9 @@
 def test_a_change_meant_for_another_version_changes_nothing() -> None:
     registry = made(tenant("sur"))
     one = registry.changed(SetLimits("sur", replace(LIMITS, burst=7), meant=1))
-    with pytest.raises(Stale) as told:
+    with pytest.raises(VersionConflict) as told:
         one.changed(SetServers("sur", (), meant=1))
-    assert (told.value.meant, told.value.there) == (1, 2)
+    assert (told.value.expected, told.value.current) == (1, 2)
     assert one.tenants["sur"].tenant.limits.burst == 7 and len(one.tenants["sur"].tenant.servers) == 1
     assert registry.tenants["sur"].tenant.limits.burst == 50  # the value before is what it was
 
@@ -143,5 +143,5 @@
 
 def test_what_is_not_there_can_not_be_changed() -> None:
     for change in (SetState("sur", State.ACTIVE), Remove("sur"), Replace(tenant("sur")), SetKeys("sur", ())):
-        with pytest.raises(NotThere):
+        with pytest.raises(NotFound):
             Registry().changed(change)
