--- a/ternquay/hosted/administration/api.py
+++ b/ternquay/hosted/administration/api.py
@@ -19,15 +19,15 @@
 from ternquay.hosted.tenants import documents as d
 from ternquay.hosted.tenants.registry import (
     Change,
-    Entry,
-    Make,
+    CreateTenant,
     NotFound,
     Registry,
-    Replace,
+    ReplaceTenant,
     SetKeys,
     SetLimits,
     SetServers,
     SetState,
+    TenantEntry,
     VersionConflict,
 )
 from ternquay.hosted.tenants.tenant import InvalidField, Key, Scope, Server, State, Tenant
@@ -152,7 +152,7 @@
     return min(int(text), most)
 
 
-def meant(call: Call, entry: Entry) -> None:
+def meant(call: Call, entry: TenantEntry) -> None:
     """If-Match: against changes made upon what has changed since. Raises Turned."""
     told = call.headers.get("if-match", "")
     if not told:
@@ -166,7 +166,7 @@
         raise Turned(problem(412, f"it is at version {entry.version} by now", "If-Match", tag(entry.version)))
 
 
-def shown(entry: Entry) -> dict[str, Any]:
+def shown(entry: TenantEntry) -> dict[str, Any]:
     return {"version": entry.version, "state": entry.tenant.state.value, "tenant": d.plain(d.document_of(entry.tenant))}
 
 
@@ -249,27 +249,35 @@
             body["next"] = urlsafe_b64encode(page[-1].encode()).decode()
         return Reply(200, body)
 
-    def _get_tenant(self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: Entry) -> Outcome:
+    def _get_tenant(
+        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry
+    ) -> Outcome:
         return Reply(200, shown(entry), tag(entry.version))
 
-    def _part(self, entry: Entry, name: str) -> Reply:
+    def _part(self, entry: TenantEntry, name: str) -> Reply:
         document = d.plain(d.document_of(entry.tenant))
         body = {name: document[name]} if name in ("servers", "profiles") else document[name]
         return Reply(200, body, tag(entry.version))
 
-    def _get_servers(self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: Entry) -> Outcome:
+    def _get_servers(
+        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry
+    ) -> Outcome:
         return self._part(entry, "servers")
 
-    def _get_limits(self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: Entry) -> Outcome:
+    def _get_limits(
+        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry
+    ) -> Outcome:
         return self._part(entry, "limits")
 
-    def _get_profiles(self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: Entry) -> Outcome:
+    def _get_profiles(
+        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry
+    ) -> Outcome:
         return self._part(entry, "profiles")
 
-    def _get_state(self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: Entry) -> Outcome:
+    def _get_state(self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry) -> Outcome:
         return Reply(200, {"state": entry.tenant.state.value}, tag(entry.version))
 
-    def _list_keys(self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: Entry) -> Outcome:
+    def _list_keys(self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry) -> Outcome:
         return Reply(200, {"keys": [shown_key(key) for key in entry.tenant.keys]}, tag(entry.version))
 
     def _list_changes(self, call: Call, registry: Registry, who: Who, now: int, told: None) -> Outcome:
@@ -323,37 +331,39 @@
     def _make_tenant(self, call: Call, registry: Registry, who: Who, now: int, told: d.TenantDocument) -> Outcome:
         if told.name in registry.tenants:
             raise Turned(problem(409, f"{told.name} is there already", "name"))
-        return self._proposal(who, Make(d.tenant_of(told)), "make", told.name, d.plain(told), 201)
+        return self._proposal(who, CreateTenant(d.tenant_of(told)), "make", told.name, d.plain(told), 201)
 
-    def _replaced(self, who: Who, entry: Entry, tenant: Tenant, kind: str, detail: Any, now: int) -> Proposal:
+    def _replaced(self, who: Who, entry: TenantEntry, tenant: Tenant, kind: str, detail: Any, now: int) -> Proposal:
         old = entry.tenant
         tenant = replace(tenant, keys=old.keys, state=old.state, servers=started(old.servers, tenant.servers, now))
-        return self._proposal(who, Replace(tenant, entry.version), kind, old.name, detail)
+        return self._proposal(who, ReplaceTenant(tenant, entry.version), kind, old.name, detail)
 
     def _replace_tenant(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.TenantDocument, entry: Entry
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.TenantDocument, entry: TenantEntry
     ) -> Outcome:
         if told.name != entry.tenant.name:
             raise InvalidField("name", "a tenant keeps its name")
         return self._replaced(who, entry, d.tenant_of(told), "replace", d.plain(told), now)
 
-    def _end_tenant(self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: Entry) -> Outcome:
+    def _end_tenant(
+        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry
+    ) -> Outcome:
         name = entry.tenant.name
         return self._proposal(who, SetState(name, State.ENDING, entry.version), "end", name, {}, 202)
 
-    def _servers(self, who: Who, entry: Entry, servers: tuple[Server, ...], now: int, detail: Any) -> Proposal:
+    def _servers(self, who: Who, entry: TenantEntry, servers: tuple[Server, ...], now: int, detail: Any) -> Proposal:
         servers = started(entry.tenant.servers, servers, now)
         return self._proposal(
             who, SetServers(entry.tenant.name, servers, entry.version), "servers", entry.tenant.name, detail
         )
 
     def _set_servers(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.ServersDocument, entry: Entry
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.ServersDocument, entry: TenantEntry
     ) -> Outcome:
         return self._servers(who, entry, d.servers_of(told.servers), now, d.plain(told))
 
     def _set_server(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.ServerDocument, entry: Entry, name: str
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.ServerDocument, entry: TenantEntry, name: str
     ) -> Outcome:
         if told.name != name:
             raise InvalidField("name", "is another than the path's")
@@ -364,7 +374,7 @@
         return self._servers(who, entry, (*there, one), now, d.plain(told))
 
     def _remove_server(
-        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: Entry, name: str
+        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry, name: str
     ) -> Outcome:
         left = tuple(server for server in entry.tenant.servers if server.name != name)
         if len(left) == len(entry.tenant.servers):
@@ -372,19 +382,19 @@
         return self._servers(who, entry, left, now, {"removed": name})
 
     def _set_limits(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.LimitsDocument, entry: Entry
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.LimitsDocument, entry: TenantEntry
     ) -> Outcome:
         change = SetLimits(entry.tenant.name, d.limits_of(told), entry.version)
         return self._proposal(who, change, "limits", entry.tenant.name, d.plain(told))
 
     def _set_profiles(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.ProfilesDocument, entry: Entry
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.ProfilesDocument, entry: TenantEntry
     ) -> Outcome:
         tenant = replace(entry.tenant, profiles=tuple(map(d.profile_of, told.profiles)))
         return self._replaced(who, entry, tenant, "profiles", d.plain(told), now)
 
     def _set_state(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.StateDocument, entry: Entry
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.StateDocument, entry: TenantEntry
     ) -> Outcome:
         change = SetState(entry.tenant.name, d.state_of(told.state), entry.version)
         return self._proposal(who, change, "state", entry.tenant.name, d.plain(told))
@@ -392,7 +402,15 @@
     # ---- keys ----
 
     def _with_key(
-        self, who: Who, entry: Entry, left: tuple[Key, ...], name: str, scope: Scope, now: int, until: int, kind: str
+        self,
+        who: Who,
+        entry: TenantEntry,
+        left: tuple[Key, ...],
+        name: str,
+        scope: Scope,
+        now: int,
+        until: int,
+        kind: str,
     ) -> Proposal:
         tenant = entry.tenant.name
         token = self.make(tenant, name)
@@ -408,13 +426,20 @@
         )
 
     def _make_key(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.KeyDocument, entry: Entry
+        self, call: Call, registry: Registry, who: Who, now: int, told: d.KeyDocument, entry: TenantEntry
     ) -> Outcome:
         until = now + told.expires_in_s * SECOND if told.expires_in_s else 0
         return self._with_key(who, entry, entry.tenant.keys, told.name, Scope(told.scope), now, until, "key-made")
 
     def _rotate_key(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.RotationDocument, entry: Entry, name: str
+        self,
+        call: Call,
+        registry: Registry,
+        who: Who,
+        now: int,
+        told: d.RotationDocument,
+        entry: TenantEntry,
+        name: str,
     ) -> Outcome:
         old = next((key for key in entry.tenant.keys if key.name == name), None)
         if old is None:
@@ -426,7 +451,7 @@
         return self._with_key(who, entry, left, told.name, old.scope, now, 0, "key-rotated")
 
     def _remove_key(
-        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: Entry, name: str
+        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry, name: str
     ) -> Outcome:
         left = tuple(key for key in entry.tenant.keys if key.name != name)
         if len(left) == len(entry.tenant.keys):
--- a/ternquay/hosted/administration/changes.py
+++ b/ternquay/hosted/administration/changes.py
@@ -20,7 +20,7 @@
 from ternquay.consensus.fate import NotNow, Nowhere, Unknown
 from ternquay.hosted.administration.api import Api, Call, Look, Proposal, Reply, problem, tag
 from ternquay.hosted.store import Answered, Commit, Logged, Noted, Store, StoreError, StoreUnsure
-from ternquay.hosted.tenants.registry import Registry, Remove
+from ternquay.hosted.tenants.registry import Registry, RemoveTenant
 from ternquay.hosted.tenants.tenant import InvalidField
 
 SECOND = 1_000_000_000
@@ -68,7 +68,7 @@
 class Keeper:
     def __init__(self, reactor: Any, api: Api, applier: Applier, stored: Stored, clock: Callable[[], int]) -> None:
         self.reactor, self.api, self.applier, self.stored, self.clock = reactor, api, applier, stored, clock
-        self.waiting: deque[tuple[Call | Remove, Deferred[Reply]]] = deque()
+        self.waiting: deque[tuple[Call | RemoveTenant, Deferred[Reply]]] = deque()
         self.busy = False
         self.watches: list[Deferred[None]] = []
         self.notes: dict[tuple[str, str, str, int, str], Noted] = {}
@@ -122,9 +122,9 @@
         """A tenant that was ending has nothing open any more; in a fleet whoever leads sees to it."""
         if self.fleet is not None and not self.fleet.leads():
             return succeed(problem(503, "another member leads"))
-        return self._queued(Remove(name))
+        return self._queued(RemoveTenant(name))
 
-    def _queued(self, what: Call | Remove) -> "Deferred[Reply]":
+    def _queued(self, what: Call | RemoveTenant) -> "Deferred[Reply]":
         if self.ended:
             return succeed(ENDS)
         done: Deferred[Reply] = Deferred()
@@ -143,7 +143,7 @@
             done.callback(reply)
             self._next()
 
-        carry = self._removed if isinstance(what, Remove) else self._carried
+        carry = self._removed if isinstance(what, RemoveTenant) else self._carried
         self._guarded(carry, what).addCallback(over)
 
     def _guarded(self, what: Callable[..., Any], *terms: Any) -> "Deferred[Reply]":
@@ -195,7 +195,7 @@
         if self.registry is not there:
             raise NotNow("another change came first")
         who, before = str(outcome.who), self.registry
-        after = before.changed(outcome.change)
+        after = before.with_change(outcome.change)
         reply = outcome.reply(after)
         answered = None
         if key:
@@ -242,11 +242,11 @@
         self.unsure = False
 
     @inlineCallbacks
-    def _removed(self, change: Remove) -> Any:
+    def _removed(self, change: RemoveTenant) -> Any:
         yield from self._caught_up()
         if change.name not in self.registry.tenants:
             return Reply(200, {})
-        after = self.registry.changed(change)
+        after = self.registry.with_change(change)
         logged = Logged(after.version, self.clock(), SERVICE, change.name, "gone", b"{}")
         yield from self._made(after, change.name, Commit(logged, None))
         return Reply(200, {})
--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -30,7 +30,7 @@
 from ternquay.hosted.fleet.store import Applied, FleetStore, Forgot, Founded, Job, Life, carried_of
 from ternquay.hosted.service import Fellows
 from ternquay.hosted.store import Answered, Commit, Logged, Noted, StoreError, kept, unkept
-from ternquay.hosted.tenants.registry import Entry, Registry
+from ternquay.hosted.tenants.registry import Registry, TenantEntry
 from ternquay.hosted.tenants.tenant import InvalidField
 from ternquay.peers.frames import VERSION, Dropped, Frame, Marks, What, opened, sealed
 from ternquay.peers.links import Links
@@ -96,7 +96,7 @@
 
 def commit_of(told: Change) -> Commit:
     """Raises StoreError."""
-    entry = Entry(unkept(told.entry[0]), *told.entry[1:]) if told.entry else None
+    entry = TenantEntry(unkept(told.entry[0]), *told.entry[1:]) if told.entry else None
     answered = None
     if told.answered is not None:
         who, key, asked, status, body = told.answered
--- a/ternquay/hosted/fleet/store.py
+++ b/ternquay/hosted/fleet/store.py
@@ -17,8 +17,7 @@
 from ternquay.consensus.log import Log
 from ternquay.consensus.messages import Entry, Kind, Roster
 from ternquay.hosted.store import ANSWERS_MOST, Commit, Store, StoreError, unkept
-from ternquay.hosted.tenants.registry import Entry as Tenant
-from ternquay.hosted.tenants.registry import Registry
+from ternquay.hosted.tenants.registry import Registry, TenantEntry
 from ternquay.peers.members import COUNTER
 
 TABLES = """
@@ -47,7 +46,7 @@
 
     def registry(self) -> Registry:
         """Raises StoreError."""
-        tenants = {name: Tenant(unkept(body), at, first) for name, at, first, body in self.tenants}
+        tenants = {name: TenantEntry(unkept(body), at, first) for name, at, first, body in self.tenants}
         return Registry(MappingProxyType(tenants), self.version)
 
 
--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -19,11 +19,11 @@
 from ternquay.hosted.tenants.ledger import Ledger
 from ternquay.hosted.tenants.registry import (
     Change,
-    Make,
+    CreateTenant,
     NotFound,
     Registry,
-    Remove,
-    Replace,
+    RemoveTenant,
+    ReplaceTenant,
     SetState,
     VersionConflict,
 )
@@ -150,13 +150,13 @@
 
         Raises InvalidField, NotFound or VersionConflict, and changes nothing then.
         """
-        name = change.tenant.name if isinstance(change, Make | Replace) else change.name
-        after = self.registry.changed(change)
+        name = change.tenant.name if isinstance(change, CreateTenant | ReplaceTenant) else change.name
+        after = self.registry.with_change(change)
         self.apply(after, name, self.prepare(after, name))
 
     def _removed_here(self, name: str) -> None:
         try:
-            self.change(Remove(name))
+            self.change(RemoveTenant(name))
         except (InvalidField, NotFound, VersionConflict):
             logger.exception("a tenant that has ended could not be removed")
 
@@ -239,7 +239,7 @@
             try:
                 self.change(change)
             except Exception as fault:  # of one tenant, and no reason to leave out the others
-                name = change.tenant.name if isinstance(change, Make | Replace) else change.name
+                name = change.tenant.name if isinstance(change, CreateTenant | ReplaceTenant) else change.name
                 expected = isinstance(fault, InvalidField | NotFound | VersionConflict)
                 logger.opt(exception=not expected).bind(tenant=name, cause=str(fault)).error(
                     "the file's change was not made"
@@ -311,14 +311,14 @@
             found.append(SetState(name, State.ENDING))
     for name, entry in new.tenants.items():
         there = old.tenants.get(name)
-        found += [Make(entry.tenant)] if there is None else _differ(there.tenant, entry.tenant)
+        found += [CreateTenant(entry.tenant)] if there is None else _differ(there.tenant, entry.tenant)
     return found
 
 
 def _differ(old: Tenant, new: Tenant) -> list[Change]:
     found: list[Change] = []
     if replace(new, state=old.state) != old:
-        found.append(Replace(replace(new, state=old.state)))
+        found.append(ReplaceTenant(replace(new, state=old.state)))
     if new.state is not old.state:
         found.append(SetState(new.name, new.state))
     return found
--- a/ternquay/hosted/service.py
+++ b/ternquay/hosted/service.py
@@ -23,7 +23,7 @@
     state_of,
     tenant_of,
 )
-from ternquay.hosted.tenants.registry import Make, Registry
+from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.tenancy import Process
 from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Key, Scope, Tenant, check_endpoint
 from ternquay.net.launch import descriptors
@@ -292,7 +292,7 @@
     registry = Registry()
     for i, one in enumerate(tenants):
         try:
-            registry = registry.changed(Make(listed(one)))
+            registry = registry.with_change(CreateTenant(listed(one)))
         except InvalidField as fault:
             raise InvalidField(f"tenants[{i}].{fault.field}", fault.reason) from fault
     return registry
--- a/ternquay/hosted/store.py
+++ b/ternquay/hosted/store.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from ternquay.hosted.tenants.documents import KeptKey, KeptTenant, document_of, state_of, tenant_of
-from ternquay.hosted.tenants.registry import Entry, Registry
+from ternquay.hosted.tenants.registry import Registry, TenantEntry
 from ternquay.hosted.tenants.tenant import InvalidField, Key, Scope, Tenant
 
 FORMAT = 1
@@ -91,7 +91,7 @@
     """One change with all that is kept of it. `entry` is None where the tenant is no more."""
 
     logged: Logged
-    entry: Entry | None
+    entry: TenantEntry | None
     answered: Answered | None = None
     noted: Noted | None = None
 
@@ -182,7 +182,7 @@
             version = self._meta(db, "version")
         except sqlite3.Error as fault:
             raise StoreError(f"{self.path}: {fault}") from fault
-        tenants = {name: Entry(unkept(body), at, first) for name, at, first, body in rows}
+        tenants = {name: TenantEntry(unkept(body), at, first) for name, at, first, body in rows}
         if any(entry.version > version for entry in tenants.values()):
             raise StoreError(f"{self.path}: a tenant is of a later version than the whole")
         return Registry(MappingProxyType(tenants), version)
--- a/ternquay/hosted/tenants/registry.py
+++ b/ternquay/hosted/tenants/registry.py
@@ -1,7 +1,7 @@
 """All tenants of a process as one value: a change is checked whole against all others, then made in one step.
 
     registry = Registry()
-    registry = registry.changed(Make(tenant))  # a new registry; raises InvalidField, NotFound or VersionConflict
+    registry = registry.with_change(CreateTenant(tenant))  # raises InvalidField, NotFound or VersionConflict
     registry.tenants["archivo-sur"].version    # the version of the last change to that tenant
 
 No I/O and no clock. Versions only rise, over all tenants together; a tenant that is made again under an old name
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
+class TenantEntry:
     """A tenant as it stands; `incarnation` is the version that it was first made at."""
 
     tenant: Tenant
@@ -40,58 +40,58 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Make:
+class CreateTenant:
     """A tenant that is not there yet."""
 
     tenant: Tenant
 
 
 @dataclass(slots=True, frozen=True)
-class Replace:
-    """All of a tenant but its state, which goes by its own change. `meant`: for that version, 0 for any."""
+class ReplaceTenant:
+    """All of a tenant but its state, which goes by its own change. `expected_version`: for that version, 0 for any."""
 
     tenant: Tenant
-    meant: int = 0
+    expected_version: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class SetServers:
     name: str
     servers: tuple[Server, ...]
-    meant: int = 0
+    expected_version: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class SetLimits:
     name: str
     limits: TenantLimits
-    meant: int = 0
+    expected_version: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class SetKeys:
     name: str
     keys: tuple[Key, ...]
-    meant: int = 0
+    expected_version: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class SetState:
     name: str
     state: State
-    meant: int = 0
+    expected_version: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Remove:
+class RemoveTenant:
     """A tenant that is ending and has nothing open any more."""
 
     name: str
-    meant: int = 0
+    expected_version: int = 0
 
 
-Change = Make | Replace | SetServers | SetLimits | SetKeys | SetState | Remove
-NO_TENANTS: Mapping[str, Entry] = MappingProxyType({})
+Change = CreateTenant | ReplaceTenant | SetServers | SetLimits | SetKeys | SetState | RemoveTenant
+NO_TENANTS: Mapping[str, TenantEntry] = MappingProxyType({})
 # From which state which others may follow; what is ending does not come back.
 FOLLOWS = {
     State.ACTIVE: {State.SUSPENDED, State.ENDING},
@@ -102,36 +102,36 @@
 
 @dataclass(slots=True, frozen=True)
 class Registry:
-    tenants: Mapping[str, Entry] = field(default_factory=lambda: NO_TENANTS)
+    tenants: Mapping[str, TenantEntry] = field(default_factory=lambda: NO_TENANTS)
     version: int = 0  # of the last change of any
 
-    def changed(self, change: Change) -> "Registry":
-        """Returns the registry after the change. Raises InvalidField, NotFound or VersionConflict. Leaves self unchanged."""
-        if isinstance(change, Remove):
+    def with_change(self, change: Change) -> "Registry":
+        """Returns the registry after the change. Raises InvalidField, NotFound, VersionConflict."""
+        if isinstance(change, RemoveTenant):
             return self._removed(change)
         tenant = self._wanted(change)
         fit(tenant)
         self._beside(tenant)
         version = self.version + 1
-        incarnation = version if isinstance(change, Make) else self.tenants[tenant.name].incarnation
-        entry = Entry(tenant, version, incarnation)
+        incarnation = version if isinstance(change, CreateTenant) else self.tenants[tenant.name].incarnation
+        entry = TenantEntry(tenant, version, incarnation)
         return Registry(MappingProxyType({**self.tenants, tenant.name: entry}), version)
 
     def _wanted(self, change: Change) -> Tenant:
         """The tenant as the change would have it."""
-        if isinstance(change, Make):
+        if isinstance(change, CreateTenant):
             if change.tenant.name in self.tenants:
                 raise InvalidField("name", f"{change.tenant.name} is there already")
             if len(self.tenants) >= TENANTS_MOST:
                 raise InvalidField("name", f"there are {TENANTS_MOST} tenants, which is the most")
             return change.tenant
-        if isinstance(change, Replace):
-            there = self._there(change.tenant.name, change.meant)
+        if isinstance(change, ReplaceTenant):
+            there = self._there(change.tenant.name, change.expected_version)
             if change.tenant.state is not there.state:
                 raise InvalidField("state", "is changed by itself")
             return change.tenant
-        assert not isinstance(change, Remove)
-        there = self._there(change.name, change.meant)
+        assert not isinstance(change, RemoveTenant)
+        there = self._there(change.name, change.expected_version)
         if isinstance(change, SetState):
             if change.state is not there.state and change.state not in FOLLOWS[there.state]:
                 raise InvalidField("state", f"{change.state.value} does not follow {there.state.value}")
@@ -142,16 +142,16 @@
             replace(there, limits=change.limits) if isinstance(change, SetLimits) else replace(there, keys=change.keys)
         )
 
-    def _there(self, name: str, meant: int) -> Tenant:
+    def _there(self, name: str, expected_version: int) -> Tenant:
         entry = self.tenants.get(name)
         if entry is None:
             raise NotFound(name)
-        if meant and meant != entry.version:
-            raise VersionConflict(name, meant, entry.version)
+        if expected_version and expected_version != entry.version:
+            raise VersionConflict(name, expected_version, entry.version)
         return entry.tenant
 
-    def _removed(self, change: Remove) -> "Registry":
-        there = self._there(change.name, change.meant)
+    def _removed(self, change: RemoveTenant) -> "Registry":
+        there = self._there(change.name, change.expected_version)
         if there.state is not State.ENDING:
             raise InvalidField("state", f"{change.name} is {there.state.value}, and only what is ending is removed")
         left = {name: entry for name, entry in self.tenants.items() if name != change.name}
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -14,7 +14,7 @@
 from ternquay.hosted.shared.front import CROWDING, TenantFront, TenantListener, TenantSockets
 from ternquay.hosted.shared.loop import Loop
 from ternquay.hosted.tenants.ledger import Ledger, Named
-from ternquay.hosted.tenants.registry import Entry
+from ternquay.hosted.tenants.registry import TenantEntry
 from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Server, State, Tenant
 from ternquay.net.closing import all_accepted
 from ternquay.net.discovery import Discovery
@@ -234,7 +234,7 @@
 
 
 class Tenancy:
-    def __init__(self, common: Common, entry: Entry, turn: Turn) -> None:
+    def __init__(self, common: Common, entry: TenantEntry, turn: Turn) -> None:
         self.common, self.entry = common, entry
         self.id = f"{entry.tenant.name}.{entry.incarnation}"  # one made again under the name is another one
         tenant, reactor = entry.tenant, common.reactor
@@ -268,7 +268,7 @@
         self._sourced(self.entry.tenant)
         self._stand(self.entry.tenant.state)
 
-    def change(self, entry: Entry, prepared: Prepared) -> None:
+    def change(self, entry: TenantEntry, prepared: Prepared) -> None:
         """The tenant is this from now on; transactions that are open end by what they were taken with."""
         before, self.entry = self.entry, entry
         try:
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -15,7 +15,7 @@
 
 from ternquay.hosted.host import Host
 from ternquay.hosted.shared.front import TenantFront
-from ternquay.hosted.tenants.registry import Replace, SetState
+from ternquay.hosted.tenants.registry import ReplaceTenant, SetState
 from ternquay.hosted.tenants.tenancy import Prepared, Process
 from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, State
 from tests.helper import Net, Wire, member
@@ -227,12 +227,12 @@
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     there = net.host.registry.tenants["sur"].tenant
-    net.host.change(Replace(replace(there, source=Endpoint("127.0.0.1", 8500))))
+    net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8500))))
     agent.calls[0].callback(
         Ending(orjson.dumps({"revision": 1, "complete": True, "members": [member(1)]}), ResponseDone())
     )
     assert ready(net)
-    net.host.change(Replace(replace(there, source=Endpoint("127.0.0.1", 8600))))
+    net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8600))))
     assert len(agent.calls) == 3, "the first list, the watch, and the new one's"
     net.run(after)
     agent.calls[1].callback(Ending(drained(5), ResponseDone()))
@@ -246,8 +246,8 @@
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     there = net.host.registry.tenants["sur"].tenant
-    net.host.change(Replace(replace(there, source=Endpoint("127.0.0.1", 8500))))
-    net.host.change(Replace(tenant("sur")))
+    net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8500))))
+    net.host.change(ReplaceTenant(tenant("sur")))
     agent.calls[0].callback(Ending(drained(5), ResponseDone()))
     assert list(net.tenancy.members) == ["127.0.1.1:11211"] and ready(net)
 
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -18,7 +18,7 @@
 from ternquay.hosted.shared.loop import Loop
 from ternquay.hosted.tenants.documents import TenantDocument, decoded, document_of, plain, read, tenant_of
 from ternquay.hosted.tenants.ledger import FAILS, GONE_KEPT, Ledger, Named
-from ternquay.hosted.tenants.registry import Make, Registry
+from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, InvalidField, Key, Scope
 from ternquay.net.turn import Turn
 from tests.helper import START, T0
@@ -352,7 +352,7 @@
 def test_a_page_ends_where_the_next_begins() -> None:
     api, registry = Api(OPERATORS), Registry()
     for n in range(7):
-        registry = registry.changed(Make(tenant(f"t{n}", n, keys=(), limits=SMALL)))
+        registry = registry.with_change(CreateTenant(tenant(f"t{n}", n, keys=(), limits=SMALL)))
     seen: list[str] = []
     query: dict[str, str] = {"limit": "3"}
     while True:
@@ -387,7 +387,7 @@
 def test_keys_are_shown_once_and_a_rotation_lets_the_old_one_go_on_for_the_overlap() -> None:
     found = handled("POST", "/v1/tenants/sur/keys/admin/rotate", ADMINISTRATOR, {"name": "admin-2", "overlap_s": 60})
     api, registry = world()
-    after = registry.changed(found.change)
+    after = registry.with_change(found.change)
     reply = found.reply(after)
     token = reply.body["token"]
     kept = {key.name: key for key in after.tenants["sur"].tenant.keys}
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -7,11 +7,11 @@
 
 from ternquay.hosted.tenants.registry import (
     Change,
-    Make,
+    CreateTenant,
     NotFound,
     Registry,
-    Remove,
-    Replace,
+    RemoveTenant,
+    ReplaceTenant,
     SetKeys,
     SetLimits,
     SetServers,
@@ -57,7 +57,7 @@
 def made(*tenants: Tenant) -> Registry:
     registry = Registry()
     for one in tenants:
-        registry = registry.changed(Make(one))
+        registry = registry.with_change(CreateTenant(one))
     return registry
 
 
@@ -69,10 +69,10 @@
         SetState("sur", State.SUSPENDED),
         SetState("sur", State.ACTIVE),
         SetState("sur", State.ENDING),
-        Remove("sur"),
-        Make(tenant("sur")),
+        RemoveTenant("sur"),
+        CreateTenant(tenant("sur")),
     ):
-        registry = registry.changed(change)
+        registry = registry.with_change(change)
         seen.append(registry.version)
     assert seen == [2, 3, 4, 5, 6, 7]
     assert registry.tenants["sur"].incarnation == 7 != first and registry.tenants["norte"].version == 2
@@ -80,24 +80,24 @@
 
 def test_a_change_meant_for_another_version_changes_nothing() -> None:
     registry = made(tenant("sur"))
-    one = registry.changed(SetLimits("sur", replace(LIMITS, burst=7), meant=1))
+    one = registry.with_change(SetLimits("sur", replace(LIMITS, burst=7), expected_version=1))
     with pytest.raises(VersionConflict) as told:
-        one.changed(SetServers("sur", (), meant=1))
+        one.with_change(SetServers("sur", (), expected_version=1))
     assert (told.value.expected, told.value.current) == (1, 2)
     assert one.tenants["sur"].tenant.limits.burst == 7 and len(one.tenants["sur"].tenant.servers) == 1
     assert registry.tenants["sur"].tenant.limits.burst == 50  # the value before is what it was
 
 
 UNFIT: list[tuple[Change, str]] = [
-    (Make(tenant("sur", 9)), "name"),
-    (Make(tenant("Ñandú", 9)), "name"),
-    (Make(tenant("x" * 49, 9)), "name"),
-    (Make(tenant("este", 9, listeners=())), "listeners"),
-    (Make(tenant("este", 9, listeners=(Endpoint("127.0.0.1", 7001),))), "listeners[0]"),
-    (Make(tenant("este", 9, listeners=(Endpoint("127.0.0.1", 7009),) * 2)), "listeners[1]"),
-    (Make(tenant("este", 9, listeners=(Endpoint("127.0.1.1", 11211),))), "listeners[0]"),
-    (Make(tenant("este", 9, listeners=(Endpoint("example.org", 1),))), "listeners[0].host"),
-    (Make(tenant("este", 9, listeners=(Endpoint("127.0.0.1", 0),))), "listeners[0].port"),
+    (CreateTenant(tenant("sur", 9)), "name"),
+    (CreateTenant(tenant("Ñandú", 9)), "name"),
+    (CreateTenant(tenant("x" * 49, 9)), "name"),
+    (CreateTenant(tenant("este", 9, listeners=())), "listeners"),
+    (CreateTenant(tenant("este", 9, listeners=(Endpoint("127.0.0.1", 7001),))), "listeners[0]"),
+    (CreateTenant(tenant("este", 9, listeners=(Endpoint("127.0.0.1", 7009),) * 2)), "listeners[1]"),
+    (CreateTenant(tenant("este", 9, listeners=(Endpoint("127.0.1.1", 11211),))), "listeners[0]"),
+    (CreateTenant(tenant("este", 9, listeners=(Endpoint("example.org", 1),))), "listeners[0].host"),
+    (CreateTenant(tenant("este", 9, listeners=(Endpoint("127.0.0.1", 0),))), "listeners[0].port"),
     (SetServers("sur", (Server("loop", Endpoint("127.0.0.1", 7002)),)), "servers[0].place"),
     (SetServers("sur", (Server("a", Endpoint("127.0.1.8", 1)), Server("a", Endpoint("127.0.1.9", 1)))), "servers[1]"),
     (SetServers("sur", (Server("a", Endpoint("127.0.1.8", 1)), Server("b", Endpoint("127.0.1.8", 1)))), "servers[1]"),
@@ -109,13 +109,16 @@
     (SetKeys("sur", (Key("k", b"short", Scope.READER, 1),)), "keys[0].digest"),
     (SetKeys("sur", (Key("k", b"\5" * 32, Scope.OPERATOR, 1),)), "keys[0].scope"),
     (SetKeys("sur", (Key("k", b"\5" * 32, Scope.READER, 5, 5),)), "keys[0].until"),
-    (Replace(tenant("sur", state=State.ENDING)), "state"),
-    (Replace(tenant("sur", profiles=())), "profiles"),
-    (Replace(tenant("sur", profiles=(NamedProfile("m", replace(MARKED, memory=0)),))), "profiles[0].memory"),
-    (Replace(tenant("sur", profiles=(NamedProfile("r", replace(READ, hard_limit=1)),))), "profiles[0].hard_limit"),
-    (Replace(tenant("sur", rules=RuleFigures(S, 1.5, S, 4.0, S))), "rules.cold_share"),
-    (Replace(tenant("sur", shares=(Share("a", 1.0),) * 2)), "shares[1]"),
-    (Remove("sur"), "state"),
+    (ReplaceTenant(tenant("sur", state=State.ENDING)), "state"),
+    (ReplaceTenant(tenant("sur", profiles=())), "profiles"),
+    (ReplaceTenant(tenant("sur", profiles=(NamedProfile("m", replace(MARKED, memory=0)),))), "profiles[0].memory"),
+    (
+        ReplaceTenant(tenant("sur", profiles=(NamedProfile("r", replace(READ, hard_limit=1)),))),
+        "profiles[0].hard_limit",
+    ),
+    (ReplaceTenant(tenant("sur", rules=RuleFigures(S, 1.5, S, 4.0, S))), "rules.cold_share"),
+    (ReplaceTenant(tenant("sur", shares=(Share("a", 1.0),) * 2)), "shares[1]"),
+    (RemoveTenant("sur"), "state"),
     (SetState("este", State.ACTIVE), "state"),
 ]
 
@@ -124,10 +127,10 @@
 def test_what_does_not_fit_names_its_field_and_changes_nothing(change: Change, field: str) -> None:
     registry = made(tenant("sur"), tenant("norte", 2))
     if isinstance(change, SetState):
-        registry = registry.changed(Make(tenant("este", 3))).changed(SetState("este", State.ENDING))
+        registry = registry.with_change(CreateTenant(tenant("este", 3))).with_change(SetState("este", State.ENDING))
     before = dict(registry.tenants)
     with pytest.raises(InvalidField) as told:
-        registry.changed(change)
+        registry.with_change(change)
     assert told.value.field == field and dict(registry.tenants) == before
 
 
@@ -135,13 +138,18 @@
     shared = (Server("same", Endpoint("127.0.1.1", 11211)),)
     registry = made(tenant("sur"), tenant("norte", 2, servers=shared), *(tenant(f"t{n}", n) for n in (3, 4, 5)))
     with pytest.raises(InvalidField) as told:
-        registry.changed(Make(tenant("sexto", 6)))
+        registry.with_change(CreateTenant(tenant("sexto", 6)))
     assert told.value.field == "limits.cpu.least" and "1.200 of the process" in told.value.reason
-    freed = registry.changed(SetState("t5", State.ENDING)).changed(Remove("t5"))
-    assert "sexto" in freed.changed(Make(tenant("sexto", 6))).tenants
+    freed = registry.with_change(SetState("t5", State.ENDING)).with_change(RemoveTenant("t5"))
+    assert "sexto" in freed.with_change(CreateTenant(tenant("sexto", 6))).tenants
 
 
 def test_what_is_not_there_can_not_be_changed() -> None:
-    for change in (SetState("sur", State.ACTIVE), Remove("sur"), Replace(tenant("sur")), SetKeys("sur", ())):
+    for change in (
+        SetState("sur", State.ACTIVE),
+        RemoveTenant("sur"),
+        ReplaceTenant(tenant("sur")),
+        SetKeys("sur", ()),
+    ):
         with pytest.raises(NotFound):
-            Registry().changed(change)
+            Registry().with_change(change)
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -25,7 +25,7 @@
 from ternquay.hosted.host import Host, Running
 from ternquay.hosted.service import ServiceError, read_service
 from ternquay.hosted.store import Store
-from ternquay.hosted.tenants.registry import Make, Registry, Remove, Replace, SetState
+from ternquay.hosted.tenants.registry import CreateTenant, Registry, RemoveTenant, ReplaceTenant, SetState
 from ternquay.hosted.tenants.tenant import Endpoint, Server, State, TenantLimits
 from ternquay.rig.ports import free_place
 from tests.hosted_helper import ROOT, Hosted, document
@@ -176,21 +176,21 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     one = listening("sur")
-    host = hosts(Registry().changed(Make(one)), tmp_path)
+    host = hosts(Registry().with_change(CreateTenant(one)), tmp_path)
     host.begin()
     tenancy, norte, other = host.tenancies["sur"], listening("norte", 2), place(free_place("127.0.0.1"))
     limits: TenantLimits = replace(SMALL, open_txs=7)
     with monkeypatch.context() as broken:
         broken.setattr(tenancy, "_limited", lambda tenant: 1 / 0)
-        after = host.registry.changed(Replace(replace(one, limits=limits, listeners=(*one.listeners, other))))
+        after = host.registry.with_change(ReplaceTenant(replace(one, limits=limits, listeners=(*one.listeners, other))))
         with pytest.raises(ZeroDivisionError):
             host.apply(after, "sur", host.prepare(after, "sur"))
         host.reactor.advance(0.01)
         assert not connects(other)  # bound for it, and not left behind
-        after = host.registry.changed(Make(norte))
+        after = host.registry.with_change(CreateTenant(norte))
         host.apply(after, "norte", host.prepare(after, "norte"))
     assert connects(norte.listeners[0]) and connects(one.listeners[0]) and tenancy.front.open_most != 7
-    after = host.registry.changed(SetState("sur", State.SUSPENDED))
+    after = host.registry.with_change(SetState("sur", State.SUSPENDED))
     host.apply(after, "sur", host.prepare(after, "sur"))
     assert tenancy.front.open_most == 7 and tenancy.front.shut and host.registry.version == 4
     over(host)
@@ -201,13 +201,13 @@
 
 def test_a_tenant_ends_while_a_connection_to_its_cache_host_is_being_made(tmp_path: Path) -> None:
     one = listening("sur", servers=(Server("one", Endpoint("127.0.1.1", 11211)),))
-    host = hosts(Registry().changed(Make(one)), tmp_path)
+    host = hosts(Registry().with_change(CreateTenant(one)), tmp_path)
     host.begin()
     tenancy = host.tenancies["sur"]
     tenancy.pool._dial(next(iter(tenancy.pool.places.values())))
     assert host.reactor.tcpClients and host.lent.total == 1
     host.change(SetState("sur", State.ENDING))
-    host.change(Remove("sur"))
+    host.change(RemoveTenant("sur"))
     assert not host.tenancies and not host.by_id and host.lent.total == 0
     assert tenancy.id not in host.loop.parts and tenancy.id not in host.common.ledger.lists
     connector = host.reactor.connectors[0]
@@ -217,7 +217,7 @@
 
 def test_an_ended_tenant_that_could_not_be_removed_is_tried_again(tmp_path: Path) -> None:
     one = listening("sur")
-    host = hosts(Registry().changed(Make(one)).changed(SetState("sur", State.ENDING)), tmp_path)
+    host = hosts(Registry().with_change(CreateTenant(one)).with_change(SetState("sur", State.ENDING)), tmp_path)
     asked: list[Deferred[Reply]] = []
 
     def remove(name: str) -> "Deferred[Reply]":
@@ -243,7 +243,7 @@
     host = hosts(Registry(), tmp_path)
     host.begin()
     host.reactor.running = True
-    after = host.registry.changed(Make(one))
+    after = host.registry.with_change(CreateTenant(one))
     prepared = host.prepare(after, "sur")
     host.end()
     host.apply(after, "sur", prepared)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,7 +18,7 @@
 from ternquay.hosted.administration.api import Api, Call, Reply
 from ternquay.hosted.administration.changes import Keeper
 from ternquay.hosted.store import Commit, Logged, Noted, Store, StoreError
-from ternquay.hosted.tenants.registry import Make, Registry
+from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.tenant import Key, Scope
 from tests.hosted_helper import document
 from tests.test_hosted_parts import SMALL
@@ -167,7 +167,7 @@
     seen = [whole(registry)]
     for n in range(many):
         one = tenant(f"t{n}", n + 1, limits=SMALL)
-        registry = registry.changed(Make(one))
+        registry = registry.with_change(CreateTenant(one))
         store.commit(Commit(Logged(registry.version, NOW, "me", one.name, "make", b"{}"), registry.tenants[one.name]))
         seen.append(whole(registry))
     return seen
@@ -196,7 +196,7 @@
             assert state in seen
             found.append(seen.index(state))
             # It goes on from there, and the versions only rise.
-            changed_to = again.registry().changed(Make(tenant("after", 99, limits=SMALL)))
+            changed_to = again.registry().with_change(CreateTenant(tenant("after", 99, limits=SMALL)))
             again.commit(
                 Commit(Logged(changed_to.version, NOW, "me", "after", "make", b"{}"), changed_to.tenants["after"])
             )
