--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -17,9 +17,18 @@
 from ternquay.hosted.shared.fairness import Part as LentPart
 from ternquay.hosted.shared.loop import Loop
 from ternquay.hosted.tenants.ledger import Ledger
-from ternquay.hosted.tenants.registry import Change, Make, NotThere, Registry, Remove, Replace, SetState, Stale
+from ternquay.hosted.tenants.registry import (
+    Change,
+    CreateTenant,
+    NotFound,
+    Registry,
+    RemoveTenant,
+    ReplaceTenant,
+    SetState,
+    VersionConflict,
+)
 from ternquay.hosted.tenants.tenancy import Common, Prepared, Tenancy, bound
-from ternquay.hosted.tenants.tenant import Guarantee, State, Tenant, Unfit
+from ternquay.hosted.tenants.tenant import Guarantee, InvalidField, State, Tenant
 from ternquay.net import library_log
 from ternquay.net.closing import once_paid
 from ternquay.net.limits import MS, SECOND
@@ -63,16 +72,16 @@
     # ---- beginning ----
 
     def begin(self) -> None:
-        """Raises Unfit where a listener can't be bound."""
+        """Raises InvalidField where a listener can't be bound."""
         prepared = {}
         for name, entry in self.registry.tenants.items():
             try:
                 places = () if entry.tenant.state is State.ENDING else entry.tenant.listeners
                 prepared[name] = bound(self.reactor, places, self.own)
-            except Unfit as fault:
+            except InvalidField as fault:
                 for one in prepared.values():
                     one.drop()
-                raise Unfit(f"tenants.{name}.{fault.field}", fault.why) from fault
+                raise InvalidField(f"tenants.{name}.{fault.field}", fault.reason) from fault
         for name in self.registry.tenants:
             self._made(name)
         self._settle()
@@ -88,7 +97,7 @@
     # ---- changes ----
 
     def prepare(self, registry: Registry, name: str) -> Prepared:
-        """Binds what the change needs; raises Unfit with nothing bound."""
+        """Binds what the change needs; raises InvalidField with nothing bound."""
         after, before = registry.tenants.get(name), self.registry.tenants.get(name)
         if after is None or after.tenant.state is State.ENDING:
             return Prepared()
@@ -96,9 +105,9 @@
         new = tuple(place for place in after.tenant.listeners if place not in there)
         try:
             return bound(self.reactor, new, self.own)
-        except Unfit as fault:
+        except InvalidField as fault:
             at = after.tenant.listeners.index(new[int(fault.field[len("listeners[") : -1])])
-            raise Unfit(f"listeners[{at}]", fault.why) from fault
+            raise InvalidField(f"listeners[{at}]", fault.reason) from fault
 
     def apply(self, registry: Registry, name: str, prepared: Prepared) -> None:
         """All of it, in one step of the loop. What raises leaves the other tenants as they are."""
@@ -137,15 +146,18 @@
                 self._settle()
 
     def change(self, change: Change) -> None:
-        """Makes a change that is not stored. Raises Unfit, NotThere or Stale, and nothing is changed."""
-        name = change.tenant.name if isinstance(change, Make | Replace) else change.name
-        after = self.registry.changed(change)
+        """Applies a change without storing it.
+
+        Raises InvalidField, NotFound or VersionConflict, and changes nothing then.
+        """
+        name = change.tenant.name if isinstance(change, CreateTenant | ReplaceTenant) else change.name
+        after = self.registry.with_change(change)
         self.apply(after, name, self.prepare(after, name))
 
     def _removed_here(self, name: str) -> None:
         try:
-            self.change(Remove(name))
-        except (Unfit, NotThere, Stale):
+            self.change(RemoveTenant(name))
+        except (InvalidField, NotFound, VersionConflict):
             logger.exception("a tenant that has ended could not be removed")
 
     def _settle(self) -> None:
@@ -227,8 +239,8 @@
             try:
                 self.change(change)
             except Exception as fault:  # of one tenant, and no reason to leave out the others
-                name = change.tenant.name if isinstance(change, Make | Replace) else change.name
-                expected = isinstance(fault, Unfit | NotThere | Stale)
+                name = change.tenant.name if isinstance(change, CreateTenant | ReplaceTenant) else change.name
+                expected = isinstance(fault, InvalidField | NotFound | VersionConflict)
                 logger.opt(exception=not expected).bind(tenant=name, cause=str(fault)).error(
                     "the file's change was not made"
                 )
@@ -245,9 +257,9 @@
         lame = serve_on = leave = flush = 0
         for tenancy in self.tenancies.values():
             limits = tenancy.limits
-            tenancy.door.ends_at = now + limits.last
-            lame, leave = max(lame, limits.lame), max(leave, limits.leave)
-            serve_on, flush = max(serve_on, limits.serve_on), max(flush, limits.flush)
+            tenancy.door.ends_at = now + limits.last_answer_after
+            lame, leave = max(lame, limits.accept_grace), max(leave, limits.stop_after)
+            serve_on, flush = max(serve_on, limits.leave_after), max(flush, limits.flush_timeout)
         self.flush = flush
         self.reactor.callLater(lame / SECOND, self._close)
         self.reactor.callLater(serve_on / SECOND, self._leave)
@@ -299,14 +311,14 @@
             found.append(SetState(name, State.ENDING))
     for name, entry in new.tenants.items():
         there = old.tenants.get(name)
-        found += [Make(entry.tenant)] if there is None else _differ(there.tenant, entry.tenant)
+        found += [CreateTenant(entry.tenant)] if there is None else _differ(there.tenant, entry.tenant)
     return found
 
 
 def _differ(old: Tenant, new: Tenant) -> list[Change]:
     found: list[Change] = []
     if replace(new, state=old.state) != old:
-        found.append(Replace(replace(new, state=old.state)))
+        found.append(ReplaceTenant(replace(new, state=old.state)))
     if new.state is not old.state:
         found.append(SetState(new.name, new.state))
     return found
@@ -369,8 +381,8 @@
 
                 self.api = ApiPort(self.reactor, self.service, self.keeper)
                 self.api.begin()
-        except Unfit as fault:
-            raise ServiceError(f"{self.service.path}: {fault.field}: {fault.why}") from fault
+        except InvalidField as fault:
+            raise ServiceError(f"{self.service.path}: {fault.field}: {fault.reason}") from fault
         logger.info("{} serves {} tenants", self.service.name, len(self.host.tenancies))
 
     def reload(self) -> None:
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -14,13 +14,13 @@
 from ternquay.hosted.shared.front import CROWDING, TenantFront, TenantListener, TenantSockets
 from ternquay.hosted.shared.loop import Loop
 from ternquay.hosted.tenants.ledger import Ledger, Named
-from ternquay.hosted.tenants.registry import Entry
-from ternquay.hosted.tenants.tenant import Place, Server, State, Tenant, Unfit
+from ternquay.hosted.tenants.registry import TenantEntry
+from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Server, State, Tenant
 from ternquay.net.closing import all_accepted
 from ternquay.net.discovery import Discovery
 from ternquay.net.door import Door, Outgoing
 from ternquay.net.host_connection import HostConnection
-from ternquay.net.limits import SECOND, Limits, fill
+from ternquay.net.limits import SECOND, Limits, derive_limits
 from ternquay.net.listing import Address, Member
 from ternquay.net.pool import Pool
 from ternquay.net.safety import CloseReason, ServerCloseReason
@@ -127,18 +127,18 @@
         ],
         "Invariants": {"MustAskIn": 10_000_000},
     }
-    whole = fill(facts, process.sockets, process.memory_mb)
+    whole = derive_limits(facts, process.sockets, process.memory_mb)
     memory = int(own.memory.most * process.memory_mb * (1 << 20))
     return replace(
         whole,
         sockets=max(4, int(own.sockets.most * process.sockets) - SPARE),
         spare=SPARE,
         clients=own.clients,
-        value=65536,
-        answer=1 << 20,
-        whole=1 << 20,  # kept whole, as a tenant's memory is counted
-        held=max(1 << 20, min(own.held, memory)),
-        resting=max(8, own.clients // 2),
+        value_bytes=65536,
+        answer_bytes=1 << 20,
+        stream_above_bytes=1 << 20,  # kept whole, as a tenant's memory is counted
+        buffered_bytes=max(1 << 20, min(own.held, memory)),
+        idle_clients=max(8, own.clients // 2),
     )
 
 
@@ -171,16 +171,16 @@
     """Its list goes by the ledger, and what its hops tell of machines that others name too."""
 
     told: Callable[[bool, tuple[Member, ...]], None]
-    machine_ended: Callable[[Place, m.End], None]
+    machine_ended: Callable[[Endpoint, m.End], None]
 
     def __init__(self, *terms: Any) -> None:
         super().__init__(*terms)
-        self.shared: dict[int, Place] = {}
+        self.shared: dict[int, Endpoint] = {}
 
     def list_told(self, whole: bool, members: tuple[Member, ...]) -> None:
         self.told(whole, members)
 
-    def settled(self, members: tuple[Member, ...], shared: Mapping[str, Place]) -> None:
+    def settled(self, members: tuple[Member, ...], shared: Mapping[str, Endpoint]) -> None:
         """The list as the decisions are to have it."""
         super().list_told(True, members)
         self.shared = {self.hosts[id]: place for id, place in shared.items() if id in self.hosts}
@@ -196,7 +196,7 @@
 class Prepared:
     """Listeners that a change needs, bound but not accepting yet."""
 
-    ports: dict[Place, Any] = field(default_factory=dict)
+    ports: dict[Endpoint, Any] = field(default_factory=dict)
 
     def drop(self) -> None:
         for port in self.ports.values():
@@ -218,8 +218,8 @@
         self.startReading()
 
 
-def bound(reactor: Any, places: tuple[Place, ...], own: str = "", backlog: int = 1024) -> Prepared:
-    """`own` stands for 0.0.0.0 here. Raises Unfit, with nothing left bound, if one of them can't be."""
+def bound(reactor: Any, places: tuple[Endpoint, ...], own: str = "", backlog: int = 1024) -> Prepared:
+    """`own` stands for 0.0.0.0 here. Raises InvalidField, with nothing left bound, if one of them can't be."""
     prepared = Prepared()
     for i, place in enumerate(places):
         host = own if own and place.host == "0.0.0.0" else place.host
@@ -228,13 +228,13 @@
             port.startListening()
         except CannotListenError as fault:
             prepared.drop()
-            raise Unfit(f"listeners[{i}]", f"can't be bound: {fault.socketError}") from fault
+            raise InvalidField(f"listeners[{i}]", f"can't be bound: {fault.socketError}") from fault
         prepared.ports[place] = port
     return prepared
 
 
 class Tenancy:
-    def __init__(self, common: Common, entry: Entry, turn: Turn) -> None:
+    def __init__(self, common: Common, entry: TenantEntry, turn: Turn) -> None:
         self.common, self.entry = common, entry
         self.id = f"{entry.tenant.name}.{entry.incarnation}"  # one made again under the name is another one
         tenant, reactor = entry.tenant, common.reactor
@@ -246,7 +246,7 @@
         self.pool = self.door.pool = TenantPool(
             common.loop, self.id, reactor, self.door, self.limits, self.sockets, True
         )
-        self.turn = OwnTurn(turn, self.limits.turn)
+        self.turn = OwnTurn(turn, self.limits.turn_duration)
         self.door.stood_still = self.turn.stood_still
         self.dues = Dues(tenant.limits.txs_a_second, tenant.limits.burst)
         self.front = TenantFront(
@@ -255,7 +255,7 @@
         self.front.open_most = tenant.limits.open_txs
         self.front.gate = self._gate
         self.front.fenced = partial(common.wait, tenant.name) if common.wait is not None else None
-        self.ports: dict[Place, Any] = {}
+        self.ports: dict[Endpoint, Any] = {}
         self.members: dict[str, Member] = {}
         self.start_times = StartTimes(common.difference)
         self.discovery: Discovery | None = None
@@ -268,7 +268,7 @@
         self._sourced(self.entry.tenant)
         self._stand(self.entry.tenant.state)
 
-    def change(self, entry: Entry, prepared: Prepared) -> None:
+    def change(self, entry: TenantEntry, prepared: Prepared) -> None:
         """The tenant is this from now on; transactions that are open end by what they were taken with."""
         before, self.entry = self.entry, entry
         try:
@@ -297,7 +297,7 @@
         self.limits = limits_of(self.common.process, tenant)
         self.door.limits = self.pool.limits = self.front.limits = self.sockets.limits = self.limits
         self.sockets.hosts_most = tenant.limits.host_connections
-        self.turn.most = self.limits.turn
+        self.turn.most = self.limits.turn_duration
         self.dues.change(tenant.limits.txs_a_second, tenant.limits.burst)
         self.front.open_most = tenant.limits.open_txs
 
@@ -311,7 +311,7 @@
             port.gate(accept)
 
     def _stand(self, state: State) -> None:
-        self.front.shut = 0 if state is State.ACTIVE else self.limits.come_again
+        self.front.shut = 0 if state is State.ACTIVE else self.limits.retry_after
         if state is State.ENDING and not self.ending_since:
             self.ending_since = self.door.now()
             self.close_ports()
@@ -325,7 +325,7 @@
             self.front.shed()
         return not self.ports
 
-    def _close_port(self, place: Place, waits: bool = False) -> None:
+    def _close_port(self, place: Endpoint, waits: bool = False) -> None:
         if all_accepted(self.ports[place], self.sockets) or not waits:
             self.ports.pop(place).stopListening()
 
@@ -349,7 +349,7 @@
 
     # ---- its cache hosts ----
 
-    def _sourced(self, tenant: Tenant, before: Place | None = None) -> None:
+    def _sourced(self, tenant: Tenant, before: Endpoint | None = None) -> None:
         old = None
         if self.discovery is not None and tenant.source != before:
             # What it had written by now counts as told; where servers are listed by hand, the change itself does.
@@ -366,7 +366,7 @@
 
     def _member(self, server: Server) -> Member:
         # The place stands for the host: it is the same by whatever name it goes.
-        where = Address(server.place.host, server.place.port)
+        where = Address(server.endpoint.host, server.endpoint.port)
         standing = m.Standing.DRAINING if server.draining else m.Standing.READY
         cell = self.cells.get(str(where))
         return Member(str(where), where, server.zone, "", cell, standing, server.weight, server.started)
@@ -402,7 +402,7 @@
         )
         self.door.settled(members, {id: line.place for id, line in lines.items() if line.shared})
 
-    def _machine_ended(self, place: Place, end: m.End) -> None:
+    def _machine_ended(self, place: Endpoint, end: m.End) -> None:
         told = self.common.ledger.ended(self.door.now(), place, end)
         if told:
             self.common.retell(told)
@@ -431,8 +431,8 @@
         }
 
 
-def _place(where: Address) -> Place:
-    return Place(where.host, where.port)
+def _place(where: Address) -> Endpoint:
+    return Endpoint(where.host, where.port)
 
 
 class OwnTurn(Turn):
