--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -1,6 +1,6 @@
 """One member of a fleet as it runs: the agreement's core with links, disk and tenants, and what it tells of itself.
 
-    fleet = FleetMember(reactor, service, host, stored, life)
+    fleet = FleetMember(reactor, service, host, stored, boot)
     fleet.start()                          # raises InvalidField where the members' port can't be bound
     fleet.propose(commit)                  # -> a Deferred: fires once the change is in force, or fails with
                                            #    ChangeAborted, OutcomeUnknown or RetryLater
@@ -23,12 +23,20 @@
 from twisted.internet.defer import Deferred, fail, succeed
 from twisted.internet.error import CannotListenError
 
+from ternquay.consensus.bootstrap import Bootstrap
 from ternquay.consensus.core import Core, Outcome, Timing, Write
 from ternquay.consensus.errors import ChangeAborted, OutcomeUnknown, RetryLater
-from ternquay.consensus.founding import Founding
 from ternquay.consensus.messages import Member, Rejection, decode_message, encode
 from ternquay.hosted.administration.api import Call, Reply, problem
-from ternquay.hosted.fleet.store import Applied, FleetStore, Forgot, Founded, Job, Life, carried_of
+from ternquay.hosted.fleet.store import (
+    BootState,
+    CompactLog,
+    FleetIdentity,
+    FleetStore,
+    Job,
+    MarkApplied,
+    decode_snapshot,
+)
 from ternquay.hosted.service import Fellows
 from ternquay.hosted.store import Answered, Commit, Logged, Noted, StoreError, kept, unkept
 from ternquay.hosted.tenants.registry import Registry, TenantEntry
@@ -37,12 +45,17 @@
 from ternquay.peers.links import Links
 from ternquay.peers.peer_table import PeerTable
 
-SECOND, MS = 1_000_000_000, 1_000_000
-PING, SUSPECT = 0.25, 1500 * MS
-FENCED, HELD = 250 * MS, 20 * MS  # what comes is told to come again after about so long
-PATIENCE, PASSED_MOST = 2.0, 64  # seconds, and three leases
-DISK_AGAIN, ADOPT_AGAIN = 1.0, 0.5
-UNKNOWN = problem(504, "whether the change was made isn't known yet; ask again, with the key that the call had")
+SECOND = 1_000_000_000
+MS = 1_000_000
+PING_INTERVAL_SECONDS = 0.25
+SUSPECT_AFTER_NS = 1500 * MS
+FENCED_RETRY_NS = 250 * MS  # KEEP
+HELD_RETRY_NS = 20 * MS  # what comes is told to come again after about so long
+OUTCOME_TIMEOUT_SECONDS = 2.0  # KEEP
+MAX_FORWARDED_CALLS = 64  # seconds, and three leases
+DISK_RETRY_SECONDS = 1.0
+ADOPT_RETRY_SECONDS = 0.5
+OUTCOME_UNKNOWN = problem(504, "whether the change was made isn't known yet; ask again, with the key that the call had")
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
@@ -61,13 +74,13 @@
 
 class Ping(msgspec.Struct, frozen=True, array_like=True):
     version: int
-    founded: Founded | None
-    why_not: str  # it takes nothing
-    trouble: str  # with its disk
+    identity: FleetIdentity | None
+    refusal_reason: str  # it takes nothing
+    disk_trouble: str  # with its disk
     leader: str
 
 
-class Passed(msgspec.Struct, frozen=True, array_like=True):
+class Forwarded(msgspec.Struct, frozen=True, array_like=True):
     """A call that is passed on to who leads, or its reply."""
 
     id: int
@@ -77,10 +90,10 @@
 
 _change = msgspec.msgpack.Decoder(Change)
 _ping = msgspec.msgpack.Decoder(Ping)
-_passed = msgspec.msgpack.Decoder(Passed)
+_forwarded = msgspec.msgpack.Decoder(Forwarded)
 
 
-def change_of(commit: Commit) -> Change:
+def encode_change(commit: Commit) -> Change:
     one, answered, noted = commit.logged, commit.answered, commit.noted
     return Change(
         one.tenant,
@@ -95,7 +108,7 @@
     )
 
 
-def commit_of(told: Change) -> Commit:
+def decode_commit(told: Change) -> Commit:
     """Raises StoreError."""
     entry = TenantEntry(unkept(told.entry[0]), *told.entry[1:]) if told.entry else None
     answered = None
@@ -122,57 +135,57 @@
         host: Any,
         stored: Any,
         store: FleetStore,
-        life: Life,
+        boot: BootState,
         clock: Callable[[], int] = clock,
     ) -> None:
         self.reactor, self.fellows, self.host, self.stored, self.store = reactor, fellows, host, stored, store
         self.clock, self.random = clock, Random()
         self.timing = Timing.for_lease(fellows.lease, fellows.go_on)
-        self.patience = PATIENCE + 3 * fellows.lease / SECOND
+        self.outcome_timeout_seconds = OUTCOME_TIMEOUT_SECONDS + 3 * fellows.lease / SECOND
         others = {name: place for name, place in fellows.places.items() if name != fellows.me}
-        self.peer_table = PeerTable(tuple(others), SUSPECT)
+        self.peer_table = PeerTable(tuple(others), SUSPECT_AFTER_NS)
         self.links = Links(
             reactor,
             (fellows.listen.host, fellows.listen.port),
             {name: (place.host, place.port) for name, place in others.items()},
-            self._taken,
+            self._on_frame,
             self.random,
         )
         self.jobs: deque[Job] = deque()
-        self.writing = self.reading = False
-        self.trouble = ""
+        self.is_writing = self.is_reading_snapshot = False
+        self.disk_trouble = ""
         self.durable = DurableState()
         self.pings: dict[str, Ping] = {}
-        self.held: frozenset[str] = frozenset()
+        self.held_tenants: frozenset[str] = frozenset()
         self.prepared: dict[int, tuple[str, Any]] = {}
         self.agreed_registry: Registry = (
             host.registry
         )  # what is in force; the host may be behind, and takes nothing then
-        self.unfit = ""  # why what is in force can't be had here
-        self.unread = ""  # what of it can't be read here: for good, and all that follows waits for it
+        self.unappliable = ""  # why what is in force can't be had here
+        self.unreadable = ""  # what of it can't be read here: for good, and all that follows waits for it
         self.waiters: dict[tuple[int, int], Deferred[None]] = {}
-        self.unsaved: dict[tuple[str, bytes], Answered] = {}  # answers that are not on disk yet
-        self.passed: dict[int, tuple[str, Deferred[Reply]]] = {}  # to whom
-        self.led = False  # as of the last look
-        self.flushes: list[Deferred[None]] = []
-        self.execute_call: Callable[[Call], Deferred[Reply]] = lambda call: succeed(UNKNOWN)
+        self.pending_answers: dict[tuple[str, bytes], Answered] = {}  # answers that are not on disk yet
+        self.forwarded: dict[int, tuple[str, Deferred[Reply]]] = {}  # to whom
+        self.was_leader = False  # as of the last look
+        self.flush_waiters: list[Deferred[None]] = []
+        self.execute_call: Callable[[Call], Deferred[Reply]] = lambda call: succeed(OUTCOME_UNKNOWN)
         self.on_change: Callable[[], None] = lambda: None
-        self.ended = False
-        self.told_why = "not begun"
-        self._live(life)
+        self.stopped = False
+        self.logged_refusal = "not begun"
+        self._load_boot_state(boot)
 
-    def _live(self, life: Life) -> None:
+    def _load_boot_state(self, boot: BootState) -> None:
         now = self.clock()
-        self._unprepare()
-        self.life, self.founded = life, life.founded
-        self.me = Member(self.fellows.me, life.disk)
-        self.core = Core(self.me, life.kept, self.timing, self.random, life.boot, now)
+        self._drop_prepared()
+        self.boot, self.identity = boot, boot.identity
+        self.me = Member(self.fellows.me, boot.disk_id)
+        self.core = Core(self.me, boot.state, self.timing, self.random, boot.boot_id, now)
         self.durable = DurableState(
-            life.kept.term, bool(life.kept.voted_for), life.kept.log.last_term, life.kept.log.last_index
+            boot.state.term, bool(boot.state.voted_for), boot.state.log.last_term, boot.state.log.last_index
         )
-        empty = self.founded is None and not life.was_of_fleet and not self.core.log.last_index
-        self.founding = Founding(self.me, tuple(self.fellows.places), self.agreed_registry.version) if empty else None
-        self._hold()
+        empty = self.identity is None and not boot.registry_from_fleet and not self.core.log.last_index
+        self.bootstrap = Bootstrap(self.me, tuple(self.fellows.places), self.agreed_registry.version) if empty else None
+        self._update_held_tenants()
 
     # ---- beginning and end ----
 
@@ -185,65 +198,65 @@
         many = len(self.fellows.places)
         if many % 2 == 0 or many == 1:
             logger.warning("{} members bear the loss of {}, as {} would", many, (many - 1) // 2, max(1, many - 1))
-        self._found()
+        self._try_bootstrap()
         self._tick()
-        self._ping()
+        self._send_pings()
 
     def step_down(self) -> None:
         """It is told to end: another one leads, while this one finishes what it has taken."""
         self.core.step_down(self.clock())
 
     def stop(self) -> None:
-        self.ended = True
+        self.stopped = True
         self.links.stop()
         self._flush()
         for waiting in list(self.waiters.values()):
             waiting.errback(OutcomeUnknown())
-        for _, reply in list(self.passed.values()):
-            reply.callback(UNKNOWN)
+        for _, reply in list(self.forwarded.values()):
+            reply.callback(OUTCOME_UNKNOWN)
 
     def _tick(self) -> None:
-        if not self.ended:
+        if not self.stopped:
             self.reactor.callLater(self.timing.heartbeat_interval / 3 / SECOND, self._tick)
             self.core.tick(self.clock())
             self._drive()
-            self._tell()
+            self._log_admission()
 
-    def _tell(self) -> None:
+    def _log_admission(self) -> None:
         """That it takes nothing, and that it does again, each once."""
-        why = self.why_not()
-        if bool(why) != bool(self.told_why):
+        why = self.refusal_reason()
+        if bool(why) != bool(self.logged_refusal):
             if why:
                 logger.bind(cause=why, clock=time.monotonic_ns()).warning("takes nothing")
             else:
                 logger.bind(version=self.agreed_registry.version, clock=time.monotonic_ns()).info("takes what comes")
-        self.told_why = why
+        self.logged_refusal = why
 
     # ---- whether a tx may be taken ----
 
     def admission_delay(self, tenant: str) -> int:
-        if self.unread or self.unfit or not self.core.may_serve(self.clock()):
-            return FENCED
-        return HELD if tenant in self.held else 0
+        if self.unreadable or self.unappliable or not self.core.may_serve(self.clock()):
+            return FENCED_RETRY_NS
+        return HELD_RETRY_NS if tenant in self.held_tenants else 0
 
-    def why_not(self) -> str:
+    def refusal_reason(self) -> str:
         """Why nothing is taken, "" if it is."""
-        if self.founding is not None:
-            missing = ", ".join(self.founding.missing())
-            return self.founding.conflict or f"the fleet isn't founded: {missing} not heard yet"
-        return self.unread or self.unfit or self.core.refusal_reason(self.clock())
+        if self.bootstrap is not None:
+            missing = ", ".join(self.bootstrap.missing())
+            return self.bootstrap.conflict or f"the fleet isn't founded: {missing} not heard yet"
+        return self.unreadable or self.unappliable or self.core.refusal_reason(self.clock())
 
-    def _hold(self) -> None:
+    def _update_held_tenants(self) -> None:
         names = set()
         for at in self.core.held_proposals:
             if self.core.log.base_index < at <= self.core.log.last_index:
                 names.add(_change.decode(self.core.log.entry(at).body).tenant)
-        self.held = frozenset(names)
+        self.held_tenants = frozenset(names)
 
     # ---- frames ----
 
     def _frame(self, to: str, what: FrameKind, body: bytes) -> bytes:
-        founded = self.founded.id if self.founded is not None else ""
+        founded = self.identity.fleet_id if self.identity is not None else ""
         return seal(
             Frame(
                 FRAME_VERSION,
@@ -251,7 +264,7 @@
                 founded,
                 self.me.name,
                 self.me.disk_id,
-                self.life.boot,
+                self.boot.boot_id,
                 to,
                 self.durable,
                 what,
@@ -260,9 +273,9 @@
             self.fellows.key,
         )
 
-    def _taken(self, text: bytes) -> bool:
+    def _on_frame(self, text: bytes) -> bool:
         """Whatever it is, it ends nothing here. Whether it came from a member."""
-        founded = self.founded.id if self.founded is not None else ""
+        founded = self.identity.fleet_id if self.identity is not None else ""
         try:
             frame = open_frame(text, self.fellows.key, self.fellows.fleet, self.me.name, founded)
             self.peer_table.record(frame, self.clock())
@@ -270,90 +283,96 @@
             self.links.drop_counts[str(dropped)] += 1
             if str(dropped) == "set back":
                 self.links.send(
-                    frame.sender, self._frame(frame.sender, FrameKind.DISK_ROLLED_BACK, encoded_int(frame.boot_id))
+                    frame.sender, self._frame(frame.sender, FrameKind.DISK_ROLLED_BACK, encode_int(frame.boot_id))
                 )
             return str(dropped) in ("set back", "start")
         try:
-            self._heard(frame)
+            self._dispatch(frame)
         except ValueError:  # of the decoders
             self.links.drop_counts["form"] += 1
         return True
 
-    def _heard(self, frame: Frame) -> None:
+    def _dispatch(self, frame: Frame) -> None:
         now, sender = self.clock(), Member(frame.sender, frame.disk_id)
         self.core.learners[sender.name] = sender.disk_id
         if frame.kind is FrameKind.CONSENSUS:
-            if self.founding is None:
+            if self.bootstrap is None:
                 self.core.receive(sender, decode_message(frame.body), now)
                 self._drive()
         elif frame.kind is FrameKind.PING:
-            self._pinged(sender, _ping.decode(frame.body))
+            self._on_ping(sender, _ping.decode(frame.body))
         elif frame.kind is FrameKind.DISK_ROLLED_BACK:
-            if msgspec.msgpack.decode(frame.body, type=int) == self.life.boot:
-                self._set_back()
+            if msgspec.msgpack.decode(frame.body, type=int) == self.boot.boot_id:
+                self._on_disk_rolled_back()
         else:
-            self._passed_on(frame.sender, _passed.decode(frame.body))
+            self._on_forwarded(frame.sender, _forwarded.decode(frame.body))
 
-    def _ping(self) -> None:
-        if self.ended:
+    def _send_pings(self) -> None:
+        if self.stopped:
             return
-        self.reactor.callLater(PING, self._ping)
+        self.reactor.callLater(PING_INTERVAL_SECONDS, self._send_pings)
         body = msgspec.msgpack.encode(
-            Ping(self.agreed_registry.version, self.founded, self.why_not(), self.trouble, self.core.leader)
+            Ping(
+                self.agreed_registry.version, self.identity, self.refusal_reason(), self.disk_trouble, self.core.leader
+            )
         )
         for name in self.peer_table.peers:
             self.links.ping(name, self._frame(name, FrameKind.PING, body))
 
-    def _pinged(self, sender: Member, ping: Ping) -> None:
+    def _on_ping(self, sender: Member, ping: Ping) -> None:
         self.pings[sender.name] = ping
-        if self.founding is not None:
-            if ping.founded is None:
-                self.founding.heard(sender.name, sender.disk_id, ping.version)
-                self._found()
-            elif self.me in ping.founded.membership.members:
-                self._begin_as(ping.founded)
+        if self.bootstrap is not None:
+            if ping.identity is None:
+                self.bootstrap.record(sender.name, sender.disk_id, ping.version)
+                self._try_bootstrap()
+            elif self.me in ping.identity.membership.members:
+                self._join_fleet(ping.identity)
             elif self.agreed_registry.version:
-                self.founding.conflict = "has a registry of its own, and the fleet is there: begin with an empty store"
+                self.bootstrap.conflict = "has a registry of its own, and the fleet is there: begin with an empty store"
             else:
-                self.founding = None  # a fleet that is there takes it in
-        elif self.founded is None and ping.founded is not None and self.core.is_voter():
-            self.founded = ping.founded
-            self._carry(ping.founded)
+                self.bootstrap = None  # a fleet that is there takes it in
+        elif self.identity is None and ping.identity is not None and self.core.is_voter():
+            self.identity = ping.identity
+            self._queue_job(ping.identity)
 
     # ---- founding, and a disk that was set back ----
 
-    def _found(self) -> None:
-        found = self.founding.found() if self.founding is not None else None
+    def _try_bootstrap(self) -> None:
+        found = self.bootstrap.result() if self.bootstrap is not None else None
         if found is not None:
-            self._begin_as(Founded(*found))
+            self._join_fleet(FleetIdentity(*found))
 
-    def _begin_as(self, founded: Founded) -> None:
-        self.founded, self.founding = founded, None
-        self.jobs.append(founded)  # goes to disk with what the core writes for it, or neither does
-        self.core.bootstrap(founded.membership, int(bool(founded.brings)), founded.brings == self.me.name, self.clock())
-        logger.bind(fleet=founded.id).info("the fleet is founded, of {}", ", ".join(founded.membership.names()))
+    def _join_fleet(self, identity: FleetIdentity) -> None:
+        self.identity, self.bootstrap = identity, None
+        self.jobs.append(identity)  # goes to disk with what the core writes for it, or neither does
+        self.core.bootstrap(
+            identity.membership, int(bool(identity.seed_member)), identity.seed_member == self.me.name, self.clock()
+        )
+        logger.bind(fleet=identity.fleet_id).info("the fleet is founded, of {}", ", ".join(identity.membership.names()))
         self._drive()
 
-    def _set_back(self) -> None:
+    def _on_disk_rolled_back(self) -> None:
         """Others know more of this disk than it holds: it is an old copy, and counts for nothing as it is."""
-        if self.writing:
-            self.reactor.callLater(0.05, self._set_back)
+        if self.is_writing:
+            self.reactor.callLater(0.05, self._on_disk_rolled_back)
             return
         logger.error("the disk holds less than the fleet has from it: an old copy. It is taken in as a new one")
         self.jobs.clear()
-        self.writing = True
-        boot = self.life.boot
+        self.is_writing = True
+        boot = self.boot.boot_id
 
-        def over(life: Life) -> None:
-            self.writing = False
-            self._live(life)
+        def over(boot: BootState) -> None:
+            self.is_writing = False
+            self._load_boot_state(boot)
 
         def fault(failure: Any) -> None:
-            self.writing = False
-            self._troubled(failure)
-            self.reactor.callLater(DISK_AGAIN, lambda: self._set_back() if self.life.boot == boot else None)
+            self.is_writing = False
+            self._report_disk_trouble(failure)
+            self.reactor.callLater(
+                DISK_RETRY_SECONDS, lambda: self._on_disk_rolled_back() if self.boot.boot_id == boot else None
+            )
 
-        self.stored.do(self.store.give_up_disk).addCallbacks(over, fault)
+        self.stored.do(self.store.discard_disk_state).addCallbacks(over, fault)
 
     # ---- what the core wants done ----
 
@@ -362,131 +381,131 @@
         if core.installed_snapshot is not None:
             one, core.installed_snapshot = core.installed_snapshot, None
             if one.data:
-                self._installed(one.data)
+                self._on_registry_installed(one.data)
         writes, core.writes = core.writes, []
         for write in writes:
-            self._carry(write)
+            self._queue_job(write)
         outcomes, core.outcomes = core.outcomes, []
         for outcome in outcomes:
-            self._outcome(outcome)
+            self._on_outcome(outcome)
         judge, core.to_validate = core.to_validate, []
         for at, body in judge:
-            core.validated(at, self._judge(at, body), self.clock())
-        self._hold()
+            core.validated(at, self._validate(at, body), self.clock())
+        self._update_held_tenants()
         out, core.outbox = core.outbox, []
         for name, message in out:
             self.links.send(name, self._frame(name, FrameKind.CONSENSUS, encode(message)))
-        if core.snapshot_needed and not self.reading:
-            self.reading = True
-            self.stored.do(self.store.snapshot).addCallbacks(self._snapshot, self._no_snapshot)
+        if core.snapshot_needed and not self.is_reading_snapshot:
+            self.is_reading_snapshot = True
+            self.stored.do(self.store.snapshot).addCallbacks(self._on_snapshot_read, self._on_snapshot_failed)
         if judge or core.writes or core.outcomes or core.to_validate:
             self._drive()
-        self._overtaken()
+        self._fail_superseded()
 
-    def _snapshot(self, found: tuple[int, bytes]) -> None:
-        self.reading = False
+    def _on_snapshot_read(self, found: tuple[int, bytes]) -> None:
+        self.is_reading_snapshot = False
         self.core.provide_snapshot(*found)
 
-    def _no_snapshot(self, failure: Any) -> None:
-        self.reading = self.core.snapshot_needed = False
-        self._troubled(failure)
+    def _on_snapshot_failed(self, failure: Any) -> None:
+        self.is_reading_snapshot = self.core.snapshot_needed = False
+        self._report_disk_trouble(failure)
 
-    def _judge(self, at: int, body: bytes) -> Rejection | None:
+    def _validate(self, at: int, body: bytes) -> Rejection | None:
         """Whether this machine can have it: its listeners are bound, and accept nothing yet."""
         try:
-            commit = commit_of(_change.decode(body))
+            commit = decode_commit(_change.decode(body))
             name = commit.logged.tenant
             if commit.entry is None and name in self.host.tenancies and not self.host.tenancies[name].over():
                 raise InvalidField("state", "transactions of it are still open")
-            self._unprepare()
-            self.prepared[at] = name, self.host.prepare(self._after(commit), name)
+            self._drop_prepared()
+            self.prepared[at] = name, self.host.prepare(self._registry_after(commit), name)
         except InvalidField as fault:
             return Rejection("", fault.field, fault.reason)
         except (StoreError, msgspec.DecodeError) as fault:
             return Rejection("", "change", f"can't be read here: {fault}")
         return None
 
-    def _unprepare(self) -> None:
+    def _drop_prepared(self) -> None:
         for _, prepared in self.prepared.values():
             prepared.drop()
         self.prepared.clear()
 
-    def _after(self, commit: Commit) -> Registry:
+    def _registry_after(self, commit: Commit) -> Registry:
         tenants = {name: entry for name, entry in self.agreed_registry.tenants.items() if name != commit.logged.tenant}
         if commit.entry is not None:
             tenants[commit.logged.tenant] = commit.entry
         return Registry(MappingProxyType(tenants), commit.logged.version)
 
-    def _outcome(self, one: Outcome) -> None:
-        if self.unread:
+    def _on_outcome(self, one: Outcome) -> None:
+        if self.unreadable:
             return
         waiting = self.waiters.pop((one.term, one.proposal_index), None)
         name, prepared = self.prepared.pop(one.proposal_index, ("", None))
         if not one.decided:
             if prepared is not None:
                 prepared.drop()
-            self._carry(Applied(one.index))
+            self._queue_job(MarkApplied(one.index))
             if waiting is not None:
                 waiting.errback(ChangeAborted(one.rejection.member, one.rejection.field, one.rejection.reason))
             return
         try:
-            commit = commit_of(_change.decode(one.body))
+            commit = decode_commit(_change.decode(one.body))
         except (StoreError, msgspec.DecodeError) as fault:
             # Written by a later version of the program: without it this one has nothing to take by.
-            self.unread = f"a change can't be read here: {fault}"
+            self.unreadable = f"a change can't be read here: {fault}"
             logger.error("a change that is in force can't be read here; nothing is taken until the next start")
             return
-        self._in_force(commit, prepared)
+        self._apply_change(commit, prepared)
         if commit.answered is not None:
-            self.unsaved[(commit.answered.who, commit.answered.key)] = commit.answered
-        self._carry(Applied(one.index, commit))
+            self.pending_answers[(commit.answered.who, commit.answered.key)] = commit.answered
+        self._queue_job(MarkApplied(one.index, commit))
         if waiting is not None:
             waiting.callback(None)
 
-    def _in_force(self, commit: Commit, prepared: Any) -> None:
+    def _apply_change(self, commit: Commit, prepared: Any) -> None:
         logged = commit.logged
-        self.agreed_registry = after = self._after(commit)
+        self.agreed_registry = after = self._registry_after(commit)
         try:
-            if self.unfit:
-                raise InvalidField("", self.unfit)
+            if self.unappliable:
+                raise InvalidField("", self.unappliable)
             if prepared is None:
                 prepared = self.host.prepare(after, logged.tenant)
             self.host.apply(after, logged.tenant, prepared)
         except InvalidField as fault:
             if prepared is not None:
                 prepared.drop()
-            self._cannot(logged.tenant, fault)
+            self._cannot_apply(logged.tenant, fault)
         except Exception as fault:  # of the program: this member is without the change, so it takes nothing
             logger.bind(tenant=logged.tenant, version=logged.version).exception("a change could not be applied")
-            self._cannot(logged.tenant, InvalidField("", f"a fault of the program: {fault}"))
+            self._cannot_apply(logged.tenant, InvalidField("", f"a fault of the program: {fault}"))
         logger.bind(
             tenant=logged.tenant, version=logged.version, who=logged.who, kind=logged.kind, clock=time.monotonic_ns()
         ).info("changed")
         self.on_change()
 
-    def _cannot(self, name: str, fault: InvalidField) -> None:
-        if not self.unfit:
-            self.reactor.callLater(ADOPT_AGAIN, self._adopt)
+    def _cannot_apply(self, name: str, fault: InvalidField) -> None:
+        if not self.unappliable:
+            self.reactor.callLater(ADOPT_RETRY_SECONDS, self._adopt_registry)
             logger.bind(tenant=name, cause=str(fault)).error("what is in force can't be had here; nothing is taken")
-        self.unfit = f"tenants.{name}.{fault.field}: {fault.reason}" if fault.field else fault.reason
+        self.unappliable = f"tenants.{name}.{fault.field}: {fault.reason}" if fault.field else fault.reason
 
-    def _installed(self, data: bytes) -> None:
+    def _on_registry_installed(self, data: bytes) -> None:
         """FrameKind is in force came whole, as the log goes back no further."""
         try:
-            self.agreed_registry = carried_of(data).registry()
+            self.agreed_registry = decode_snapshot(data).registry()
         except StoreError as fault:
             logger.bind(cause=str(fault)).error("what is in force can't be read here")
-            self.unread = "what is in force can't be read here"
+            self.unreadable = "what is in force can't be read here"
             return
-        self._unprepare()
-        self._adopt()
+        self._drop_prepared()
+        self._adopt_registry()
         self.on_change()
 
-    def _adopt(self) -> None:
+    def _adopt_registry(self) -> None:
         """Makes the host what is in force, tenant by tenant; tried again until it is."""
-        if self.ended:
+        if self.stopped:
             return
-        self.unfit, there = "", self.agreed_registry
+        self.unappliable, there = "", self.agreed_registry
         for name in sorted({*there.tenants, *self.host.tenancies}):
             tenancy = self.host.tenancies.get(name)
             if there.tenants.get(name) == (tenancy.entry if tenancy is not None else None):
@@ -494,31 +513,33 @@
             try:
                 self.host.apply(there, name, self.host.prepare(there, name))
             except InvalidField as fault:
-                self._cannot(name, fault)
+                self._cannot_apply(name, fault)
             except Exception as fault:
                 logger.bind(tenant=name).exception("a tenant that is in force could not be applied")
-                self._cannot(name, InvalidField("", f"a fault of the program: {fault}"))
+                self._cannot_apply(name, InvalidField("", f"a fault of the program: {fault}"))
         self.host.registry = there
 
     # ---- disk ----
 
-    def _carry(self, job: Job) -> None:
+    def _queue_job(self, job: Job) -> None:
         self.jobs.append(job)
-        if not self.writing:
-            self._write()
+        if not self.is_writing:
+            self._write_jobs()
 
-    def _write(self) -> None:
-        if self.ended or not self.jobs:
+    def _write_jobs(self) -> None:
+        if self.stopped or not self.jobs:
             return
-        self.writing = True
+        self.is_writing = True
         jobs = list(self.jobs)
-        self.stored.do(self.store.carry, jobs).addCallbacks(self._written, self._unwritten, callbackArgs=(jobs,))
+        self.stored.do(self.store.execute, jobs).addCallbacks(
+            self._on_written, self._on_write_failed, callbackArgs=(jobs,)
+        )
 
-    def _written(self, done: None, jobs: list[Job]) -> None:
-        self.writing = False
-        if self.trouble:
+    def _on_written(self, done: None, jobs: list[Job]) -> None:
+        self.is_writing = False
+        if self.disk_trouble:
             logger.info("the store takes changes again")
-        self.trouble = ""
+        self.disk_trouble = ""
         number = 0
         for _ in jobs:
             self.jobs.popleft()
@@ -535,50 +556,50 @@
                     self.durable = DurableState(
                         job.term, bool(job.voted_for), self.durable.last_term, self.durable.last
                     )
-            elif isinstance(job, Applied):
+            elif isinstance(job, MarkApplied):
                 if job.change is not None and job.change.answered is not None:
-                    self.unsaved.pop((job.change.answered.who, job.change.answered.key), None)
+                    self.pending_answers.pop((job.change.answered.who, job.change.answered.key), None)
                 if job.index - self.core.log.base_index >= self.fellows.log_kept * 5 // 4:
-                    self._forget(job.index - self.fellows.log_kept)
+                    self._compact(job.index - self.fellows.log_kept)
         if number:
             self.core.write_completed(number, self.clock())
             self._drive()
-        if not self.writing:
-            self._write()
+        if not self.is_writing:
+            self._write_jobs()
         self._flush()
 
     def when_flushed(self) -> "Deferred[None]":
         """Once all that is in force here is on disk, or can't be."""
-        if not self.jobs or self.trouble or len(self.flushes) >= PASSED_MOST:
+        if not self.jobs or self.disk_trouble or len(self.flush_waiters) >= MAX_FORWARDED_CALLS:
             return succeed(None)
         waiting: Deferred[None] = Deferred()
-        self.flushes.append(waiting)
+        self.flush_waiters.append(waiting)
         return waiting
 
     def _flush(self) -> None:
-        if not self.jobs or self.trouble or self.ended:
-            flushes, self.flushes = self.flushes, []
+        if not self.jobs or self.disk_trouble or self.stopped:
+            flushes, self.flush_waiters = self.flush_waiters, []
             for waiting in flushes:
                 waiting.callback(None)
 
-    def _forget(self, index: int) -> None:
+    def _compact(self, index: int) -> None:
         log = self.core.log
         before = log.base_index
         self.core.compact(index)
         if log.base_index != before:
-            self._carry(Forgot(log.base_index, log.base_term, log.base_membership))
+            self._queue_job(CompactLog(log.base_index, log.base_term, log.base_membership))
 
-    def _unwritten(self, failure: Any) -> None:
+    def _on_write_failed(self, failure: Any) -> None:
         """It says so, tries again, and meanwhile says nothing that would have to be on disk."""
-        self.writing = False
-        self._troubled(failure)
+        self.is_writing = False
+        self._report_disk_trouble(failure)
         self._flush()
-        self.reactor.callLater(DISK_AGAIN, lambda: None if self.writing else self._write())
+        self.reactor.callLater(DISK_RETRY_SECONDS, lambda: None if self.is_writing else self._write_jobs())
 
-    def _troubled(self, failure: Any) -> None:
-        if not self.trouble:
+    def _report_disk_trouble(self, failure: Any) -> None:
+        if not self.disk_trouble:
             logger.bind(cause=str(failure.value)).error("the store takes no changes; this member votes for none")
-        self.trouble = str(failure.value)
+        self.disk_trouble = str(failure.value)
         if not failure.check(StoreError):
             logger.error("uncaught: {}", failure.getTraceback())
 
@@ -589,13 +610,13 @@
 
     def propose(self, commit: Commit) -> "Deferred[None]":
         try:
-            at = self.core.propose(msgspec.msgpack.encode(change_of(commit)), self.clock())
+            at = self.core.propose(msgspec.msgpack.encode(encode_change(commit)), self.clock())
         except RetryLater as fault:
             return fail(fault)
         waiting: Deferred[None] = Deferred()
         key = self.core.term, at
         self.waiters[key] = waiting
-        timer = self.reactor.callLater(self.patience, self._unknown, key)
+        timer = self.reactor.callLater(self.outcome_timeout_seconds, self._give_up, key)
 
         def over(result: Any) -> Any:
             self.waiters.pop(key, None)
@@ -607,28 +628,28 @@
         self._drive()
         return waiting
 
-    def _unknown(self, key: tuple[int, int]) -> None:
+    def _give_up(self, key: tuple[int, int]) -> None:
         if key in self.waiters:
             self.waiters[key].errback(OutcomeUnknown())
 
-    def _overtaken(self) -> None:
+    def _fail_superseded(self) -> None:
         """A proposal in whose place another entry is committed is nowhere, and never will be in force."""
         for (term, at), waiting in list(self.waiters.items()):
             if at <= self.core.commit_index and self.core.log.term_at(at) not in (term, -1):
                 waiting.errback(RetryLater("another one leads by now", self.core.leader))
-        if self.led and not self.core.is_leader():
+        if self.was_leader and not self.core.is_leader():
             # Whether the next leader carries it on is mostly known by then; else whoever asked asks again.
             for key in self.waiters:
-                self.reactor.callLater(self.fellows.lease / SECOND, self._unknown, key)
-        self.led = self.core.is_leader()
-        for leader, reply in list(self.passed.values()):
+                self.reactor.callLater(self.fellows.lease / SECOND, self._give_up, key)
+        self.was_leader = self.core.is_leader()
+        for leader, reply in list(self.forwarded.values()):
             if self.core.leader not in ("", leader):
-                reply.callback(UNKNOWN)  # to that one nobody listens any more
+                reply.callback(OUTCOME_UNKNOWN)  # to that one nobody listens any more
 
     def forward_to_leader(self, call: Call) -> "Deferred[Reply]":
         """A change that was asked for here goes to who leads; its reply comes back the same way."""
         leader = self.core.leader
-        if not leader or leader == self.me.name or len(self.passed) >= PASSED_MOST:
+        if not leader or leader == self.me.name or len(self.forwarded) >= MAX_FORWARDED_CALLS:
             return succeed(
                 problem(
                     503,
@@ -638,22 +659,22 @@
             )
         id = self.random.getrandbits(53)
         reply: Deferred[Reply] = Deferred()
-        self.passed[id] = leader, reply
+        self.forwarded[id] = leader, reply
         # A lost word is not waited for: whoever asked asks again, with its key, and is told what became of it.
-        timer = self.reactor.callLater(1 + self.fellows.lease / SECOND, reply.callback, UNKNOWN)
+        timer = self.reactor.callLater(1 + self.fellows.lease / SECOND, reply.callback, OUTCOME_UNKNOWN)
 
         def over(told: Reply) -> Reply:
-            self.passed.pop(id, None)
+            self.forwarded.pop(id, None)
             if timer.active():
                 timer.cancel()
             return told
 
         reply.addCallback(over)
-        text = Passed(id, (call.method, call.path, dict(call.query), dict(call.headers), call.body, call.peer))
+        text = Forwarded(id, (call.method, call.path, dict(call.query), dict(call.headers), call.body, call.peer))
         self.links.send(leader, self._frame(leader, FrameKind.CALL, msgspec.msgpack.encode(text)))
         return reply
 
-    def _passed_on(self, sender: str, told: Passed) -> None:
+    def _on_forwarded(self, sender: str, told: Forwarded) -> None:
         if told.call is not None:
             call = Call(*told.call)
             done = (
@@ -661,28 +682,28 @@
                 if self.is_leader()
                 else succeed(problem(503, f"{self.me.name} leads no more", headers={"retry-after": "1"}))
             )
-            done.addCallback(self._reply, sender, told.id)
-        elif told.reply is not None and told.id in self.passed:
+            done.addCallback(self._send_reply, sender, told.id)
+        elif told.reply is not None and told.id in self.forwarded:
             status, body, headers = told.reply
-            self.passed[told.id][1].callback(Reply(status, orjson.loads(body) if body else None, headers))
+            self.forwarded[told.id][1].callback(Reply(status, orjson.loads(body) if body else None, headers))
 
-    def _reply(self, reply: Reply, to: str, id: int) -> None:
+    def _send_reply(self, reply: Reply, to: str, id: int) -> None:
         body = orjson.dumps(reply.body) if reply.body is not None else b""
-        text = msgspec.msgpack.encode(Passed(id, None, (reply.status, body, dict(reply.headers))))
+        text = msgspec.msgpack.encode(Forwarded(id, None, (reply.status, body, dict(reply.headers))))
         self.links.send(to, self._frame(to, FrameKind.REPLY, text))
 
     def pending_answer(self, who: str, key: bytes) -> Answered | None:
-        return self.unsaved.get((who, key))
+        return self.pending_answers.get((who, key))
 
     def remove_member(self, name: str) -> Reply:
         """Takes a member out, for good; here, where the fleet is led."""
-        return self._members(self.core.remove_member, name, "leaving")
+        return self._change_membership(self.core.remove_member, name, "leaving")
 
     def readmit_member(self, name: str) -> Reply:
         """Lets one that was taken out come in again."""
-        return self._members(self.core.readmit_member, name, "welcome")
+        return self._change_membership(self.core.readmit_member, name, "welcome")
 
-    def _members(self, change: Callable[[str, int], None], name: str, word: str) -> Reply:
+    def _change_membership(self, change: Callable[[str, int], None], name: str, word: str) -> Reply:
         try:
             change(name, self.clock())
         except RetryLater as fault:
@@ -701,7 +722,7 @@
         rows = []
         for name in sorted({*self.fellows.places, *disks}):
             mine, ping = name == self.me.name, self.pings.get(name)
-            why = self.why_not() if mine else ping.why_not if ping else ""
+            why = self.refusal_reason() if mine else ping.refusal_reason if ping else ""
             rows.append(
                 {
                     "name": name,
@@ -711,8 +732,8 @@
                     "version": self.agreed_registry.version if mine else ping.version if ping else None,
                     "fenced": bool(why),
                     "why": why,
-                    "disk": self.trouble if mine else ping.trouble if ping else "",
-                    "heard_ms": 0 if mine else self._age(name, now),
+                    "disk": self.disk_trouble if mine else ping.disk_trouble if ping else "",
+                    "heard_ms": 0 if mine else self._silence_ms(name, now),
                 }
             )
         open_at = self.core.log.open_proposal()
@@ -733,10 +754,10 @@
             "dropped": dict(sorted(self.links.drop_counts.items())),
         }
 
-    def _age(self, name: str, now: int) -> int | None:
+    def _silence_ms(self, name: str, now: int) -> int | None:
         known = self.peer_table.peers.get(name)
         return (now - known.heard_at) // MS if known is not None and known.heard_at else None
 
 
-def encoded_int(number: int) -> bytes:
+def encode_int(number: int) -> bytes:
     return msgspec.msgpack.encode(number)
--- a/ternquay/hosted/fleet/store.py
+++ b/ternquay/hosted/fleet/store.py
@@ -1,9 +1,9 @@
-"""The store of a fleet's member: beside the registry's tables the log, its term and vote, and its disk's id.
+"""The store of a fleet's member: the registry's tables, and beside them the log, term, vote and disk id.
 
-    store = FleetStore(path); life = store.begin_boot()
-    store.carry([write, Applied(...), ...])      # all of them or none, on disk when it returns; raises StoreError
+    store = FleetStore(path); boot = store.begin_boot()
+    store.execute([write, MarkApplied(...), ...])    # in one transaction, on disk on return; raises StoreError
 
-Used by one thread alone, as the store that it is.
+Only one thread may use it, as with Store.
 """
 
 import sqlite3
@@ -25,19 +25,19 @@
 CREATE TABLE IF NOT EXISTS fleet_log (at INTEGER PRIMARY KEY, term INTEGER NOT NULL, kind INTEGER NOT NULL,
                                       about INTEGER NOT NULL, body BLOB NOT NULL);
 """
-CHANGES_SENT = 1000  # lines of the change log that go with a snapshot
+MAX_SNAPSHOT_CHANGES = 1000  # entries of the change log in a snapshot
 
 
-class Founded(msgspec.Struct, frozen=True, array_like=True):
-    """As what the fleet began; `brings`: whose registry, "" for an empty one."""
+class FleetIdentity(msgspec.Struct, frozen=True, array_like=True):
+    """How the fleet was bootstrapped. `seed_member`: whose registry it started with, "" for an empty one."""
 
-    id: str
+    fleet_id: str
     membership: Membership
-    brings: str = ""
+    seed_member: str = ""
 
 
-class Carried(msgspec.Struct, frozen=True, array_like=True):
-    """All that was in force, as one member tells another that is too far behind."""
+class RegistrySnapshot(msgspec.Struct, frozen=True, array_like=True):
+    """The whole state in force, sent to a member that is too far behind the log. Each tuple is a table row."""
 
     version: int
     tenants: tuple[tuple[str, int, int, bytes], ...]
@@ -46,51 +46,57 @@
 
     def registry(self) -> Registry:
         """Raises StoreError."""
-        tenants = {name: TenantEntry(unkept(body), at, first) for name, at, first, body in self.tenants}
+        tenants = {
+            name: TenantEntry(unkept(body), version, incarnation) for name, version, incarnation, body in self.tenants
+        }
         return Registry(MappingProxyType(tenants), self.version)
 
 
 @dataclass(slots=True, frozen=True)
-class Applied:
-    """The log's entry `index` is in force here; `change` is what it changed, if it did."""
+class MarkApplied:
+    """Records the log entry at `index` as applied, with the change that it made to the registry, if any."""
 
     index: int
     change: Commit | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Forgot:
-    """Nothing of the log up to there is kept."""
+class CompactLog:
+    """Removes the log up to `base_index`, and records the term and the membership there."""
 
-    base: int
-    term: int
-    membership: Membership
+    base_index: int
+    base_term: int
+    base_membership: Membership
 
 
-Job = Write | Applied | Forgot | Founded
+Job = Write | MarkApplied | CompactLog | FleetIdentity
 
 
 @dataclass(slots=True)
-class Life:
-    disk: str
-    boot: int
-    founded: Founded | None
-    kept: PersistentState = field(default_factory=PersistentState)
-    was_of_fleet: bool = False  # its registry is a fleet's, though its disk counts for nothing any more
+class BootState:
+    """What a process start finds in the store."""
+
+    disk_id: str
+    boot_id: int
+    identity: FleetIdentity | None
+    state: PersistentState = field(default_factory=PersistentState)
+    registry_from_fleet: bool = False  # the registry is a fleet's, but the fleet state was discarded
 
 
-_carried = msgspec.msgpack.Decoder(Carried)
+_snapshot_decoder = msgspec.msgpack.Decoder(RegistrySnapshot)
 
 
-def carried_of(data: bytes) -> Carried:
+def decode_snapshot(data: bytes) -> RegistrySnapshot:
     """Raises StoreError."""
     try:
-        return _carried.decode(data)
+        return _snapshot_decoder.decode(data)
     except msgspec.DecodeError as fault:
         raise StoreError(f"a snapshot can't be read: {fault}") from fault
 
 
 class FleetStore(Store):
+    """The store of one member. Names in `fleet_meta` and in the tables are part of the stored format."""
+
     def _open(self, db: sqlite3.Connection) -> None:
         super()._open(db)
         db.execute("BEGIN IMMEDIATE")
@@ -98,109 +104,125 @@
             db.execute(statement)
         db.execute("COMMIT")
 
-    def _told(self, db: sqlite3.Connection, name: str) -> bytes | None:
+    def _get(self, db: sqlite3.Connection, name: str) -> bytes | None:
         row = db.execute("SELECT value FROM fleet_meta WHERE name = ?", (name,)).fetchone()
         return bytes(row[0]) if row else None
 
-    def _tell(self, db: sqlite3.Connection, **values: bytes | int | str) -> None:
+    def _put(self, db: sqlite3.Connection, **values: bytes | int | str) -> None:
         rows = [(name, value if isinstance(value, bytes) else str(value).encode()) for name, value in values.items()]
         db.executemany("INSERT OR REPLACE INTO fleet_meta VALUES (?, ?)", rows)
 
-    # ---- a start ----
+    # ---- start ----
 
-    def begin_boot(self) -> Life:
-        """One start more of this disk. Raises StoreError."""
-        self._all_or_none(self._one_more)
+    def begin_boot(self) -> BootState:
+        """Counts a start of this disk, and returns what the disk holds. Raises StoreError."""
+        self._all_or_none(self._start_boot)
         try:
-            return self._life()
+            return self._boot_state()
         except (sqlite3.Error, msgspec.DecodeError, ValueError) as fault:
             raise StoreError(f"{self.path}: the fleet's log: {fault}") from fault
 
-    def _one_more(self, db: sqlite3.Connection) -> None:
-        if self._told(db, "disk") is None:
-            self._tell(db, disk=token_hex(8), boots=0)
-        boots = int(self._told(db, "boots") or b"0") + 1
-        self._tell(db, boots=boots, boot=boots << BOOT_RANDOM_BITS | randbits(BOOT_RANDOM_BITS))
+    def _start_boot(self, db: sqlite3.Connection) -> None:
+        if self._get(db, "disk") is None:
+            self._put(db, disk=token_hex(8), boots=0)
+        boots = int(self._get(db, "boots") or b"0") + 1
+        self._put(db, boots=boots, boot=boots << BOOT_RANDOM_BITS | randbits(BOOT_RANDOM_BITS))
 
-    def _life(self) -> Life:
+    def _boot_state(self) -> BootState:
         db = self._ready()
-        told = {name: bytes(value) for name, value in db.execute("SELECT name, value FROM fleet_meta")}
-        number = {name: int(told.get(name, b"0")) for name in ("boot", "term", "applied", "least", "base", "base_term")}
+        values = {name: bytes(value) for name, value in db.execute("SELECT name, value FROM fleet_meta")}
+        number = {
+            name: int(values.get(name, b"0")) for name in ("boot", "term", "applied", "least", "base", "base_term")
+        }
         rows = db.execute("SELECT at, term, kind, about, body FROM fleet_log ORDER BY at").fetchall()
         if [row[0] for row in rows] != list(range(number["base"] + 1, number["base"] + 1 + len(rows))):
             raise ValueError("entries are missing")
-        roster = msgspec.msgpack.decode(told["roster"], type=Membership) if "roster" in told else Membership()
-        log = Log(number["base"], number["base_term"], roster)
+        membership = msgspec.msgpack.decode(values["roster"], type=Membership) if "roster" in values else Membership()
+        log = Log(number["base"], number["base_term"], membership)
         log.append(tuple(LogEntry(term, EntryKind(kind), bytes(body), about) for _, term, kind, about, body in rows))
-        founded = msgspec.msgpack.decode(told["founded"], type=Founded) if "founded" in told else None
-        kept = PersistentState(number["term"], told.get("voted", b"").decode(), log, number["applied"], number["least"])
-        return Life(told["disk"].decode(), number["boot"], founded, kept, "was" in told)
+        identity = msgspec.msgpack.decode(values["founded"], type=FleetIdentity) if "founded" in values else None
+        state = PersistentState(
+            number["term"], values.get("voted", b"").decode(), log, number["applied"], number["least"]
+        )
+        return BootState(values["disk"].decode(), number["boot"], identity, state, "was" in values)
+
+    def discard_disk_state(self) -> BootState:
+        """Empties the fleet state of a disk that is a rolled-back copy, and gives it a new disk id.
 
-    def give_up_disk(self) -> Life:
-        """An old copy, found out: it counts as another disk from now on, with nothing on it that others count on."""
+        The other members rely on nothing that a new disk holds.
+        """
 
         def empty(db: sqlite3.Connection) -> None:
             db.execute("DELETE FROM fleet_log")
             db.execute("DELETE FROM fleet_meta")
-            self._tell(db, was=1)
-            self._one_more(db)
+            self._put(db, was=1)
+            self._start_boot(db)
 
         self._all_or_none(empty)
-        return self._life()
+        return self._boot_state()
 
     # ---- writing ----
 
-    def carry(self, jobs: list[Job]) -> None:
-        """Each job may be carried out again, if it can't be told whether it was."""
-        self._all_or_none(lambda db: self._carry(db, jobs))
+    def execute(self, jobs: list[Job]) -> None:
+        """Executes all jobs or none; after an error of unknown outcome the same jobs may be executed again."""
+        self._all_or_none(lambda db: self._execute(db, jobs))
 
-    def _carry(self, db: sqlite3.Connection, jobs: list[Job]) -> None:
+    def _execute(self, db: sqlite3.Connection, jobs: list[Job]) -> None:
         for job in jobs:
             if isinstance(job, Write):
-                self._log(db, job)
-            elif isinstance(job, Applied):
-                if int(self._told(db, "applied") or b"0") < job.index:
+                self._write_log(db, job)
+            elif isinstance(job, MarkApplied):
+                if int(self._get(db, "applied") or b"0") < job.index:
                     if job.change is not None and job.change.logged.version > self._meta(db, "version"):
                         self._write(db, job.change)
-                    self._tell(db, applied=job.index)
-            elif isinstance(job, Forgot):
-                db.execute("DELETE FROM fleet_log WHERE at <= ?", (job.base,))
-                self._tell(db, base=job.base, base_term=job.term, roster=msgspec.msgpack.encode(job.membership))
+                    self._put(db, applied=job.index)
+            elif isinstance(job, CompactLog):
+                db.execute("DELETE FROM fleet_log WHERE at <= ?", (job.base_index,))
+                self._put(
+                    db,
+                    base=job.base_index,
+                    base_term=job.base_term,
+                    roster=msgspec.msgpack.encode(job.base_membership),
+                )
             else:
-                self._tell(db, founded=msgspec.msgpack.encode(job), least=int(bool(job.brings)))
+                self._put(db, founded=msgspec.msgpack.encode(job), least=int(bool(job.seed_member)))
 
-    def _log(self, db: sqlite3.Connection, job: Write) -> None:
-        self._tell(db, term=job.term, voted=job.voted_for)
+    def _write_log(self, db: sqlite3.Connection, job: Write) -> None:
+        self._put(db, term=job.term, voted=job.voted_for)
         if job.install is not None:
-            one = job.install
+            snapshot = job.install
             db.execute("DELETE FROM fleet_log")
-            self._tell(
-                db, base=one.index, base_term=one.term, roster=msgspec.msgpack.encode(one.membership), applied=one.index
+            self._put(
+                db,
+                base=snapshot.index,
+                base_term=snapshot.term,
+                roster=msgspec.msgpack.encode(snapshot.membership),
+                applied=snapshot.index,
             )
-            if one.data:
-                self._install(db, carried_of(one.data))
+            if snapshot.data:
+                self._install_registry(db, decode_snapshot(snapshot.data))
         elif job.truncate_after >= 0:
             db.execute("DELETE FROM fleet_log WHERE at > ?", (job.truncate_after,))
             db.executemany(
                 "INSERT INTO fleet_log VALUES (?, ?, ?, ?, ?)",
                 [
-                    (job.truncate_after + 1 + n, e.term, int(e.kind), e.proposal_index, e.body)
-                    for n, e in enumerate(job.entries)
+                    (job.truncate_after + 1 + n, entry.term, int(entry.kind), entry.proposal_index, entry.body)
+                    for n, entry in enumerate(job.entries)
                 ],
             )
 
-    def _install(self, db: sqlite3.Connection, one: Carried) -> None:
+    def _install_registry(self, db: sqlite3.Connection, snapshot: RegistrySnapshot) -> None:
         for table in ("tenants", "answers", "changes"):
             db.execute(f"DELETE FROM {table}")
-        db.executemany("INSERT INTO tenants VALUES (?, ?, ?, ?)", one.tenants)
-        db.executemany("INSERT INTO answers VALUES (?, ?, ?, ?, ?, ?, ?)", one.answers)
-        db.executemany("INSERT INTO changes VALUES (?, ?, ?, ?, ?, ?)", one.changes)
-        db.execute("UPDATE meta SET value = ? WHERE name = 'version'", (one.version,))
+        db.executemany("INSERT INTO tenants VALUES (?, ?, ?, ?)", snapshot.tenants)
+        db.executemany("INSERT INTO answers VALUES (?, ?, ?, ?, ?, ?, ?)", snapshot.answers)
+        db.executemany("INSERT INTO changes VALUES (?, ?, ?, ?, ?, ?)", snapshot.changes)
+        db.execute("UPDATE meta SET value = ? WHERE name = 'version'", (snapshot.version,))
 
-    # ---- for others ----
+    # ---- snapshots ----
 
     def snapshot(self) -> tuple[int, bytes]:
-        """Up to which entry all is applied here, and what that came to. Raises StoreError."""
+        """The last applied index and the encoded state there. Raises StoreError."""
         db = self._ready()
         try:
             db.execute("BEGIN")
@@ -212,10 +234,10 @@
                 ).fetchall()
                 changes = db.execute(
                     "SELECT version, at, who, tenant, kind, body FROM changes ORDER BY version DESC LIMIT ?",
-                    (CHANGES_SENT,),
+                    (MAX_SNAPSHOT_CHANGES,),
                 ).fetchall()
-                one = Carried(self._meta(db, "version"), tuple(tenants), tuple(answers), tuple(changes))
-                return int(self._told(db, "applied") or b"0"), msgspec.msgpack.encode(one)
+                found = RegistrySnapshot(self._meta(db, "version"), tuple(tenants), tuple(answers), tuple(changes))
+                return int(self._get(db, "applied") or b"0"), msgspec.msgpack.encode(found)
             finally:
                 db.execute("COMMIT")
         except sqlite3.Error as fault:
--- a/tests/fleet_launcher.py
+++ b/tests/fleet_launcher.py
@@ -43,7 +43,7 @@
             count["left"] = int(file.read_text())
         return real_propose(self, commit)
 
-    for name in ("_frame", "_write", "_written", "_outcome", "_in_force", "_reply"):
+    for name in ("_frame", "_write_jobs", "_on_written", "_on_outcome", "_apply_change", "_send_reply"):
         stepped(name)
     FleetMember.propose = propose  # type: ignore[method-assign]
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from ternquay.consensus.founding import Founding
+from ternquay.consensus.bootstrap import Bootstrap
 from ternquay.consensus.messages import Member, decode_message
 from ternquay.hosted.service import ServiceError, read_service
 from ternquay.peers.frames import (
@@ -92,18 +92,18 @@
 
 def test_a_fleet_is_founded_once_all_are_heard_and_one_may_bring_a_registry() -> None:
     names = ("a", "b", "c")
-    found = [Founding(Member(name, f"d{name}"), names, 5 if name == "b" else 0) for name in names]
+    found = [Bootstrap(Member(name, f"d{name}"), names, 5 if name == "b" else 0) for name in names]
     for one in found:
-        assert one.heard("b", "db", 5) is None and one.heard("nobody", "dx", 0) is None
+        assert one.record("b", "db", 5) is None and one.record("nobody", "dx", 0) is None
     ids = []
     for one in found:
-        one.heard("a", "da", 0)
-        told = one.heard("c", "dc", 0)
+        one.record("a", "da", 0)
+        told = one.record("c", "dc", 0)
         assert told is not None and told[2] == "b" and [m.name for m in told[1].members] == ["a", "b", "c"]
         ids.append(told[0])
     assert len(set(ids)) == 1
-    two = Founding(Member("a", "da"), ("a", "b"), 3)
-    assert two.heard("b", "db", 4) is None and "a and b each have a registry" in two.conflict
+    two = Bootstrap(Member("a", "da"), ("a", "b"), 3)
+    assert two.record("b", "db", 4) is None and "a and b each have a registry" in two.conflict
 
 
 MEMBERS = "".join(
