--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -1,13 +1,13 @@
-"""One member of a fleet as it runs: the agreement's core with links, disk and tenants, and what it tells of itself.
+"""One running member of a fleet: drives the consensus core with links, disk and tenants, and reports its status.
 
     fleet = FleetMember(reactor, service, host, stored, boot)
     fleet.start()                          # raises InvalidField where the members' port can't be bound
     fleet.propose(commit)                  # -> a Deferred: fires once the change is in force, or fails with
                                            #    ChangeAborted, OutcomeUnknown or RetryLater
-    fleet.admission_delay(tenant)          # nought, or how long a new tx of that tenant is told to wait
+    fleet.admission_delay(tenant)          # 0, or after how many ns a client may retry a new tx of that tenant
 
-docs/agreement.md says why each may do what when. All times here are of CLOCK_BOOTTIME: no setting of the date moves it,
-and it goes on while the machine sleeps, so that who wakes up knows that its lease is over.
+docs/agreement.md describes the protocol. All times are of CLOCK_BOOTTIME: setting the date does not move it, and it
+advances while the machine is suspended, so that a member that resumes sees that its lease has expired.
 """
 
 import time
@@ -49,17 +49,18 @@
 MS = 1_000_000
 PING_INTERVAL_SECONDS = 0.25
 SUSPECT_AFTER_NS = 1500 * MS
-FENCED_RETRY_NS = 250 * MS  # KEEP
-HELD_RETRY_NS = 20 * MS  # what comes is told to come again after about so long
-OUTCOME_TIMEOUT_SECONDS = 2.0  # KEEP
-MAX_FORWARDED_CALLS = 64  # seconds, and three leases
+FENCED_RETRY_NS = 250 * MS  # when a client retries at a member that serves nothing
+HELD_RETRY_NS = 20 * MS  # when a client retries a tenant that is held for a change
+OUTCOME_TIMEOUT_SECONDS = 2.0  # plus three leases
+MAX_FORWARDED_CALLS = 64
 DISK_RETRY_SECONDS = 1.0
 ADOPT_RETRY_SECONDS = 0.5
+WRITE_POLL_SECONDS = 0.05  # while a rolled-back disk is still being written
 OUTCOME_UNKNOWN = problem(504, "whether the change was made isn't known yet; ask again, with the key that the call had")
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """A commit as it goes through the log; of what is asked for again the answer goes with it."""
+    """A commit as the body of a log entry, with the answer for a repeated call. Encoded by position."""
 
     tenant: str
     version: int
@@ -67,21 +68,23 @@
     who: str
     kind: str
     detail: bytes
-    entry: tuple[bytes, int, int] | None  # None where the tenant is no more
+    entry: tuple[bytes, int, int] | None  # body, version, incarnation; None where the tenant was removed
     answered: tuple[str, bytes, bytes, int, bytes] | None
     noted: tuple[str, str, str, int, str] | None
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True):
+    """What a member tells the others of itself."""
+
     version: int
     identity: FleetIdentity | None
-    refusal_reason: str  # it takes nothing
-    disk_trouble: str  # with its disk
+    refusal_reason: str  # why it serves nothing, "" if it serves
+    disk_trouble: str  # the last error of its disk, "" if there is none
     leader: str
 
 
 class Forwarded(msgspec.Struct, frozen=True, array_like=True):
-    """A call that is passed on to who leads, or its reply."""
+    """A call forwarded to the leader, or its reply."""
 
     id: int
     call: tuple[str, str, dict[str, str], dict[str, str], bytes, str] | None = None
@@ -93,41 +96,47 @@
 _forwarded = msgspec.msgpack.Decoder(Forwarded)
 
 
-def encode_change(commit: Commit) -> Change:
-    one, answered, noted = commit.logged, commit.answered, commit.noted
+def change_of(commit: Commit) -> Change:
+    logged, answered, noted = commit.logged, commit.answered, commit.noted
     return Change(
-        one.tenant,
-        one.version,
-        one.at,
-        one.who,
-        one.kind,
-        one.body,
+        logged.tenant,
+        logged.version,
+        logged.at,
+        logged.who,
+        logged.kind,
+        logged.body,
         (kept(commit.entry.tenant), commit.entry.version, commit.entry.incarnation) if commit.entry else None,
         (answered.who, answered.key, answered.asked, answered.status, answered.body) if answered else None,
         (noted.who, noted.peer, noted.call, noted.status, noted.why) if noted else None,
     )
 
 
-def decode_commit(told: Change) -> Commit:
+def commit_of(change: Change) -> Commit:
     """Raises StoreError."""
-    entry = TenantEntry(unkept(told.entry[0]), *told.entry[1:]) if told.entry else None
+    entry = TenantEntry(unkept(change.entry[0]), *change.entry[1:]) if change.entry else None
     answered = None
-    if told.answered is not None:
-        who, key, asked, status, body = told.answered
-        answered = Answered(who, key, asked, status, told.version, body)
+    if change.answered is not None:
+        who, key, asked, status, body = change.answered
+        answered = Answered(who, key, asked, status, change.version, body)
     return Commit(
-        Logged(told.version, told.at, told.who, told.tenant, told.kind, told.detail),
+        Logged(change.version, change.at, change.who, change.tenant, change.kind, change.detail),
         entry,
         answered,
-        Noted(told.at, *told.noted) if told.noted else None,
+        Noted(change.at, *change.noted) if change.noted else None,
     )
 
 
 def clock() -> int:
+    """Nanoseconds since the machine started, including the time that it was suspended."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 class FleetMember:
+    """Carries out what the core asks for: writes, messages, validation and outcomes.
+
+    The owner sets `execute_call`, which the leader uses for forwarded calls, and `on_change`.
+    """
+
     def __init__(
         self,
         reactor: Any,
@@ -158,15 +167,14 @@
         self.pings: dict[str, Ping] = {}
         self.held_tenants: frozenset[str] = frozenset()
         self.prepared: dict[int, tuple[str, Any]] = {}
-        self.agreed_registry: Registry = (
-            host.registry
-        )  # what is in force; the host may be behind, and takes nothing then
-        self.unappliable = ""  # why what is in force can't be had here
-        self.unreadable = ""  # what of it can't be read here: for good, and all that follows waits for it
+        # The registry in force. The host may lag behind it, and serves nothing while it does.
+        self.agreed_registry: Registry = host.registry
+        self.unappliable = ""  # why the registry in force cannot be applied on this machine; retried
+        self.unreadable = ""  # why a decided change cannot be decoded; until the next start nothing after it is applied
         self.waiters: dict[tuple[int, int], Deferred[None]] = {}
-        self.pending_answers: dict[tuple[str, bytes], Answered] = {}  # answers that are not on disk yet
-        self.forwarded: dict[int, tuple[str, Deferred[Reply]]] = {}  # to whom
-        self.was_leader = False  # as of the last look
+        self.pending_answers: dict[tuple[str, bytes], Answered] = {}  # not on disk yet
+        self.forwarded: dict[int, tuple[str, Deferred[Reply]]] = {}  # by call id: the leader and the reply
+        self.was_leader = False  # after the previous _drive()
         self.flush_waiters: list[Deferred[None]] = []
         self.execute_call: Callable[[Call], Deferred[Reply]] = lambda call: succeed(OUTCOME_UNKNOWN)
         self.on_change: Callable[[], None] = lambda: None
@@ -187,31 +195,34 @@
         self.bootstrap = Bootstrap(self.me, tuple(self.fellows.places), self.agreed_registry.version) if empty else None
         self._update_held_tenants()
 
-    # ---- beginning and end ----
+    # ---- start and stop ----
 
     def start(self) -> None:
-        """Raises InvalidField."""
+        """Raises InvalidField where the port for the other members cannot be bound."""
         try:
             self.links.start()
         except CannotListenError as fault:
             raise InvalidField("peers.members", f"{self.fellows.me}: can't be bound: {fault.socketError}") from fault
-        many = len(self.fellows.places)
-        if many % 2 == 0 or many == 1:
-            logger.warning("{} members bear the loss of {}, as {} would", many, (many - 1) // 2, max(1, many - 1))
+        count = len(self.fellows.places)
+        if count % 2 == 0 or count == 1:
+            logger.warning(
+                "{} members tolerate the loss of {}, as {} would", count, (count - 1) // 2, max(1, count - 1)
+            )
         self._try_bootstrap()
         self._tick()
         self._send_pings()
 
     def step_down(self) -> None:
-        """It is told to end: another one leads, while this one finishes what it has taken."""
+        """Hands leadership to another member before a shutdown, while this one finishes the txs it has."""
         self.core.step_down(self.clock())
 
     def stop(self) -> None:
+        """Closes the links; waiting callers are told that the outcome is unknown."""
         self.stopped = True
         self.links.stop()
         self._flush()
-        for waiting in list(self.waiters.values()):
-            waiting.errback(OutcomeUnknown())
+        for waiter in list(self.waiters.values()):
+            waiter.errback(OutcomeUnknown())
         for _, reply in list(self.forwarded.values()):
             reply.callback(OUTCOME_UNKNOWN)
 
@@ -223,24 +234,27 @@
             self._log_admission()
 
     def _log_admission(self) -> None:
-        """That it takes nothing, and that it does again, each once."""
-        why = self.refusal_reason()
-        if bool(why) != bool(self.logged_refusal):
-            if why:
-                logger.bind(cause=why, clock=time.monotonic_ns()).warning("takes nothing")
+        """Logs when this member starts and stops refusing transactions, once for each change."""
+        reason = self.refusal_reason()
+        if bool(reason) != bool(self.logged_refusal):
+            if reason:
+                logger.bind(cause=reason, clock=time.monotonic_ns()).warning("refusing new transactions")
             else:
-                logger.bind(version=self.agreed_registry.version, clock=time.monotonic_ns()).info("takes what comes")
-        self.logged_refusal = why
+                logger.bind(version=self.agreed_registry.version, clock=time.monotonic_ns()).info(
+                    "accepting new transactions"
+                )
+        self.logged_refusal = reason
 
-    # ---- whether a tx may be taken ----
+    # ---- admission ----
 
     def admission_delay(self, tenant: str) -> int:
+        """0 if a new tx of `tenant` may be accepted, else after how many nanoseconds the client may retry."""
         if self.unreadable or self.unappliable or not self.core.may_serve(self.clock()):
             return FENCED_RETRY_NS
         return HELD_RETRY_NS if tenant in self.held_tenants else 0
 
     def refusal_reason(self) -> str:
-        """Why nothing is taken, "" if it is."""
+        """Why this member serves nothing, "" if it serves."""
         if self.bootstrap is not None:
             missing = ", ".join(self.bootstrap.missing())
             return self.bootstrap.conflict or f"the fleet isn't founded: {missing} not heard yet"
@@ -255,40 +269,40 @@
 
     # ---- frames ----
 
-    def _frame(self, to: str, what: FrameKind, body: bytes) -> bytes:
-        founded = self.identity.fleet_id if self.identity is not None else ""
+    def _frame(self, recipient: str, kind: FrameKind, body: bytes) -> bytes:
+        fleet_id = self.identity.fleet_id if self.identity is not None else ""
         return seal(
             Frame(
                 FRAME_VERSION,
                 self.fellows.fleet,
-                founded,
+                fleet_id,
                 self.me.name,
                 self.me.disk_id,
                 self.boot.boot_id,
-                to,
+                recipient,
                 self.durable,
-                what,
+                kind,
                 body,
             ),
             self.fellows.key,
         )
 
     def _on_frame(self, text: bytes) -> bool:
-        """Whatever it is, it ends nothing here. Whether it came from a member."""
-        founded = self.identity.fleet_id if self.identity is not None else ""
+        """Handles a frame and returns whether it came from a member. Never raises, whatever the bytes are."""
+        fleet_id = self.identity.fleet_id if self.identity is not None else ""
         try:
-            frame = open_frame(text, self.fellows.key, self.fellows.fleet, self.me.name, founded)
+            frame = open_frame(text, self.fellows.key, self.fellows.fleet, self.me.name, fleet_id)
             self.peer_table.record(frame, self.clock())
-        except FrameRejected as dropped:
-            self.links.drop_counts[str(dropped)] += 1
-            if str(dropped) == "set back":
+        except FrameRejected as rejected:
+            self.links.drop_counts[str(rejected)] += 1
+            if str(rejected) == "set back":
                 self.links.send(
                     frame.sender, self._frame(frame.sender, FrameKind.DISK_ROLLED_BACK, encode_int(frame.boot_id))
                 )
-            return str(dropped) in ("set back", "start")
+            return str(rejected) in ("set back", "start")
         try:
             self._dispatch(frame)
-        except ValueError:  # of the decoders
+        except ValueError:  # from the decoders
             self.links.drop_counts["form"] += 1
         return True
 
@@ -330,36 +344,38 @@
             elif self.agreed_registry.version:
                 self.bootstrap.conflict = "has a registry of its own, and the fleet is there: begin with an empty store"
             else:
-                self.bootstrap = None  # a fleet that is there takes it in
+                self.bootstrap = None  # the existing fleet adds this member
         elif self.identity is None and ping.identity is not None and self.core.is_voter():
             self.identity = ping.identity
             self._queue_job(ping.identity)
 
-    # ---- founding, and a disk that was set back ----
+    # ---- bootstrap, and a rolled-back disk ----
 
     def _try_bootstrap(self) -> None:
-        found = self.bootstrap.result() if self.bootstrap is not None else None
-        if found is not None:
-            self._join_fleet(FleetIdentity(*found))
+        result = self.bootstrap.result() if self.bootstrap is not None else None
+        if result is not None:
+            self._join_fleet(FleetIdentity(*result))
 
     def _join_fleet(self, identity: FleetIdentity) -> None:
         self.identity, self.bootstrap = identity, None
-        self.jobs.append(identity)  # goes to disk with what the core writes for it, or neither does
+        self.jobs.append(identity)  # written in one transaction with the core's write
         self.core.bootstrap(
             identity.membership, int(bool(identity.seed_member)), identity.seed_member == self.me.name, self.clock()
         )
-        logger.bind(fleet=identity.fleet_id).info("the fleet is founded, of {}", ", ".join(identity.membership.names()))
+        logger.bind(fleet=identity.fleet_id).info(
+            "the fleet starts with members {}", ", ".join(identity.membership.names())
+        )
         self._drive()
 
     def _on_disk_rolled_back(self) -> None:
-        """Others know more of this disk than it holds: it is an old copy, and counts for nothing as it is."""
+        """Rejoins with a new disk id: the others know more of this disk than it holds, so it is an old copy."""
         if self.is_writing:
-            self.reactor.callLater(0.05, self._on_disk_rolled_back)
+            self.reactor.callLater(WRITE_POLL_SECONDS, self._on_disk_rolled_back)
             return
-        logger.error("the disk holds less than the fleet has from it: an old copy. It is taken in as a new one")
+        logger.error("the disk holds less than it reported before, so it is an old copy; rejoining with a new disk id")
         self.jobs.clear()
         self.is_writing = True
-        boot = self.boot.boot_id
+        boot_id = self.boot.boot_id
 
         def over(boot: BootState) -> None:
             self.is_writing = False
@@ -369,36 +385,37 @@
             self.is_writing = False
             self._report_disk_trouble(failure)
             self.reactor.callLater(
-                DISK_RETRY_SECONDS, lambda: self._on_disk_rolled_back() if self.boot.boot_id == boot else None
+                DISK_RETRY_SECONDS, lambda: self._on_disk_rolled_back() if self.boot.boot_id == boot_id else None
             )
 
         self.stored.do(self.store.discard_disk_state).addCallbacks(over, fault)
 
-    # ---- what the core wants done ----
+    # ---- driving the core ----
 
     def _drive(self) -> None:
+        """Carries out what the core asks for, until it asks for nothing more."""
         core = self.core
         if core.installed_snapshot is not None:
-            one, core.installed_snapshot = core.installed_snapshot, None
-            if one.data:
-                self._on_registry_installed(one.data)
+            snapshot, core.installed_snapshot = core.installed_snapshot, None
+            if snapshot.data:
+                self._on_registry_installed(snapshot.data)
         writes, core.writes = core.writes, []
         for write in writes:
             self._queue_job(write)
         outcomes, core.outcomes = core.outcomes, []
         for outcome in outcomes:
             self._on_outcome(outcome)
-        judge, core.to_validate = core.to_validate, []
-        for at, body in judge:
+        to_validate, core.to_validate = core.to_validate, []
+        for at, body in to_validate:
             core.validated(at, self._validate(at, body), self.clock())
         self._update_held_tenants()
-        out, core.outbox = core.outbox, []
-        for name, message in out:
+        outbox, core.outbox = core.outbox, []
+        for name, message in outbox:
             self.links.send(name, self._frame(name, FrameKind.CONSENSUS, encode(message)))
         if core.snapshot_needed and not self.is_reading_snapshot:
             self.is_reading_snapshot = True
             self.stored.do(self.store.snapshot).addCallbacks(self._on_snapshot_read, self._on_snapshot_failed)
-        if judge or core.writes or core.outcomes or core.to_validate:
+        if to_validate or core.writes or core.outcomes or core.to_validate:
             self._drive()
         self._fail_superseded()
 
@@ -411,9 +428,9 @@
         self._report_disk_trouble(failure)
 
     def _validate(self, at: int, body: bytes) -> Rejection | None:
-        """Whether this machine can have it: its listeners are bound, and accept nothing yet."""
+        """Why this machine cannot apply the change, or None. Binds its listeners, which accept nothing yet."""
         try:
-            commit = decode_commit(_change.decode(body))
+            commit = commit_of(_change.decode(body))
             name = commit.logged.tenant
             if commit.entry is None and name in self.host.tenancies and not self.host.tenancies[name].over():
                 raise InvalidField("state", "transactions of it are still open")
@@ -431,36 +448,39 @@
         self.prepared.clear()
 
     def _registry_after(self, commit: Commit) -> Registry:
+        """The registry in force with the commit's change."""
         tenants = {name: entry for name, entry in self.agreed_registry.tenants.items() if name != commit.logged.tenant}
         if commit.entry is not None:
             tenants[commit.logged.tenant] = commit.entry
         return Registry(MappingProxyType(tenants), commit.logged.version)
 
-    def _on_outcome(self, one: Outcome) -> None:
+    def _on_outcome(self, outcome: Outcome) -> None:
         if self.unreadable:
             return
-        waiting = self.waiters.pop((one.term, one.proposal_index), None)
-        name, prepared = self.prepared.pop(one.proposal_index, ("", None))
-        if not one.decided:
+        waiter = self.waiters.pop((outcome.term, outcome.proposal_index), None)
+        name, prepared = self.prepared.pop(outcome.proposal_index, ("", None))
+        if not outcome.decided:
             if prepared is not None:
                 prepared.drop()
-            self._queue_job(MarkApplied(one.index))
-            if waiting is not None:
-                waiting.errback(ChangeAborted(one.rejection.member, one.rejection.field, one.rejection.reason))
+            self._queue_job(MarkApplied(outcome.index))
+            if waiter is not None:
+                waiter.errback(
+                    ChangeAborted(outcome.rejection.member, outcome.rejection.field, outcome.rejection.reason)
+                )
             return
         try:
-            commit = decode_commit(_change.decode(one.body))
+            commit = commit_of(_change.decode(outcome.body))
         except (StoreError, msgspec.DecodeError) as fault:
-            # Written by a later version of the program: without it this one has nothing to take by.
+            # A later version of the program wrote it. Without it this member does not know what is in force.
             self.unreadable = f"a change can't be read here: {fault}"
-            logger.error("a change that is in force can't be read here; nothing is taken until the next start")
+            logger.error("cannot decode a change that is in force; refusing new transactions until the next start")
             return
         self._apply_change(commit, prepared)
         if commit.answered is not None:
             self.pending_answers[(commit.answered.who, commit.answered.key)] = commit.answered
-        self._queue_job(MarkApplied(one.index, commit))
-        if waiting is not None:
-            waiting.callback(None)
+        self._queue_job(MarkApplied(outcome.index, commit))
+        if waiter is not None:
+            waiter.callback(None)
 
     def _apply_change(self, commit: Commit, prepared: Any) -> None:
         logged = commit.logged
@@ -475,7 +495,7 @@
             if prepared is not None:
                 prepared.drop()
             self._cannot_apply(logged.tenant, fault)
-        except Exception as fault:  # of the program: this member is without the change, so it takes nothing
+        except Exception as fault:  # a bug: without the change this member must serve nothing
             logger.bind(tenant=logged.tenant, version=logged.version).exception("a change could not be applied")
             self._cannot_apply(logged.tenant, InvalidField("", f"a fault of the program: {fault}"))
         logger.bind(
@@ -486,15 +506,17 @@
     def _cannot_apply(self, name: str, fault: InvalidField) -> None:
         if not self.unappliable:
             self.reactor.callLater(ADOPT_RETRY_SECONDS, self._adopt_registry)
-            logger.bind(tenant=name, cause=str(fault)).error("what is in force can't be had here; nothing is taken")
+            logger.bind(tenant=name, cause=str(fault)).error(
+                "cannot apply the registry in force; refusing new transactions"
+            )
         self.unappliable = f"tenants.{name}.{fault.field}: {fault.reason}" if fault.field else fault.reason
 
     def _on_registry_installed(self, data: bytes) -> None:
-        """FrameKind is in force came whole, as the log goes back no further."""
+        """Adopts a registry that came as a snapshot, as the leader's log no longer reaches back far enough."""
         try:
             self.agreed_registry = decode_snapshot(data).registry()
         except StoreError as fault:
-            logger.bind(cause=str(fault)).error("what is in force can't be read here")
+            logger.bind(cause=str(fault)).error("cannot decode the registry in force")
             self.unreadable = "what is in force can't be read here"
             return
         self._drop_prepared()
@@ -502,22 +524,22 @@
         self.on_change()
 
     def _adopt_registry(self) -> None:
-        """Makes the host what is in force, tenant by tenant; tried again until it is."""
+        """Applies the registry in force to the host, tenant by tenant; retried while a tenant cannot be applied."""
         if self.stopped:
             return
-        self.unappliable, there = "", self.agreed_registry
-        for name in sorted({*there.tenants, *self.host.tenancies}):
+        self.unappliable, registry = "", self.agreed_registry
+        for name in sorted({*registry.tenants, *self.host.tenancies}):
             tenancy = self.host.tenancies.get(name)
-            if there.tenants.get(name) == (tenancy.entry if tenancy is not None else None):
+            if registry.tenants.get(name) == (tenancy.entry if tenancy is not None else None):
                 continue
             try:
-                self.host.apply(there, name, self.host.prepare(there, name))
+                self.host.apply(registry, name, self.host.prepare(registry, name))
             except InvalidField as fault:
                 self._cannot_apply(name, fault)
             except Exception as fault:
                 logger.bind(tenant=name).exception("a tenant that is in force could not be applied")
                 self._cannot_apply(name, InvalidField("", f"a fault of the program: {fault}"))
-        self.host.registry = there
+        self.host.registry = registry
 
     # ---- disk ----
 
@@ -538,7 +560,7 @@
     def _on_written(self, done: None, jobs: list[Job]) -> None:
         self.is_writing = False
         if self.disk_trouble:
-            logger.info("the store takes changes again")
+            logger.info("the store accepts writes again")
         self.disk_trouble = ""
         number = 0
         for _ in jobs:
@@ -569,18 +591,18 @@
         self._flush()
 
     def when_flushed(self) -> "Deferred[None]":
-        """Once all that is in force here is on disk, or can't be."""
+        """Fires once everything in force here is on disk, or at once if the disk fails or too many wait."""
         if not self.jobs or self.disk_trouble or len(self.flush_waiters) >= MAX_FORWARDED_CALLS:
             return succeed(None)
-        waiting: Deferred[None] = Deferred()
-        self.flush_waiters.append(waiting)
-        return waiting
+        waiter: Deferred[None] = Deferred()
+        self.flush_waiters.append(waiter)
+        return waiter
 
     def _flush(self) -> None:
         if not self.jobs or self.disk_trouble or self.stopped:
-            flushes, self.flush_waiters = self.flush_waiters, []
-            for waiting in flushes:
-                waiting.callback(None)
+            waiters, self.flush_waiters = self.flush_waiters, []
+            for waiter in waiters:
+                waiter.callback(None)
 
     def _compact(self, index: int) -> None:
         log = self.core.log
@@ -590,7 +612,7 @@
             self._queue_job(CompactLog(log.base_index, log.base_term, log.base_membership))
 
     def _on_write_failed(self, failure: Any) -> None:
-        """It says so, tries again, and meanwhile says nothing that would have to be on disk."""
+        """Reports the error and retries; meanwhile the core sends nothing that relies on the writes."""
         self.is_writing = False
         self._report_disk_trouble(failure)
         self._flush()
@@ -598,7 +620,9 @@
 
     def _report_disk_trouble(self, failure: Any) -> None:
         if not self.disk_trouble:
-            logger.bind(cause=str(failure.value)).error("the store takes no changes; this member votes for none")
+            logger.bind(cause=str(failure.value)).error(
+                "the store rejects writes; this member does not vote until it accepts them"
+            )
         self.disk_trouble = str(failure.value)
         if not failure.check(StoreError):
             logger.error("uncaught: {}", failure.getTraceback())
@@ -609,13 +633,14 @@
         return self.core.is_leader()
 
     def propose(self, commit: Commit) -> "Deferred[None]":
+        """Fires once the change is in force; fails with ChangeAborted, OutcomeUnknown or RetryLater."""
         try:
-            at = self.core.propose(msgspec.msgpack.encode(encode_change(commit)), self.clock())
+            at = self.core.propose(msgspec.msgpack.encode(change_of(commit)), self.clock())
         except RetryLater as fault:
             return fail(fault)
-        waiting: Deferred[None] = Deferred()
+        waiter: Deferred[None] = Deferred()
         key = self.core.term, at
-        self.waiters[key] = waiting
+        self.waiters[key] = waiter
         timer = self.reactor.callLater(self.outcome_timeout_seconds, self._give_up, key)
 
         def over(result: Any) -> Any:
@@ -624,30 +649,30 @@
                 timer.cancel()
             return result
 
-        waiting.addBoth(over)
+        waiter.addBoth(over)
         self._drive()
-        return waiting
+        return waiter
 
     def _give_up(self, key: tuple[int, int]) -> None:
         if key in self.waiters:
             self.waiters[key].errback(OutcomeUnknown())
 
     def _fail_superseded(self) -> None:
-        """A proposal in whose place another entry is committed is nowhere, and never will be in force."""
-        for (term, at), waiting in list(self.waiters.items()):
+        """Fails the waiters of proposals that can no longer come into force: another entry is committed there."""
+        for (term, at), waiter in list(self.waiters.items()):
             if at <= self.core.commit_index and self.core.log.term_at(at) not in (term, -1):
-                waiting.errback(RetryLater("another one leads by now", self.core.leader))
+                waiter.errback(RetryLater("another one leads by now", self.core.leader))
         if self.was_leader and not self.core.is_leader():
-            # Whether the next leader carries it on is mostly known by then; else whoever asked asks again.
+            # By then it is mostly known whether the next leader continues the proposal; if not, the client retries.
             for key in self.waiters:
                 self.reactor.callLater(self.fellows.lease / SECOND, self._give_up, key)
         self.was_leader = self.core.is_leader()
         for leader, reply in list(self.forwarded.values()):
             if self.core.leader not in ("", leader):
-                reply.callback(OUTCOME_UNKNOWN)  # to that one nobody listens any more
+                reply.callback(OUTCOME_UNKNOWN)  # the leader that it went to was replaced
 
     def forward_to_leader(self, call: Call) -> "Deferred[Reply]":
-        """A change that was asked for here goes to who leads; its reply comes back the same way."""
+        """Forwards a call to the leader and fires with the leader's reply, or with a problem."""
         leader = self.core.leader
         if not leader or leader == self.me.name or len(self.forwarded) >= MAX_FORWARDED_CALLS:
             return succeed(
@@ -660,50 +685,51 @@
         id = self.random.getrandbits(53)
         reply: Deferred[Reply] = Deferred()
         self.forwarded[id] = leader, reply
-        # A lost word is not waited for: whoever asked asks again, with its key, and is told what became of it.
+        # A lost message is not sent again: the client repeats the call with its idempotency key and gets the outcome.
         timer = self.reactor.callLater(1 + self.fellows.lease / SECOND, reply.callback, OUTCOME_UNKNOWN)
 
-        def over(told: Reply) -> Reply:
+        def over(reply: Reply) -> Reply:
             self.forwarded.pop(id, None)
             if timer.active():
                 timer.cancel()
-            return told
+            return reply
 
         reply.addCallback(over)
         text = Forwarded(id, (call.method, call.path, dict(call.query), dict(call.headers), call.body, call.peer))
         self.links.send(leader, self._frame(leader, FrameKind.CALL, msgspec.msgpack.encode(text)))
         return reply
 
-    def _on_forwarded(self, sender: str, told: Forwarded) -> None:
-        if told.call is not None:
-            call = Call(*told.call)
-            done = (
+    def _on_forwarded(self, sender: str, message: Forwarded) -> None:
+        if message.call is not None:
+            call = Call(*message.call)
+            reply = (
                 self.execute_call(call)
                 if self.is_leader()
                 else succeed(problem(503, f"{self.me.name} leads no more", headers={"retry-after": "1"}))
             )
-            done.addCallback(self._send_reply, sender, told.id)
-        elif told.reply is not None and told.id in self.forwarded:
-            status, body, headers = told.reply
-            self.forwarded[told.id][1].callback(Reply(status, orjson.loads(body) if body else None, headers))
+            reply.addCallback(self._send_reply, sender, message.id)
+        elif message.reply is not None and message.id in self.forwarded:
+            status, body, headers = message.reply
+            self.forwarded[message.id][1].callback(Reply(status, orjson.loads(body) if body else None, headers))
 
-    def _send_reply(self, reply: Reply, to: str, id: int) -> None:
+    def _send_reply(self, reply: Reply, recipient: str, id: int) -> None:
         body = orjson.dumps(reply.body) if reply.body is not None else b""
         text = msgspec.msgpack.encode(Forwarded(id, None, (reply.status, body, dict(reply.headers))))
-        self.links.send(to, self._frame(to, FrameKind.REPLY, text))
+        self.links.send(recipient, self._frame(recipient, FrameKind.REPLY, text))
 
     def pending_answer(self, who: str, key: bytes) -> Answered | None:
+        """The answer to an earlier call with this idempotency key, if it is not on disk yet."""
         return self.pending_answers.get((who, key))
 
     def remove_member(self, name: str) -> Reply:
-        """Takes a member out, for good; here, where the fleet is led."""
+        """Removes a member for good. Only the leader can do this."""
         return self._change_membership(self.core.remove_member, name, "leaving")
 
     def readmit_member(self, name: str) -> Reply:
-        """Lets one that was taken out come in again."""
+        """Lets a removed member rejoin. Only the leader can do this."""
         return self._change_membership(self.core.readmit_member, name, "welcome")
 
-    def _change_membership(self, change: Callable[[str, int], None], name: str, word: str) -> Reply:
+    def _change_membership(self, change: Callable[[str, int], None], name: str, field: str) -> Reply:
         try:
             change(name, self.clock())
         except RetryLater as fault:
@@ -711,32 +737,33 @@
         except ValueError as fault:
             return problem(422, str(fault), "member")
         self._drive()
-        return Reply(202, {word: name})
+        return Reply(202, {field: name})
 
-    # ---- what is told ----
+    # ---- status ----
 
     def status(self) -> dict[str, Any]:
-        now, believed = self.clock(), self.peer_table.reachability(self.clock())
+        """The fleet as this member sees it, as the API returns it."""
+        now, reachability = self.clock(), self.peer_table.reachability(self.clock())
         membership = self.core.membership()
         disks = {one.name: one.disk_id for one in membership.members}
         rows = []
         for name in sorted({*self.fellows.places, *disks}):
-            mine, ping = name == self.me.name, self.pings.get(name)
-            why = self.refusal_reason() if mine else ping.refusal_reason if ping else ""
+            is_self, ping = name == self.me.name, self.pings.get(name)
+            reason = self.refusal_reason() if is_self else ping.refusal_reason if ping else ""
             rows.append(
                 {
                     "name": name,
                     "member": name in disks,
                     "leads": name == self.core.leader,
-                    "reach": "here" if mine else believed.get(name, "not in the file"),
-                    "version": self.agreed_registry.version if mine else ping.version if ping else None,
-                    "fenced": bool(why),
-                    "why": why,
-                    "disk": self.disk_trouble if mine else ping.disk_trouble if ping else "",
-                    "heard_ms": 0 if mine else self._silence_ms(name, now),
+                    "reach": "here" if is_self else reachability.get(name, "not in the file"),
+                    "version": self.agreed_registry.version if is_self else ping.version if ping else None,
+                    "fenced": bool(reason),
+                    "why": reason,
+                    "disk": self.disk_trouble if is_self else ping.disk_trouble if ping else "",
+                    "heard_ms": 0 if is_self else self._silence_ms(name, now),
                 }
             )
-        open_at = self.core.log.open_proposal()
+        open_proposal = self.core.log.open_proposal()
         return {
             "fleet": self.fellows.fleet,
             "me": self.me.name,
@@ -745,7 +772,7 @@
             "version": self.agreed_registry.version,
             "log": self.core.log.last_index,
             "committed": self.core.commit_index,
-            "under_way": bool(open_at),
+            "under_way": bool(open_proposal),
             "waits_for": self.core.waiting_for(now) if self.is_leader() else [],
             "alone": "go-on" if self.fellows.go_on else "stop",
             "lease_ms": self.fellows.lease // MS,
@@ -755,8 +782,9 @@
         }
 
     def _silence_ms(self, name: str, now: int) -> int | None:
-        known = self.peer_table.peers.get(name)
-        return (now - known.heard_at) // MS if known is not None and known.heard_at else None
+        """How long ago the peer was last heard, None for never."""
+        peer = self.peer_table.peers.get(name)
+        return (now - peer.heard_at) // MS if peer is not None and peer.heard_at else None
 
 
 def encode_int(number: int) -> bytes:
--- a/ternquay/rig/agree.py
+++ b/ternquay/rig/agree.py
@@ -731,7 +731,7 @@
     decided = [one.ended - one.began for one in told]
     # Until a majority has it: the rest may be down, and adopts it as it comes back.
     switched = [at[many // 2] - at[0] for at in times.values() if len(at) > many // 2]
-    fenced = sum(line.get("message") == "takes nothing" for fellow in fellows for line in fellow.lines())
+    fenced = sum(line.get("message") == "refusing new transactions" for fellow in fellows for line in fellow.lines())
     figures = {
         name: {"p50": round(percentile(spent, 0.5) / MS, 2), "p99": round(percentile(spent, 0.99) / MS, 2)}
         for name, spent in (("decided_ms", decided), ("switch_ms", switched))
--- a/tests/test_fleet_odd.py
+++ b/tests/test_fleet_odd.py
@@ -170,7 +170,7 @@
         fleet.start()
         port = fleet.make(fleet.leader(), "sur", (host.place,))
         fleet.same()
-        assert "2 members bear the loss of 0" in fleet["a"].log.read_text()
+        assert "2 members tolerate the loss of 0" in fleet["a"].log.read_text()
         fleet["b"].kill()
         until(lambda: busy(fleet["a"].read(port)), 5)
         assert fleet["a"].call("PUT", STATE, {"state": "suspended"}, if_match="*").status in (503, 504)
