--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -576,7 +576,7 @@
                     )
                 else:
                     self.durable = DurableState(
-                        job.term, bool(job.voted_for), self.durable.last_term, self.durable.last
+                        job.term, bool(job.voted_for), self.durable.last_term, self.durable.last_index
                     )
             elif isinstance(job, MarkApplied):
                 if job.change is not None and job.change.answered is not None:
--- a/ternquay/peers/__init__.py
+++ b/ternquay/peers/__init__.py
@@ -1,1 +1,1 @@
-"""How the balancers of one fleet reach each other: frames, who is there, links on TCP and UDP (docs/agreement.md)."""
+"""Links between the members of a fleet: frames, the table of peers, TCP and UDP (docs/agreement.md)."""
--- a/ternquay/peers/frames.py
+++ b/ternquay/peers/frames.py
@@ -1,11 +1,10 @@
-"""Frames between members of a fleet: what goes over a link, and what is dropped.
+"""Frames between the members of a fleet: their form on the wire, and which of them are rejected.
 
     text = seal(Frame(...), key)
-    frame = open_frame(text, key, fleet, me, founded)      # raises FrameRejected with a short reason
+    frame = open_frame(text, key, fleet, me, fleet_id)     # raises FrameRejected with a short reason
 
-A digest with a key that all members have (RFC 2104, SHA-256) keeps out who isn't of the fleet, no more than that:
-nothing is hidden from who can read the wire, and a frame that is sent again is taken again, so what a body says has
-to bear that.
+Each frame carries an HMAC (RFC 2104, SHA-256) with a key shared by all members. This keeps outsiders out, and nothing
+more: frames are not encrypted, and a replayed frame is accepted, so every body has to tolerate replay.
 """
 
 import hmac
@@ -13,46 +12,50 @@
 
 import msgspec
 
-FRAME_VERSION = 1  # of the form; others are dropped and counted, as between two versions of the program
+FRAME_VERSION = 1  # of the wire format; frames of another version are dropped and counted
 MAX_FRAME_BYTES = 1 << 20
-DIGEST_BYTES = 16  # bytes of it that a frame carries
+DIGEST_BYTES = 16  # the HMAC is truncated to so many
 MIN_KEY_BYTES = 16
 
 
 class FrameRejected(ValueError):
-    """A frame that isn't taken; the text is one of a few words."""
+    """The frame is dropped. The text is one of a few fixed reasons, by which it is counted."""
 
 
 class FrameKind(IntEnum):
+    """What the body of a frame holds."""
+
     PING = 0
     CONSENSUS = 1
-    CALL = 2
-    REPLY = 3
-    DISK_ROLLED_BACK = 4  # the receiver's disk is an old copy
+    CALL = 2  # forwarded to the leader
+    REPLY = 3  # to a forwarded call
+    DISK_ROLLED_BACK = 4  # tells the recipient that its disk is an old copy
 
 
 class DurableState(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """FrameKind a disk holds that others may count on; it never gets less while it is the same disk."""
+    """What a disk holds that the other members may rely on. It never decreases unless the disk is rolled back."""
 
     term: int = 0
     voted: bool = False
     last_term: int = 0
-    last: int = 0
+    last_index: int = 0
 
     def is_behind(self, other: "DurableState") -> bool:
-        return (self.term, self.voted) < (other.term, other.voted) or (self.last_term, self.last) < (
+        return (self.term, self.voted) < (other.term, other.voted) or (self.last_term, self.last_index) < (
             other.last_term,
-            other.last,
+            other.last_index,
         )
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
+    """A message from one member to another, encoded by position."""
+
     version: int
-    fleet: str
-    fleet_id: str  # the id of the fleet that it was founded as, "" before that
+    fleet: str  # the configured name
+    fleet_id: str  # the id from the bootstrap, "" before that
     sender: str
     disk_id: str
-    boot_id: int  # of this process: rises with each start, its last 20 bits are drawn
+    boot_id: int  # of the sending process: rises with each start, the last 20 bits are random
     recipient: str
     durable: DurableState
     kind: FrameKind
@@ -60,6 +63,8 @@
 
 
 class _Head(msgspec.Struct, array_like=True):
+    """The first field of a frame, which every version of the format has."""
+
     version: int
 
 
@@ -68,12 +73,13 @@
 
 
 def seal(frame: Frame, key: bytes) -> bytes:
+    """Encodes the frame behind its HMAC."""
     text = msgspec.msgpack.encode(frame)
     return hmac.digest(key, text, "sha256")[:DIGEST_BYTES] + text
 
 
 def open_frame(text: bytes, key: bytes, fleet: str, me: str, fleet_id: str) -> Frame:
-    """Raises FrameRejected."""
+    """Verifies and decodes a frame for `me`. Raises FrameRejected."""
     if len(text) > MAX_FRAME_BYTES or len(text) <= DIGEST_BYTES:
         raise FrameRejected("size")
     if not hmac.compare_digest(text[:DIGEST_BYTES], hmac.digest(key, text[DIGEST_BYTES:], "sha256")[:DIGEST_BYTES]):
--- a/ternquay/peers/links.py
+++ b/ternquay/peers/links.py
@@ -1,7 +1,7 @@
-"""Links between members on TCP, and pings on UDP at the same port: bytes in, bytes out, nothing decided.
+"""Links between members: frames over TCP, and pings over UDP at the same port. Carries bytes and decides nothing.
 
-One connection from each member to each other, for what that one has to say; so a cut one way is one. FrameKind can't go
-out now is drop_counts and counted: who has something to say says it again.
+Each member has one connection to each other member and only sends on it, so a partition may affect one direction
+alone. A frame that cannot be sent at once is dropped and counted; the layers above send again.
 """
 
 import socket
@@ -24,17 +24,20 @@
 
 CONNECT_TIMEOUT_SECONDS = 0.5
 RECONNECT_DELAY_SECONDS = 0.2
-TCP_USER_TIMEOUT_MS = 2000  # without an acknowledgement of what was sent, a connection is over
+TCP_USER_TIMEOUT_MS = 2000  # ends a connection whose data is not acknowledged for so long
 MAX_UNAUTHENTICATED_LINKS = 32
 AUTHENTICATION_TIMEOUT_SECONDS = 5.0
-STALL_CHECK_INTERVAL_SECONDS = 0.25  # seconds between two looks for frames that stand still
+STALL_CHECK_INTERVAL_SECONDS = 0.25
 MAX_DATAGRAM_BYTES = 8192
+LISTEN_BACKLOG = 64
 
 Address = tuple[str, int]
 
 
 @implementer(IPushProducer)
 class OutgoingConnection(Int32StringReceiver):
+    """The sending end of a link. While its send buffer is full, frames are dropped."""
+
     MAX_LENGTH = 64
     buffer_full = False
 
@@ -56,7 +59,7 @@
         self.buffer_full = True
 
     def stringReceived(self, string: bytes) -> None:
-        """Nothing is said here."""
+        """The other member sends nothing on this connection."""
 
     def lengthLimitExceeded(self, length: int) -> None:
         self.transport.abortConnection()  # type: ignore[union-attr]
@@ -66,6 +69,8 @@
 
 
 class LinkFactory(ClientFactory):
+    """Makes one connection for a link."""
+
     protocol = OutgoingConnection
     noisy = False
 
@@ -77,7 +82,7 @@
 
 
 class Link:
-    """To one other member."""
+    """The outgoing link to one other member, which reconnects until it is stopped."""
 
     def __init__(self, reactor: Any, address: Address, random: Random, drop_counts: "Counter[str]") -> None:
         self.reactor, self.address, self.random, self.drop_counts = reactor, address, random, drop_counts
@@ -89,6 +94,7 @@
             self.reactor.connectTCP(*self.address, LinkFactory(self), timeout=CONNECT_TIMEOUT_SECONDS)
 
     def reconnect_later(self) -> None:
+        """Reconnects after a delay with jitter."""
         if not self.stopped:
             self.reactor.callLater(RECONNECT_DELAY_SECONDS * (0.5 + self.random.random()), self.connect)
 
@@ -104,6 +110,7 @@
             self.reconnect_later()
 
     def send(self, text: bytes) -> bool:
+        """Whether the frame was handed to the connection; otherwise it is dropped."""
         if self.connection is None or self.connection.buffer_full:
             self.drop_counts["no link" if self.connection is None else "link full"] += 1
             return False
@@ -117,6 +124,8 @@
 
 
 class IncomingLink(Int32StringReceiver):
+    """The receiving end of a link; authenticated by the first valid frame, closed by an invalid one before that."""
+
     MAX_LENGTH = MAX_FRAME_BYTES
     authenticated = False
     factory: "LinkListener"
@@ -130,12 +139,12 @@
 
     def dataReceived(self, data: bytes) -> None:
         super().dataReceived(data)  # type: ignore[no-untyped-call]
-        # A frame is a value whose length was told: one that does not go on holds up all behind it.
+        # A frame is a value of announced length: while it is incomplete, nothing after it can be read.
         part = Part.VALUE if self._unprocessed else Part.NONE
         self.deadline.read(self.factory.now(), Position(part, self.frame_count), len(data))
 
     def is_stalled(self) -> bool:
-        """Whether a frame has begun to arrive and is not whole in its time: the link may be out of step."""
+        """Whether a frame is overdue after its first bytes; the stream may have lost its framing."""
         due = self.deadline.due()
         return due is not None and self.factory.now() >= due
 
@@ -155,44 +164,50 @@
 
 
 class LinkListener(Factory):
+    """Accepts links from the other members. `on_frame` returns whether the frame came from a member."""
+
     protocol = IncomingLink  # type: ignore[assignment]
     noisy = False
 
     def __init__(self, reactor: Any, on_frame: Callable[[bytes], bool], drop_counts: "Counter[str]") -> None:
         self.reactor, self.on_frame, self.drop_counts = reactor, on_frame, drop_counts
         self.links: dict[IncomingLink, None] = {}
-        self.stall_check: Any = None  # the next look for frames that are overdue
+        self.stall_check: Any = None  # the timer of the next check
 
     def now(self) -> int:
+        """Nanoseconds of the reactor's clock."""
         return int(self.reactor.seconds() * SECOND)
 
     def check_stalls(self) -> None:
-        """Ends the links on which a frame stands still."""
+        """Aborts the links with a stalled frame, and repeats."""
         self.stall_check = self.reactor.callLater(STALL_CHECK_INTERVAL_SECONDS, self.check_stalls)
-        for one in [one for one in self.links if one.is_stalled()]:
+        for link in [link for link in self.links if link.is_stalled()]:
             self.drop_counts["half a frame"] += 1
-            one.transport.abortConnection()  # type: ignore[union-attr]
+            link.transport.abortConnection()  # type: ignore[union-attr]
 
     def stop(self) -> None:
         if self.stall_check is not None and self.stall_check.active():
             self.stall_check.cancel()
 
-    def link_made(self, one: IncomingLink) -> None:
+    def link_made(self, link: IncomingLink) -> None:
+        """Takes a new link; when too many are unauthenticated, the oldest of those is closed."""
         unauthenticated = [other for other in self.links if not other.authenticated]
         if len(unauthenticated) >= MAX_UNAUTHENTICATED_LINKS:
             unauthenticated[0].transport.abortConnection()  # type: ignore[union-attr]
-        self.links[one] = None
-        self.reactor.callLater(AUTHENTICATION_TIMEOUT_SECONDS, self._close_unauthenticated, one)
+        self.links[link] = None
+        self.reactor.callLater(AUTHENTICATION_TIMEOUT_SECONDS, self._close_unauthenticated, link)
 
-    def _close_unauthenticated(self, one: IncomingLink) -> None:
-        if one in self.links and not one.authenticated:
-            one.transport.abortConnection()  # type: ignore[union-attr]
+    def _close_unauthenticated(self, link: IncomingLink) -> None:
+        if link in self.links and not link.authenticated:
+            link.transport.abortConnection()  # type: ignore[union-attr]
 
-    def link_lost(self, one: IncomingLink) -> None:
-        self.links.pop(one, None)
+    def link_lost(self, link: IncomingLink) -> None:
+        self.links.pop(link, None)
 
 
 class PingSocket(DatagramProtocol):
+    """Sends and receives frames as datagrams."""
+
     noisy = False
 
     def __init__(self, on_frame: Callable[[bytes], bool]) -> None:
@@ -208,7 +223,10 @@
 
 
 class Links:
-    """`on_frame` is told each frame as it came, and says whether it was one."""
+    """All links of a member. `on_frame` gets the bytes of each frame and returns whether it came from a member.
+
+    `drop_counts` counts the frames that were dropped on the way out or in, by reason.
+    """
 
     def __init__(
         self,
@@ -227,9 +245,9 @@
         self.udp_port: Any = None
 
     def start(self) -> None:
-        """Raises CannotListenError, with nothing left open."""
+        """Listens and connects. Raises CannotListenError, with nothing left open."""
         host, port = self.listen
-        self.tcp_port = self.reactor.listenTCP(port, self.listener, 64, host)
+        self.tcp_port = self.reactor.listenTCP(port, self.listener, LISTEN_BACKLOG, host)
         try:
             self.udp_port = self.reactor.listenUDP(port, self.ping_socket, host, MAX_DATAGRAM_BYTES)
         except CannotListenError:
@@ -238,7 +256,7 @@
         for link in self.links.values():
             link.connect()
         self.listener.check_stalls()
-        logger.info("members of the fleet reach this one at {}:{}", host, port)
+        logger.info("listening for fleet members on {}:{}", host, port)
 
     def send(self, name: str, text: bytes) -> None:
         link = self.links.get(name)
@@ -256,5 +274,5 @@
         self.listener.stop()
         for link in self.links.values():
             link.stop()
-        for one in list(self.listener.links):
-            one.transport.abortConnection()  # type: ignore[union-attr]
+        for incoming in list(self.listener.links):
+            incoming.transport.abortConnection()  # type: ignore[union-attr]
