--- a/ternquay/balance.py
+++ b/ternquay/balance.py
@@ -34,7 +34,7 @@
 FAILS, FAILS_MOST, OUT_FIRST, OUT_MOST, OUT_PART = 2, 8, SECOND, 8 * SECOND, 0.4
 CHANCE, FAILING_STEP, FAILING_LEAST, PACE_LEAST = 60 * SECOND, 0.01, 0.02, 0.2
 # A host that drains turns everything away long before the list says so.
-FAILURES = (m.End.ERROR, m.End.TIMED_OUT, m.End.RESET, m.End.UNREACHABLE, m.End.FULL)
+FAILURES = (m.HopOutcome.ERROR, m.HopOutcome.TIMED_OUT, m.HopOutcome.RESET, m.HopOutcome.UNREACHABLE, m.HopOutcome.FULL)
 EXTRA_RATE, EXTRA_MOST, BACKOFF = 0.15, 10.0, 0.1
 PATIENCE, LOST, QUICK, WRITE_SOON = 0.6, 2.0, 0.25, 0.25
 
@@ -94,23 +94,24 @@
     # ---- the list ----
 
     def _list_changed(self, event: m.ListChanged) -> None:
-        named = {line.host: line for line in event.lines}
+        named = {line.host: line for line in event.entries}
         lacks = [
             h
             for h in self.hosts.values()
-            if not h.unlisted and (event.whole if h.index not in named else named[h.index].standing is m.Standing.GONE)
+            if not h.unlisted
+            and (event.complete if h.index not in named else named[h.index].status is m.HostStatus.GONE)
         ]
         # Against a list that is wrong of hosts that serve, empty, shrunk or old: where gone is advice, one
         # that drops more of them at once than fail by themselves is not believed, and their answers decide.
         # A draining that was seen holds on. Harm: so many that went indeed cost hops that fail, until FORGET.
         wrong = len(lacks) > OUT_PART * sum(1 for h in self.hosts.values() if not h.unlisted)
         for host in lacks:
-            if self.start.gone_is_advice and (wrong or host.standing is m.Standing.DRAINING):
+            if self.start.gone_is_advice and (wrong or host.standing is m.HostStatus.DRAINING):
                 host.unlisted = self.now
             else:
-                host.standing = m.Standing.GONE
-        for line in event.lines:
-            if line.standing is not m.Standing.GONE:
+                host.standing = m.HostStatus.GONE
+        for line in event.entries:
+            if line.status is not m.HostStatus.GONE:
                 self._listed(line)
         self._settle(told=True)
         self.ask_wait = ASK_FIRST
@@ -125,15 +126,15 @@
         """What follows from the hosts as they stand."""
         for host in self.hosts.values():
             if host.unlisted and self.now - host.unlisted > FORGET:
-                host.standing = m.Standing.GONE
-        gone = {i for i, host in self.hosts.items() if host.standing is m.Standing.GONE}
+                host.standing = m.HostStatus.GONE
+        gone = {i for i, host in self.hosts.items() if host.standing is m.HostStatus.GONE}
         if gone:
             self.hosts = {i: host for i, host in self.hosts.items() if i not in gone}
             for holders in self.held.values():
                 holders -= gone
-        up = [h for h in self.hosts.values() if h.standing is m.Standing.READY]
+        up = [h for h in self.hosts.values() if h.standing is m.HostStatus.READY]
         self.ready = [h for h in up if not h.is_origin]
-        if told and self.ready and self.start.weights is m.Weights.LIVE:
+        if told and self.ready and self.start.weights is m.WeightMode.LIVE:
             self._learn()
         # A host less is passed over where it stands; only a new one, or a new weight, needs new orders.
         # By the record and not its index: under that one may come back that is another.
@@ -144,23 +145,23 @@
         self.near_weights = sum(h.weight for h in self.ready if h.zone == self.start.zone) or 1.0
         self.origin = next((h for h in up if h.is_origin), None)
 
-    def _listed(self, line: m.Listed) -> None:
+    def _listed(self, line: m.ListedHost) -> None:
         host = self.hosts.get(line.host)
-        standing = line.standing
+        standing = line.status
         if host is None:
             is_origin = self.start.aside and line.kind == self.start.origin_kind
-            host = CacheHost(line.host, text_hash(line.address), is_origin, line.since, line.standing)
+            host = CacheHost(line.host, text_hash(line.address), is_origin, line.started_at, line.status)
             self.hosts[line.host] = host
-        elif self.start.gone_is_advice and host.standing is m.Standing.DRAINING and line.since <= host.since:
-            standing = m.Standing.DRAINING  # an `up` from before that draining, of an old list: it binds on
-        elif line.since != host.since and line.standing is m.Standing.READY:
-            host.since, host.fails, host.seen, host.took, host.crowd = line.since, 0, 0, 0.0, 0.0
+        elif self.start.gone_is_advice and host.standing is m.HostStatus.DRAINING and line.started_at <= host.since:
+            standing = m.HostStatus.DRAINING  # an `up` from before that draining, of an old list: it binds on
+        elif line.started_at != host.since and line.status is m.HostStatus.READY:
+            host.since, host.fails, host.seen, host.took, host.crowd = line.started_at, 0, 0, 0.0, 0.0
             host.out_until, host.out_for, host.trial, host.room = 0, 0, False, 1.0
-        host.zone, host.cell, host.standing, host.part = line.zone, line.cell, standing, line.part
+        host.zone, host.cell, host.standing, host.part = line.zone, line.cell, standing, line.cold_fraction
         host.unlisted = 0
-        host.kind, host.hint, host.size = line.kind, line.hint, max(host.size, line.hint)
-        if self.start.weights is m.Weights.SIZES:
-            self._weigh(host, line.hint)
+        host.kind, host.hint, host.size = line.kind, line.weight, max(host.size, line.weight)
+        if self.start.weights is m.WeightMode.STATIC:
+            self._weigh(host, line.weight)
 
     def _weigh(self, host: CacheHost, weight: float) -> None:
         if weight != host.weight and weight > 0:
@@ -185,7 +186,7 @@
             step = -ROOM_DOWN if load.get(host.index, 0.0) > cap else ROOM_UP
             host.room = max(ROOM_LEAST, min(1.0, host.room + step * passed))
 
-    def _list_lost(self, _: m.ListLost) -> None:
+    def _list_lost(self, _: m.ListUnavailable) -> None:
         # Against a flood of calls on a discovery that is down: each failure waits longer, with a random part.
         if self.start.watch_list:
             # A call at least as often as the list that is held counts: each waits one to two such spans.
@@ -338,7 +339,7 @@
         return self.start.cold_share + (1 - self.start.cold_share) * max(0, age) / self.start.warm_within
 
     def _usable(self, host: CacheHost) -> bool:
-        up = host.standing is m.Standing.READY and host.out_until <= self.now
+        up = host.standing is m.HostStatus.READY and host.out_until <= self.now
         return up and not (host.trial and host.inflight)
 
     def _servers(self, group: int, most: int, skip: list[Hop], near: bool = False) -> list[CacheHost]:
@@ -532,30 +533,30 @@
         if tx is None or e.hop >= len(tx.hops) or not tx.hops[e.hop].out:
             return
         hop = tx.hops[e.hop]
-        hop.out, hop.may_have_run = False, e.end > m.End.MISS
+        hop.out, hop.may_have_run = False, e.outcome > m.HopOutcome.MISS
         tx.out -= 1
         if hop.begun:
             hop.host.inflight -= 1
             self.inflight -= not hop.host.is_origin
         self._judge(tx, hop, e)
-        if e.report is not None and e.report.service > 0:
-            hop.host.service = e.report.service
-        if e.closed and not tx.ended:
+        if e.report is not None and e.report.service_time > 0:
+            hop.host.service = e.report.service_time
+        if e.tx_ended and not tx.ended:
             self._close(tx)
         elif not tx.ended:
-            self._go_on(tx, hop, e.end)
+            self._go_on(tx, hop, e.outcome)
         elif not tx.out:
             self.txs.pop(tx.id, None)
         if hop.fetches:
             self.fetch_out -= 1
             self._drain_origin()
 
-    def _go_on(self, tx: Tx, hop: Hop, end: m.End) -> None:
+    def _go_on(self, tx: Tx, hop: Hop, end: m.HopOutcome) -> None:
         if tx.out:
             return
-        if self.now >= tx.give_up or (end is m.End.ERROR and self._bad(tx)):
+        if self.now >= tx.give_up or (end is m.HopOutcome.ERROR and self._bad(tx)):
             self._finish(tx)
-        elif end is m.End.MISS and not hop.host.is_origin:
+        elif end is m.HopOutcome.MISS and not hop.host.is_origin:
             tx.missed = tx.missed or hop.host
             self._ask_origin(tx)
         elif hop.host.is_origin or self.extra < (cost := self._cost(hop, end)):
@@ -564,10 +565,10 @@
             self.extra -= cost
             self._route(tx)
 
-    def _cost(self, hop: Hop, end: m.End) -> int:
+    def _cost(self, hop: Hop, end: m.HopOutcome) -> int:
         # Turned away, or broken off at once: that cost no work and hardly any time; other further hops count.
-        quick = self.now - hop.sent < QUICK * self.usual and end in (m.End.UNREACHABLE, m.End.RESET)
-        return 0 if quick or end is m.End.FULL else 1
+        quick = self.now - hop.sent < QUICK * self.usual and end in (m.HopOutcome.UNREACHABLE, m.HopOutcome.RESET)
+        return 0 if quick or end is m.HopOutcome.FULL else 1
 
     # ---- the origin ----
 
@@ -618,21 +619,26 @@
             self.wakes.add(max(self.now + MS, self._fetch_next()), -3)
 
     def _judge_origin(self, hop: Hop, e: m.HopEnded) -> None:
-        if e.end is m.End.SKIPPED or (e.end is m.End.CANCELLED and e.took < self.shortest_goal // 2):
+        if e.outcome is m.HopOutcome.SKIPPED or (
+            e.outcome is m.HopOutcome.CANCELLED and e.duration < self.shortest_goal // 2
+        ):
             return
         # One long answer is a heavy transaction, not a tired origin: only the mean cuts the limit.
         # Few fetches of ours tell of a change late, so each counts by the time since the one before it.
         step = min(0.5, max(0.1, (self.now - self.fetch_judged) / SECOND)) if self.fetch_judged else 1.0
         self.fetch_judged = self.now
-        self.origin_took += (e.took - self.origin_took) * step
-        self.fetch_fails = 0 if e.end is m.End.DONE else self.fetch_fails + 1
+        self.origin_took += (e.duration - self.origin_took) * step
+        self.fetch_fails = 0 if e.outcome is m.HopOutcome.DONE else self.fetch_fails + 1
         if not self.fetch_fails:
             self.rest = 0
         elif self.fetch_fails >= ORIGIN_FAILS:
             # An origin that turns fetches away answers fast, so a limit on those in flight does not spare it.
             self.rest = min(REST_MOST, max(REST_FIRST, self.rest * 2))
             self.rest_until = self.now + self.rest
-        if e.end in (m.End.DONE, m.End.TIMED_OUT, m.End.CANCELLED) and self.origin_took < self.origin_late:
+        if (
+            e.outcome in (m.HopOutcome.DONE, m.HopOutcome.TIMED_OUT, m.HopOutcome.CANCELLED)
+            and self.origin_took < self.origin_late
+        ):
             if self.fetch_out > self.origin_limit / 2:
                 self.origin_limit += min(self.origin_limit, 1 / self.origin_limit)
         elif hop.sent >= self.origin_cut:
@@ -644,26 +650,26 @@
         host = hop.host
         through = not self.start.aside
         # An answer lost on its way to us tells of its cache host, not of the origin behind it.
-        overtaken = e.end is m.End.TIMED_OUT and self._overtaken(hop)
-        lost = e.end is m.End.UNREACHABLE or (through and (e.end is m.End.RESET or overtaken))
-        erred = e.end is m.End.ERROR and not host.is_origin
+        overtaken = e.outcome is m.HopOutcome.TIMED_OUT and self._overtaken(hop)
+        lost = e.outcome is m.HopOutcome.UNREACHABLE or (through and (e.outcome is m.HopOutcome.RESET or overtaken))
+        erred = e.outcome is m.HopOutcome.ERROR and not host.is_origin
         anywhere = erred and self._fails_anywhere(tx, hop)
-        if not anywhere and ((hop.fetches and not lost) or (through and (e.note > 1 or erred))):
+        if not anywhere and ((hop.fetches and not lost) or (through and (e.cache_result > 1 or erred))):
             self._judge_origin(hop, e)
         if through:
-            if e.note:
-                self.hits += ((e.note == 1) - self.hits) * HIT_STEP
-            if e.note and self._unknown(tx, host):
-                self.hit_part += ((e.note == 1) - self.hit_part) * HIT_STEP
-            self._remember(tx, host, e.end)
+            if e.cache_result:
+                self.hits += ((e.cache_result == 1) - self.hits) * HIT_STEP
+            if e.cache_result and self._unknown(tx, host):
+                self.hit_part += ((e.cache_result == 1) - self.hit_part) * HIT_STEP
+            self._remember(tx, host, e.outcome)
         if host.is_origin:
             return
-        late = e.end is m.End.TIMED_OUT and not overtaken
-        if (late or e.end is m.End.DONE) and not hop.fetches and (e.note < 2 or not through):
-            self._estimate(hop, e.took)
-        if e.end not in (m.End.SKIPPED, m.End.CANCELLED):
-            self.failing += ((hop.judged or e.end in FAILURES) - self.failing) * FAILING_STEP
-        if e.end is m.End.DONE:
+        late = e.outcome is m.HopOutcome.TIMED_OUT and not overtaken
+        if (late or e.outcome is m.HopOutcome.DONE) and not hop.fetches and (e.cache_result < 2 or not through):
+            self._estimate(hop, e.duration)
+        if e.outcome not in (m.HopOutcome.SKIPPED, m.HopOutcome.CANCELLED):
+            self.failing += ((hop.judged or e.outcome in FAILURES) - self.failing) * FAILING_STEP
+        if e.outcome is m.HopOutcome.DONE:
             host.heard, host.newest = self.now, max(host.newest, hop.sent)
             self.fetch_newest = max(self.fetch_newest, hop.sent * hop.fetches)
             host.out_for = host.out_for if hop.judged else 0
@@ -672,11 +678,11 @@
                 if other.erred:  # it was not the tx: another cache host has answered it
                     other.erred = False
                     self._failed_once(other, self._spacing() > FADE)
-        if e.end is m.End.MISS or (e.end is m.End.DONE and not hop.judged):
+        if e.outcome is m.HopOutcome.MISS or (e.outcome is m.HopOutcome.DONE and not hop.judged):
             host.fails, host.trial = 0, False
         elif erred:
             hop.erred = not anywhere
-        elif e.end in FAILURES and not hop.judged:
+        elif e.outcome in FAILURES and not hop.judged:
             self._failed_once(hop, self._spacing() > FADE)
 
     def _bad(self, tx: Tx) -> bool:
@@ -716,12 +722,12 @@
         host.took, host.seen = host.took + (took - host.took) * step, self.now
         host.crowd += (hop.crowd - host.crowd) * step
 
-    def _remember(self, tx: Tx, host: CacheHost, end: m.End) -> None:
+    def _remember(self, tx: Tx, host: CacheHost, end: m.HopOutcome) -> None:
         if tx.write:
             self.held.pop(tx.key, None)
-        elif end is m.End.DONE:
+        elif end is m.HopOutcome.DONE:
             self.held.setdefault(tx.key, set()).add(host.index)
-        elif end in (m.End.ERROR, m.End.TIMED_OUT):
+        elif end in (m.HopOutcome.ERROR, m.HopOutcome.TIMED_OUT):
             self.held.get(tx.key, set()).discard(host.index)
 
     def _fails_due(self, trial: bool) -> int:
@@ -771,19 +777,19 @@
 
     def _may_repeat(self, tx: Tx, host: CacheHost) -> bool:
         first = self._first_run(tx)
-        if first is None or tx.profile.kind is m.Kind.IDEMPOTENT:
+        if first is None or tx.profile.semantics is m.Semantics.IDEMPOTENT:
             return True
-        memory, scope = tx.profile.memory - self.margin, tx.profile.scope
-        if tx.profile.kind is m.Kind.NON_IDEMPOTENT or self.now - first.sent >= memory:
+        memory, scope = tx.profile.dedup_window - self.margin, tx.profile.dedup_scope
+        if tx.profile.semantics is m.Semantics.NON_IDEMPOTENT or self.now - first.sent >= memory:
             return False
-        near = host.zone == first.host.zone if scope is m.Scope.ZONE else host.cell == first.host.cell
-        return scope is m.Scope.ALL or near
+        near = host.zone == first.host.zone if scope is m.DedupScope.ZONE else host.cell == first.host.cell
+        return scope is m.DedupScope.ALL or near
 
     def _send(self, tx: Tx, host: CacheHost) -> bool:
         """Every hop passes here: rule 1 (nothing after the answer), 2, 3 and 4."""
         if tx.ended or len(tx.hops) >= self.start.most_hops or self.now >= tx.give_up:
             return False
-        if host.standing is not m.Standing.READY or (tx.out and not self.start.parallel):
+        if host.standing is not m.HostStatus.READY or (tx.out and not self.start.parallel):
             return False
         cold = not host.is_origin and self._warmth(host) < 1.0
         if not self._may_repeat(tx, host) or (cold and not self._cold_room(host)):
@@ -793,8 +799,8 @@
             host.cold_from = self.now
         self.warm_sent += not cold and not host.is_origin
         # A repeat that waits on its way out, for a connection say, is asked about again before it is begun.
-        first = self._first_run(tx) if tx.profile.kind is m.Kind.JOURNALLED else None
-        by = first.sent + tx.profile.memory - self.margin if first is not None else 0
+        first = self._first_run(tx) if tx.profile.semantics is m.Semantics.JOURNALLED else None
+        by = first.sent + tx.profile.dedup_window - self.margin if first is not None else 0
         hop = Hop(host, self.now, host.inflight)
         tx.hops.append(hop)
         tx.out += 1
@@ -823,10 +829,10 @@
         profile, first = tx.profile, self._first_run(tx)
         wait = min(self._about(int(BACKOFF * profile.service_goal)), self.start.max_backoff)
         # A repeat of a journalled tx is harmless while it is known, so for no longer is it called so.
-        known = profile.kind is m.Kind.JOURNALLED and profile.scope is m.Scope.ALL
-        if first is not None and self.now + wait - first.sent >= profile.memory - self.margin:
+        known = profile.semantics is m.Semantics.JOURNALLED and profile.dedup_scope is m.DedupScope.ALL
+        if first is not None and self.now + wait - first.sent >= profile.dedup_window - self.margin:
             known = False
-        if known or first is None or profile.kind is m.Kind.IDEMPOTENT:
+        if known or first is None or profile.semantics is m.Semantics.IDEMPOTENT:
             self.actions.append(m.RollBack(tx.id, wait))
         else:
             self.actions.append(m.Abandon(tx.id))
@@ -847,7 +853,7 @@
     m.TxWhole: Balancer._whole,
     m.TxGone: Balancer._gone,
     m.ListChanged: Balancer._list_changed,
-    m.ListLost: Balancer._list_lost,
+    m.ListUnavailable: Balancer._list_lost,
     m.Started: Balancer._figures,
     m.Learned: Balancer._take,
 }
--- a/ternquay/facts.py
+++ b/ternquay/facts.py
@@ -5,20 +5,20 @@
 from ternquay import model as m
 
 US = 1000
-KINDS = {"repeatable": m.Kind.IDEMPOTENT, "by_key": m.Kind.JOURNALLED, "once": m.Kind.NON_IDEMPOTENT}
-SCOPES = {"all": m.Scope.ALL, "zone": m.Scope.ZONE, "cell": m.Scope.CELL}
+KINDS = {"repeatable": m.Semantics.IDEMPOTENT, "by_key": m.Semantics.JOURNALLED, "once": m.Semantics.NON_IDEMPOTENT}
+SCOPES = {"all": m.DedupScope.ALL, "zone": m.DedupScope.ZONE, "cell": m.DedupScope.CELL}
 WEIGHTS = {
-    "none": m.Weights.NONE,
-    "nominal": m.Weights.SIZES,
-    "rough": m.Weights.SIZES,
-    "live": m.Weights.LIVE,
+    "none": m.WeightMode.NONE,
+    "nominal": m.WeightMode.STATIC,
+    "rough": m.WeightMode.STATIC,
+    "live": m.WeightMode.LIVE,
 }
 REPORTS = {  # a value whose name is not known is passed over
-    "concurrent": ("held", 1.0),
-    "depth": ("held", 1.0),
-    "mean_ms": ("service", 1e6),
-    "err_ps": ("errors", 1.0),
-    "tps": ("done", 1.0),
+    "concurrent": ("active", 1.0),
+    "depth": ("active", 1.0),
+    "mean_ms": ("service_time", 1e6),
+    "err_ps": ("errors_per_second", 1.0),
+    "tps": ("completed_per_second", 1.0),
 }
 REPORT_MOST = 4
 MUST_ASK = 10 * 10**9  # nanoseconds, where nothing is told
@@ -76,9 +76,9 @@
 
 def read_profile(at: str, told: dict[str, Any]) -> m.Profile:
     return m.Profile(
-        kind=choice(told, "Semantics", at, KINDS),
-        scope=choice(told, "DedupScope", at, SCOPES, "cell"),
-        memory=span(told, "Window", at, usual=0),
+        semantics=choice(told, "Semantics", at, KINDS),
+        dedup_scope=choice(told, "DedupScope", at, SCOPES, "cell"),
+        dedup_window=span(told, "Window", at, usual=0),
         service_goal=span(told, "ServiceGoal", at, 1),
         hard_limit=span(told, "HardLimit", at, 1),
         overdue_revenue=number(told, "OverdueRevenue", at, -MOST, MOST, 0.0),
@@ -159,7 +159,7 @@
         self.kinds = {k: i for i, k in enumerate(facts.get("Kinds") or [])}
         self.reports = read_report_names(facts)
 
-    def report(self, row: Any) -> m.Report | None:
+    def report(self, row: Any) -> m.LoadReport | None:
         """What came with an answer. Against rows that are odd: what is no figure of its own counts as not told."""
         if not self.reports or not isinstance(row, list) or len(row) != len(self.reports):
             return None
@@ -168,4 +168,4 @@
             for (field, unit), value in zip(self.reports, row, strict=True)
             if field and isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= MOST
         }
-        return m.Report(**told) if told else None
+        return m.LoadReport(**told) if told else None
--- a/ternquay/handover/notes.py
+++ b/ternquay/handover/notes.py
@@ -79,7 +79,7 @@
                 zone=x[2],
                 kind=x[3],
                 cell=x[4],
-                standing=m.Standing[x[5]],
+                standing=m.HostStatus[x[5]],
                 hint=x[6],
                 since=x[7],
             )
--- a/ternquay/hosted/tenants/documents.py
+++ b/ternquay/hosted/tenants/documents.py
@@ -28,8 +28,12 @@
 )
 
 MS = 1_000_000
-KINDS = {"idempotent": m.Kind.IDEMPOTENT, "journalled": m.Kind.JOURNALLED, "non-idempotent": m.Kind.NON_IDEMPOTENT}
-SCOPES = {"all": m.Scope.ALL, "zone": m.Scope.ZONE, "cell": m.Scope.CELL}
+KINDS = {
+    "idempotent": m.Semantics.IDEMPOTENT,
+    "journalled": m.Semantics.JOURNALLED,
+    "non-idempotent": m.Semantics.NON_IDEMPOTENT,
+}
+SCOPES = {"all": m.DedupScope.ALL, "zone": m.DedupScope.ZONE, "cell": m.DedupScope.CELL}
 KIND_WORDS = {kind: word for word, kind in KINDS.items()}
 SCOPE_WORDS = {scope: word for word, scope in SCOPES.items()}
 WHERE = re.compile(r"(?:\[([0-9a-fA-F:.]{2,45})\]|([0-9.]{7,15})):([0-9]{1,5})")
@@ -199,11 +203,11 @@
     p = one.profile
     return ProfileDocument(
         one.name,
-        KIND_WORDS[p.kind],  # type: ignore[arg-type]
+        KIND_WORDS[p.semantics],  # type: ignore[arg-type]
         p.service_goal // MS,
         p.hard_limit // MS,
-        SCOPE_WORDS[p.scope],  # type: ignore[arg-type]
-        p.memory // MS,
+        SCOPE_WORDS[p.dedup_scope],  # type: ignore[arg-type]
+        p.dedup_window // MS,
         p.overdue_revenue,
     )
 
--- a/ternquay/hosted/tenants/ledger.py
+++ b/ternquay/hosted/tenants/ledger.py
@@ -17,7 +17,7 @@
 MS, SECOND = 1_000_000, 1_000_000_000
 FAILS, OUT_FIRST, OUT_MOST = 4, SECOND, 8 * SECOND
 GONE_KEPT = 60 * SECOND
-LOST = (m.End.UNREACHABLE, m.End.TIMED_OUT, m.End.RESET)
+LOST = (m.HopOutcome.UNREACHABLE, m.HopOutcome.TIMED_OUT, m.HopOutcome.RESET)
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,7 +25,7 @@
     """What one tenant's list says of a cache host."""
 
     place: Place
-    standing: m.Standing
+    standing: m.HostStatus
     since: int  # its latest start on our clock, 0 for long ago
 
 
@@ -34,7 +34,7 @@
     """What the tenant's decisions are told of it."""
 
     place: Place
-    standing: m.Standing
+    standing: m.HostStatus
     since: int
     part: float  # of the budget of a cold host
     shared: bool
@@ -115,17 +115,17 @@
         machine = self.machines[named.place]
         if len(machine.named) < 2 and not machine.gone:
             return Line(named.place, named.standing, named.since, 1.0, False)
-        draining = any(one.standing is m.Standing.DRAINING for one in machine.named.values())
+        draining = any(one.standing is m.HostStatus.DRAINING for one in machine.named.values())
         gone = any(now - at < GONE_KEPT for at in machine.gone.values())
-        standing = m.Standing.DRAINING if draining or gone or machine.out_until > now else named.standing
+        standing = m.HostStatus.DRAINING if draining or gone or machine.out_until > now else named.standing
         since = max(one.since for one in machine.named.values())
         whole = sum(self.weights.get(other, 1.0) for other in machine.named)
         return Line(named.place, standing, since, self.weights.get(tenant, 1.0) / whole, True)
 
-    def ended(self, now: int, place: Place, end: m.End) -> set[str]:
+    def ended(self, now: int, place: Place, end: m.HopOutcome) -> set[str]:
         """A hop of some tenant ended there; the tenants to be told, where the machine's health is another now."""
         machine = self.machines.get(place)
-        if machine is None or len(machine.named) < 2 or end in (m.End.SKIPPED, m.End.CANCELLED):
+        if machine is None or len(machine.named) < 2 or end in (m.HopOutcome.SKIPPED, m.HopOutcome.CANCELLED):
             return set()
         if end not in LOST:
             machine.fails = machine.out_for = 0
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -87,7 +87,7 @@
         cancel=True,
         parallel=True,
         most_hops=MOST_HOPS,
-        weights=m.Weights.SIZES,
+        weights=m.WeightMode.STATIC,
         max_backoff=BACKOFF_MOST,
         quantum=0,
         cold_share=rules.cold_share,
@@ -171,7 +171,7 @@
     """Its list goes by the ledger, and what its hops tell of machines that others name too."""
 
     told: Callable[[bool, tuple[Member, ...]], None]
-    machine_ended: Callable[[Place, m.End], None]
+    machine_ended: Callable[[Place, m.HopOutcome], None]
 
     def __init__(self, *terms: Any) -> None:
         super().__init__(*terms)
@@ -185,7 +185,7 @@
         super().list_told(True, members)
         self.shared = {self.hosts[id]: place for id, place in shared.items() if id in self.hosts}
 
-    def _ended(self, hop: Outgoing, end: m.End, answer: Any = None, note: int = 0) -> None:
+    def _ended(self, hop: Outgoing, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
         place = self.shared.get(hop.host) if self.shared else None
         super()._ended(hop, end, answer, note)
         if place is not None:
@@ -367,7 +367,7 @@
     def _member(self, server: Server) -> Member:
         # The place stands for the host: it is the same by whatever name it goes.
         where = Address(server.place.host, server.place.port)
-        standing = m.Standing.DRAINING if server.draining else m.Standing.READY
+        standing = m.HostStatus.DRAINING if server.draining else m.HostStatus.READY
         cell = self.cells.get(str(where))
         return Member(str(where), where, server.zone, "", cell, standing, server.weight, server.started)
 
@@ -376,7 +376,7 @@
         old = self.members
         kept = {} if whole else dict(old)
         kept.update({member.id: member for member in members})
-        gone = {id for id, member in kept.items() if member.standing is m.Standing.GONE}
+        gone = {id for id, member in kept.items() if member.standing is m.HostStatus.GONE}
         if self.entry.tenant.source is not None and whole:
             gone |= old.keys() - kept.keys()
         places = [_place((old.get(id) or kept[id]).where) for id in gone]
@@ -402,7 +402,7 @@
         )
         self.door.settled(members, {id: line.place for id, line in lines.items() if line.shared})
 
-    def _machine_ended(self, place: Place, end: m.End) -> None:
+    def _machine_ended(self, place: Place, end: m.HopOutcome) -> None:
         told = self.common.ledger.ended(self.door.now(), place, end)
         if told:
             self.common.retell(told)
--- a/ternquay/hosted/tenants/tenant.py
+++ b/ternquay/hosted/tenants/tenant.py
@@ -200,7 +200,7 @@
         positive(profile.service_goal, f"{field}.service_goal")
         if profile.hard_limit < profile.service_goal:
             raise Unfit(f"{field}.hard_limit", "is before the service goal")
-        if profile.kind is m.Kind.JOURNALLED and profile.memory <= 0:
+        if profile.semantics is m.Semantics.JOURNALLED and profile.dedup_window <= 0:
             raise Unfit(f"{field}.memory", "a journalled profile needs the time for which its mark is known")
     once([one.name for one in tenant.profiles], "profiles")
 
--- a/ternquay/model.py
+++ b/ternquay/model.py
@@ -8,7 +8,7 @@
 from enum import Enum, IntEnum
 
 
-class Kind(Enum):
+class Semantics(Enum):
     """How often a transaction of a profile may run."""
 
     IDEMPOTENT = 1
@@ -16,7 +16,7 @@
     NON_IDEMPOTENT = 3
 
 
-class Scope(Enum):
+class DedupScope(Enum):
     """Which cache hosts drop the repeats of a journalled transaction."""
 
     ALL = 1
@@ -24,7 +24,7 @@
     CELL = 3
 
 
-class End(IntEnum):
+class HopOutcome(IntEnum):
     """How a hop ended. The ones up to MISS prove that it never ran."""
 
     FULL = 1
@@ -38,7 +38,7 @@
     CANCELLED = 9
 
 
-class Standing(Enum):
+class HostStatus(Enum):
     """What the list says of a cache host."""
 
     READY = 1
@@ -46,19 +46,19 @@
     GONE = 3
 
 
-class Weights(Enum):
+class WeightMode(Enum):
     """What the list's weights are."""
 
     NONE = 1
-    SIZES = 2
+    STATIC = 2
     LIVE = 3  # the size, lowered the more the cache host holds
 
 
 @dataclass(slots=True, frozen=True)
 class Profile:
-    kind: Kind
-    scope: Scope
-    memory: int  # how long a repeat of a journalled transaction is known
+    semantics: Semantics
+    dedup_scope: DedupScope
+    dedup_window: int  # how long a repeat of a journalled transaction is known
     service_goal: int
     hard_limit: int
     overdue_revenue: float
@@ -79,7 +79,7 @@
     cancel: bool
     parallel: bool
     most_hops: int
-    weights: Weights
+    weights: WeightMode
     max_backoff: int  # 0 where clients are given none
     quantum: int
     cold_share: float
@@ -93,7 +93,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class ListedHost:
     """One line of the list of cache hosts."""
 
     host: int
@@ -101,20 +101,20 @@
     zone: int
     kind: int
     cell: int
-    standing: Standing
-    hint: float
-    since: int  # its latest start, 0 for long ago
-    part: float = 1.0  # of what it takes while cold, where others of this process send to it too
+    status: HostStatus
+    weight: float
+    started_at: int  # its latest start, 0 for long ago
+    cold_fraction: float = 1.0  # of what it takes while cold, where others of this process send to it too
 
 
 @dataclass(slots=True, frozen=True)
 class ListChanged:
-    whole: bool
-    lines: tuple[Listed, ...]
+    complete: bool
+    entries: tuple[ListedHost, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class ListLost:
+class ListUnavailable:
     """The list could not be had, or following it was interrupted."""
 
 
@@ -138,24 +138,24 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Report:
+class LoadReport:
     """What a cache host told of its load with an answer: late, noisy; what it did not tell is below nought."""
 
-    held: float = -1.0  # transactions that it holds, or that wait there
-    service: float = -1.0  # its time for one, without waiting
-    errors: float = -1.0  # a second
-    done: float = -1.0  # a second
+    active: float = -1.0  # transactions that it holds, or that wait there
+    service_time: float = -1.0  # its time for one, without waiting
+    errors_per_second: float = -1.0  # a second
+    completed_per_second: float = -1.0  # a second
 
 
 @dataclass(slots=True, frozen=True)
 class HopEnded:
     tx: int
     hop: int
-    end: End
-    took: int
-    closed: bool
-    note: int  # 1 a hit, 2 a miss, 3 a miss while another fetches, 0 not told
-    report: Report | None = None
+    outcome: HopOutcome
+    duration: int
+    tx_ended: bool
+    cache_result: int  # 1 a hit, 2 a miss, 3 a miss while another fetches, 0 not told
+    report: LoadReport | None = None
 
 
 @dataclass(slots=True, frozen=True)
@@ -196,7 +196,7 @@
     hosts: tuple[LearnedHost, ...]
 
 
-Event = Learned | ListChanged | ListLost | TxArrived | TxWhole | HopEnded | TxGone | TimerFired | Started
+Event = Learned | ListChanged | ListUnavailable | TxArrived | TxWhole | HopEnded | TxGone | TimerFired | Started
 
 
 @dataclass(slots=True, frozen=True)
--- a/ternquay/net/door.py
+++ b/ternquay/net/door.py
@@ -193,7 +193,7 @@
         """A hop that could not be sent has ended, as far as anything of it is out."""
         tx = self.txs.get(a.tx)
         if tx is not None and tx.hops and not tx.hops[-1].ended:
-            self.hop_ended(tx.hops[-1], m.End.RESET if tx.hops[-1].written else m.End.SKIPPED)
+            self.hop_ended(tx.hops[-1], m.HopOutcome.RESET if tx.hops[-1].written else m.HopOutcome.SKIPPED)
 
     def _act(self, a: m.Action) -> None:
         if isinstance(a, m.SendHop):
@@ -213,7 +213,7 @@
         elif isinstance(a, m.CancelHop):
             tx = self.txs.get(a.tx)
             if tx is not None and not tx.hops[a.hop].ended:
-                self._give_up(tx.hops[a.hop], m.End.CANCELLED)
+                self._give_up(tx.hops[a.hop], m.HopOutcome.CANCELLED)
         else:
             self.watch()
 
@@ -278,7 +278,7 @@
             if not tx.whole:
                 # The rest of it never comes, whatever may be cancelled: what is half written is cut off.
                 for hop in [hop for hop in tx.hops if not hop.ended]:
-                    self._give_up(hop, m.End.CANCELLED)
+                    self._give_up(hop, m.HopOutcome.CANCELLED)
             self.happened(m.TxGone(number))
 
     def _overdue(self, tx: OpenTx) -> None:
@@ -310,7 +310,7 @@
         tx.hops.append(hop)
         tx.out += 1
         if tx.answered or hop.number >= self.start.most_hops or a.not_past <= now:
-            self.hop_ended(hop, m.End.SKIPPED)
+            self.hop_ended(hop, m.HopOutcome.SKIPPED)
             return
         if tx.whole:
             self._time(hop)
@@ -354,27 +354,27 @@
         return False
 
     def _time(self, hop: Outgoing) -> None:
-        hop.call = self.later(hop.not_past + 1000, self._give_up, hop, m.End.TIMED_OUT)
+        hop.call = self.later(hop.not_past + 1000, self._give_up, hop, m.HopOutcome.TIMED_OUT)
 
-    def _give_up(self, hop: Outgoing, end: m.End) -> None:
+    def _give_up(self, hop: Outgoing, end: m.HopOutcome) -> None:
         hop.ended = True
         self.pool.give_up(hop)
         if not hop.written:
             # It has provably not run, whatever kept it; that its client went tells nothing of the cache host.
-            end = m.End.SKIPPED if end is m.End.CANCELLED else m.End.UNREACHABLE
+            end = m.HopOutcome.SKIPPED if end is m.HopOutcome.CANCELLED else m.HopOutcome.UNREACHABLE
         self._ended(hop, end)
 
-    def hop_ended(self, hop: Outgoing, end: m.End, answer: Any = None, note: int = 0) -> None:
+    def hop_ended(self, hop: Outgoing, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
         """From the pool; what comes after the end, as a late answer, is dropped."""
         if not hop.ended:
             hop.ended = True
             self._ended(hop, end, answer, note)
 
-    def _ended(self, hop: Outgoing, end: m.End, answer: Any = None, note: int = 0) -> None:
+    def _ended(self, hop: Outgoing, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
         unschedule(hop.call)
         tx = hop.tx
         tx.out -= 1
-        if end is m.End.DONE and not tx.answered:
+        if end is m.HopOutcome.DONE and not tx.answered:
             self._answered(tx)
             tx.asker.commit(answer)
         else:
@@ -392,18 +392,18 @@
         self.happened(start)
 
     def list_told(self, whole: bool, members: tuple[Member, ...]) -> None:
-        doubted: tuple[m.Listed, ...] = ()
+        doubted: tuple[m.ListedHost, ...] = ()
         if self.start.gone_is_advice:
             members, doubted = self._advised(whole, members)
             whole = False
-        gone = {member.id for member in members if member.standing is m.Standing.GONE} & self.hosts.keys()
+        gone = {member.id for member in members if member.standing is m.HostStatus.GONE} & self.hosts.keys()
         if whole:
             gone |= self.hosts.keys() - {member.id for member in members}
         # One that is gone and never was known here is nobody's: ids are ever new, and would be kept for ever.
-        members = tuple(x for x in members if x.standing is not m.Standing.GONE or x.id in gone)
+        members = tuple(x for x in members if x.standing is not m.HostStatus.GONE or x.id in gone)
         lines = tuple(self._line(member) for member in members)
         for line, member in zip(lines, members, strict=True):
-            self.pool.listed(line.host, member.where, line.standing is m.Standing.READY)
+            self.pool.listed(line.host, member.where, line.status is m.HostStatus.READY)
         if whole:
             self.members = {}
         self.members.update((member.id, member) for member in members)
@@ -425,12 +425,12 @@
             if self.crowded:
                 logger.warning("more cache hosts than sockets for them: {} and {}", len(self.hosts), room)
 
-    def _advised(self, whole: bool, members: tuple[Member, ...]) -> tuple[tuple[Member, ...], tuple[m.Listed, ...]]:
+    def _advised(self, whole: bool, members: tuple[Member, ...]) -> tuple[tuple[Member, ...], tuple[m.ListedHost, ...]]:
         """Where gone is advice: what the list names, and lines for what it lacks or calls gone.
 
         The decisions are told of those; here they stay as they are, and can be reached, until they are forgotten.
         """
-        named = {x.id for x in members if x.standing is not m.Standing.GONE}
+        named = {x.id for x in members if x.standing is not m.HostStatus.GONE}
         lacks = ({x.id for x in members} - named) & self.hosts.keys() | (self.hosts.keys() - named if whole else set())
         for name in named:
             self.doubted.pop(name, None)
@@ -438,7 +438,7 @@
             self.later(self.now() + FORGET + SECOND, self._forget)
         for name in lacks:
             self.doubted.setdefault(name, self.now())
-        lines = tuple(replace(self._line(self.members[name]), standing=m.Standing.GONE) for name in sorted(lacks))
+        lines = tuple(replace(self._line(self.members[name]), status=m.HostStatus.GONE) for name in sorted(lacks))
         return tuple(x for x in members if x.id in named), lines
 
     def _forget(self) -> None:
@@ -456,19 +456,19 @@
             self.part = part
             self.list_told(True, tuple(self.members.values()))
 
-    def _line(self, member: Member) -> m.Listed:
+    def _line(self, member: Member) -> m.ListedHost:
         # The id stands for the host: it is the same at every balancer, where the address may differ.
         if member.id not in self.hosts:
             self.hosts[member.id] = self.next_host
             self.next_host += 1
-        return m.Listed(
+        return m.ListedHost(
             host=self.hosts[member.id],
             address=member.id,
             zone=self.names.zones.get(member.zone, -1),
             kind=self.names.kinds.get(member.kind, -1),
             cell=member.cell,
-            standing=member.standing,
-            hint=member.hint,
-            since=member.since,
-            part=member.part * self.part,
+            status=member.standing,
+            weight=member.hint,
+            started_at=member.since,
+            cold_fraction=member.part * self.part,
         )
--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -89,7 +89,7 @@
                 self.begin(hop)
             else:
                 skipped = True
-                self.pool.door.hop_ended(hop, m.End.SKIPPED)
+                self.pool.door.hop_ended(hop, m.HopOutcome.SKIPPED)
         if skipped:
             self.settle()
 
@@ -165,7 +165,7 @@
         hop = self.hops.popleft()
         if hop is self.writing and not hop.written:
             # Before its last byte was written it can't have run, whatever the cache host says.
-            self.pool.door.hop_ended(hop, answer.end if answer.end is m.End.FULL else m.End.UNREACHABLE)
+            self.pool.door.hop_ended(hop, answer.end if answer.end is m.HopOutcome.FULL else m.HopOutcome.UNREACHABLE)
             return self.drop(ServerCloseReason.BAD_ANSWER)
         # Before the door hears of it, as what that sets free may go to the same cache host.
         if not self.machine.fault:
@@ -190,7 +190,7 @@
         if flow is None:
             return
         if not hop.ended:
-            self.pool.door.hop_ended(hop, m.End.DONE, flow, self.note)
+            self.pool.door.hop_ended(hop, m.HopOutcome.DONE, flow, self.note)
         elif flow.sink is nothing:
             flow.broken = True  # given up before it came: read, and dropped
         flow.offer(data)
@@ -259,7 +259,7 @@
         """What was not begun ends as never sent, and goes out elsewhere."""
         waiting, self.to_write = self.to_write, deque()
         for hop in waiting:
-            self.pool.door.hop_ended(hop, m.End.SKIPPED)
+            self.pool.door.hop_ended(hop, m.HopOutcome.SKIPPED)
 
     def settle(self) -> None:
         """Idle again, or of no more use: with nothing but given-up hops on it, it is closed to end them."""
@@ -298,10 +298,10 @@
         if flow is not None:
             flow.break_off()
         for hop in hops:
-            end = m.End.UNREACHABLE if hop is self.writing else m.End.RESET
+            end = m.HopOutcome.UNREACHABLE if hop is self.writing else m.HopOutcome.RESET
             self.pool.door.hop_ended(hop, end)
         for hop in waiting:
-            self.pool.door.hop_ended(hop, m.End.UNREACHABLE)
+            self.pool.door.hop_ended(hop, m.HopOutcome.UNREACHABLE)
 
 
 class Dialer(ClientFactory):
--- a/ternquay/net/listing.py
+++ b/ternquay/net/listing.py
@@ -8,7 +8,7 @@
 from ternquay.facts import choice, number
 from ternquay.net.limits import MS
 
-STANDINGS = {"up": m.Standing.READY, "draining": m.Standing.DRAINING, "removed": m.Standing.GONE}
+STANDINGS = {"up": m.HostStatus.READY, "draining": m.HostStatus.DRAINING, "removed": m.HostStatus.GONE}
 REVISION_MOST = 2**53  # what any reader of JSON still tells apart
 TIME_MOST = 253_402_300_799_999  # the year 9999, in milliseconds
 
@@ -35,7 +35,7 @@
     zone: str
     kind: str
     cell: int
-    standing: m.Standing
+    standing: m.HostStatus
     hint: float
     since: int
     part: float = 1.0
--- a/ternquay/net/meta.py
+++ b/ternquay/net/meta.py
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    end: m.End
+    end: m.HopOutcome
     body: bytes = b""  # the value or the receipt
     note: int = 0
 
@@ -363,9 +363,9 @@
         known, write = self.expected[0]
         verb = words[0] if words else b""
         if words[:2] == [b"SERVER_ERROR", b"busy"]:
-            self._give(found, Answer(m.End.FULL))
+            self._give(found, Answer(m.HopOutcome.FULL))
         elif words == [b"SERVER_ERROR", b"failed"]:
-            self._give(found, Answer(m.End.ERROR))
+            self._give(found, Answer(m.HopOutcome.ERROR))
         elif verb == b"VA" and not write and len(words) > 2 and b"O" + known in words[2:]:
             self.length, self.note = length_of(words[1]), self._note(words[2:])
             if not 0 <= self.length <= self.value_most:
@@ -377,7 +377,7 @@
             receipts = [w[1:] for w in words[1:] if w[:1] == b"c"]
             if len(receipts) != 1:
                 raise Broken("no receipt")
-            self._give(found, Answer(m.End.DONE, receipts[0], self._note(words[1:])))
+            self._give(found, Answer(m.HopOutcome.DONE, receipts[0], self._note(words[1:])))
         else:
             raise Broken(unexpected(verb, end - at))
         return end + 2
@@ -406,7 +406,7 @@
         if end < 0:
             return -1
         self.length = -1
-        self._give(found, Answer(m.End.DONE, bytes(self.buffer[at:end]), self.note))
+        self._give(found, Answer(m.HopOutcome.DONE, bytes(self.buffer[at:end]), self.note))
         return end + 2
 
     def _give(self, found: list[Reply], answer: Answer) -> None:
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -73,7 +73,7 @@
         )
         if connection is None:
             # Not the cache host's fault, and never sent.
-            self.door.hop_ended(hop, m.End.SKIPPED)
+            self.door.hop_ended(hop, m.HopOutcome.SKIPPED)
         else:
             connection.take(hop)
 
--- a/ternquay/state.py
+++ b/ternquay/state.py
@@ -31,7 +31,7 @@
     hash: int
     is_origin: bool
     since: int
-    standing: m.Standing
+    standing: m.HostStatus
     zone: int = -1
     cell: int = 0
     weight: float = 1.0
--- a/ternquay/wirehost/serve.py
+++ b/ternquay/wirehost/serve.py
@@ -11,17 +11,17 @@
 from ternquay.facts import US, Names, read_start
 
 ENDS = {
-    "done": m.End.DONE,
-    "err": m.End.ERROR,
-    "busy": m.End.FULL,
-    "etimedout": m.End.TIMED_OUT,
-    "econnrefused": m.End.UNREACHABLE,
-    "econnreset": m.End.RESET,
-    "ecanceled": m.End.CANCELLED,
-    "skipped": m.End.SKIPPED,
-    "enoent": m.End.MISS,
+    "done": m.HopOutcome.DONE,
+    "err": m.HopOutcome.ERROR,
+    "busy": m.HopOutcome.FULL,
+    "etimedout": m.HopOutcome.TIMED_OUT,
+    "econnrefused": m.HopOutcome.UNREACHABLE,
+    "econnreset": m.HopOutcome.RESET,
+    "ecanceled": m.HopOutcome.CANCELLED,
+    "skipped": m.HopOutcome.SKIPPED,
+    "enoent": m.HopOutcome.MISS,
 }
-STANDINGS = {"IN": m.Standing.READY, "LAME": m.Standing.DRAINING, "OUT": m.Standing.GONE}
+STANDINGS = {"IN": m.HostStatus.READY, "LAME": m.HostStatus.DRAINING, "OUT": m.HostStatus.GONE}
 
 
 class WireError(Exception):
@@ -47,17 +47,17 @@
             self.addresses.append(address)
         return index
 
-    def lines(self, records: list[dict[str, Any]] | None) -> tuple[m.Listed, ...]:
+    def lines(self, records: list[dict[str, Any]] | None) -> tuple[m.ListedHost, ...]:
         return tuple(
-            m.Listed(
+            m.ListedHost(
                 host=self.host(r["Host"]),
                 address=r["Host"],
                 zone=self.names.zones.get(r.get("Locality"), -1),
                 kind=self.names.kinds.get(r.get("ClassOfHost"), -1),
                 cell=r.get("Block") or 0,
-                standing=STANDINGS[r["Availability"]],
-                hint=float(r.get("CapacityHint") or 0.0),
-                since=(r.get("OnlineSince") or 0) * US,
+                status=STANDINGS[r["Availability"]],
+                weight=float(r.get("CapacityHint") or 0.0),
+                started_at=(r.get("OnlineSince") or 0) * US,
             )
             for r in records or ()
         )
@@ -105,7 +105,7 @@
             return None if tx is None else m.TxGone(tx)
         if name == "Membership":
             if e["Mode"] == "Error":
-                return m.ListLost()
+                return m.ListUnavailable()
             return m.ListChanged(e["Mode"] != "Partial", self.lines(e.get("Records")))
         if name in ("StatusBack", "Inbox", "Flowing"):
             return None  # nothing asks for probes, peers or streams yet
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -26,14 +26,14 @@
 from ternquay.net.sockets import Sockets
 from ternquay.net.turn import Turn
 
-READ = m.Profile(m.Kind.IDEMPOTENT, m.Scope.ALL, 0, 600 * MS, 1500 * MS, 0.0)
-MARKED = replace(READ, kind=m.Kind.JOURNALLED, memory=300 * MS)
-ONCE = replace(READ, kind=m.Kind.NON_IDEMPOTENT)
+READ = m.Profile(m.Semantics.IDEMPOTENT, m.DedupScope.ALL, 0, 600 * MS, 1500 * MS, 0.0)
+MARKED = replace(READ, semantics=m.Semantics.JOURNALLED, dedup_window=300 * MS)
+ONCE = replace(READ, semantics=m.Semantics.NON_IDEMPOTENT)
 START = m.Started(
     seed=7,
     balancers=2,
     number=0,
-    profiles=(READ, MARKED, ONCE, replace(MARKED, scope=m.Scope.ZONE)),
+    profiles=(READ, MARKED, ONCE, replace(MARKED, dedup_scope=m.DedupScope.ZONE)),
     quotas=(4.0, 1000.0),
     aside=False,
     origin_kind=-1,
@@ -41,7 +41,7 @@
     cancel=True,
     parallel=True,
     most_hops=4,
-    weights=m.Weights.NONE,
+    weights=m.WeightMode.NONE,
     max_backoff=SECOND,
     quantum=5 * MS,
     cold_share=0.2,
@@ -53,8 +53,8 @@
 TRACES = Path(__file__).parent / "traces"
 
 
-def line(host: int, standing: m.Standing = m.Standing.READY, since: int = 0, kind: int = 0) -> m.Listed:
-    return m.Listed(host, f"10.0.0.{host}:80", host % 2, kind, host % 2, standing, 1.0, since)
+def line(host: int, standing: m.HostStatus = m.HostStatus.READY, since: int = 0, kind: int = 0) -> m.ListedHost:
+    return m.ListedHost(host, f"10.0.0.{host}:80", host % 2, kind, host % 2, standing, 1.0, since)
 
 
 def same(name: str, trace: list[str]) -> None:
@@ -98,8 +98,8 @@
             self.trace.append(f"{(self.now - T0) // MS:6} ms  {said}: {', '.join(done) or 'nothing'}")
         return done
 
-    def list(self, *lines: m.Listed, whole: bool = False) -> None:
-        said = " ".join(f"{x.host}={x.standing.name.lower()}" for x in lines)
+    def list(self, *lines: m.ListedHost, whole: bool = False) -> None:
+        said = " ".join(f"{x.host}={x.status.name.lower()}" for x in lines)
         self.feed(f"list {said}", m.ListChanged(whole, lines))
 
     def arrive(
@@ -110,8 +110,8 @@
         self.feed(f"tx {self.tx} profile {profile} key {key}", event)
         return self.tx
 
-    def end(self, tx: int, end: m.End, hop: int = 0, took: int = 10, note: int = 1) -> None:
-        closed = end is m.End.DONE
+    def end(self, tx: int, end: m.HopOutcome, hop: int = 0, took: int = 10, note: int = 1) -> None:
+        closed = end is m.HopOutcome.DONE
         self.feed(f"hop {tx}.{hop} ends {end.name}", m.HopEnded(tx, hop, end, took * MS, closed, note))
 
     def run(self, ms: int) -> None:
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -39,7 +39,7 @@
     for number in range(many):
         tx = play.arrive(key=f"k{number}")
         for hop in range(len(play.hops.get(tx, []))):
-            play.end(tx, m.End.DONE, hop)
+            play.end(tx, m.HopOutcome.DONE, hop)
         play.run(20)
     return {host for hosts in play.hops.values() for host in hosts}
 
@@ -49,7 +49,7 @@
 def test_hosts_that_the_list_lacks_are_used_where_that_is_advice_alone(how: str, advice: bool) -> None:
     play = Play(4, gone_is_advice=advice)
     if how == "called gone":
-        play.list(line(1, m.Standing.GONE), line(2, m.Standing.GONE))
+        play.list(line(1, m.HostStatus.GONE), line(2, m.HostStatus.GONE))
     elif how == "left out":
         play.list(line(0), line(3), whole=True)
     else:
@@ -62,20 +62,20 @@
 
 def test_a_draining_that_was_seen_binds_whatever_the_list_says_next() -> None:
     play = Play(4, **ADVICE)
-    play.list(line(2, m.Standing.DRAINING))
+    play.list(line(2, m.HostStatus.DRAINING))
     assert sent(play) == {0, 1, 3}
-    for lines in ((line(2, m.Standing.GONE),), (line(2),)):  # gone, and an older list that comes again
+    for lines in ((line(2, m.HostStatus.GONE),), (line(2),)):  # gone, and an older list that comes again
         play.list(*lines)
         assert sent(play) == {0, 1, 3}
     play.list(*(line(h) for h in range(4)), whole=True)
     assert sent(play) == {0, 1, 3}
     play.list(line(2, since=play.now - SECOND))  # started again: another process than the one that drained
-    assert play.balancer.hosts[2].standing is m.Standing.READY
+    assert play.balancer.hosts[2].standing is m.HostStatus.READY
 
 
 def test_where_gone_binds_an_up_after_a_draining_counts_at_once() -> None:
     play = Play(4)
-    play.list(line(2, m.Standing.DRAINING))
+    play.list(line(2, m.HostStatus.DRAINING))
     play.list(line(2))
     assert sent(play) == {0, 1, 2, 3}
 
@@ -84,7 +84,7 @@
 def test_a_few_that_the_list_drops_are_believed_to_be_gone(advice: bool) -> None:
     """As many as fail together by themselves: to go on with them cost more than it brought."""
     play = Play(6, gone_is_advice=advice)
-    play.list(line(1, m.Standing.GONE))
+    play.list(line(1, m.HostStatus.GONE))
     assert sent(play) == {0, 2, 3, 4, 5}
     play.list(*(line(h) for h in (0, 2, 3, 4)), whole=True)
     assert sent(play) == {0, 2, 3, 4}
@@ -97,7 +97,7 @@
     for number in range(60):
         tx = play.arrive(key=f"x{number}")
         for hop, host in enumerate(play.hops.get(tx, [])):
-            play.end(tx, m.End.UNREACHABLE if host == 5 else m.End.DONE, hop)
+            play.end(tx, m.HopOutcome.UNREACHABLE if host == 5 else m.HopOutcome.DONE, hop)
     assert play.balancer.hosts[5].out_until > play.now and sent(play) <= {0, 1, 2, 3, 4}
 
 
--- a/tests/test_anywhere.py
+++ b/tests/test_anywhere.py
@@ -14,7 +14,9 @@
         at = 0
         while at < len(play.hops.get(tx, [])):
             errs = wrong or play.hops[tx][at] in bad
-            play.end(tx, m.End.ERROR if errs else m.End.DONE, at, took=3 if errs else 10, note=0 if errs else 1)
+            play.end(
+                tx, m.HopOutcome.ERROR if errs else m.HopOutcome.DONE, at, took=3 if errs else 10, note=0 if errs else 1
+            )
             at += 1
         hops += at * wrong
         play.run(10)
@@ -40,28 +42,28 @@
 def test_a_key_that_is_answered_again_is_no_longer_held_to_fail_and_the_table_is_bounded() -> None:
     play = Play(4)
     tx = play.arrive(key="x")
-    play.end(tx, m.End.ERROR, 0)
-    play.end(tx, m.End.ERROR, 1)
+    play.end(tx, m.HopOutcome.ERROR, 0)
+    play.end(tx, m.HopOutcome.ERROR, 1)
     assert len(play.balancer.bad) == 1
     tx = play.arrive(key="x")
-    play.end(tx, m.End.ERROR, 0)
+    play.end(tx, m.HopOutcome.ERROR, 0)
     assert len(play.hops[tx]) == 1  # one hop, and no other's place
     tx = play.arrive(key="x")
-    play.end(tx, m.End.DONE, 0)
+    play.end(tx, m.HopOutcome.DONE, 0)
     assert not play.balancer.bad
     for number in range(3 * BAD_MOST):
         play.balancer.extra, play.balancer.fetch_fails, play.balancer.rest_until = 10.0, 0, 0
         tx = play.arrive(key=f"x{number}")
         for at in range(2):
             if at < len(play.hops.get(tx, [])):
-                play.end(tx, m.End.ERROR, at)
+                play.end(tx, m.HopOutcome.ERROR, at)
         play.run(1)
     assert BAD_MOST // 2 < len(play.balancer.bad) <= BAD_MOST
     play.run(11 * SECOND // MS)
     play.balancer.extra, play.balancer.fetch_fails, play.balancer.rest_until = 10.0, 0, 0
     tx = play.arrive(key="y")
-    play.end(tx, m.End.ERROR, 0)
-    play.end(tx, m.End.ERROR, 1)
+    play.end(tx, m.HopOutcome.ERROR, 0)
+    play.end(tx, m.HopOutcome.ERROR, 1)
     assert len(play.balancer.bad) == 1  # what is over is let go of for the next
 
 
@@ -69,9 +71,9 @@
     play = Play(4)
     tx = play.arrive(key="x")
     first = play.balancer.hosts[play.hops[tx][0]]
-    play.end(tx, m.End.ERROR, 0)
+    play.end(tx, m.HopOutcome.ERROR, 0)
     assert first.fails == 0 and not first.out_for
-    play.end(tx, m.End.DONE, 1)
+    play.end(tx, m.HopOutcome.DONE, 1)
     assert first.fails == 1 or first.out_for
 
 
@@ -79,13 +81,13 @@
     play = Play(4)
     tx = play.arrive(key="x", share=0)
     before = play.balancer.share_left[0]
-    play.end(tx, m.End.ERROR, 0)
-    play.end(tx, m.End.ERROR, 1)
+    play.end(tx, m.HopOutcome.ERROR, 0)
+    play.end(tx, m.HopOutcome.ERROR, 1)
     assert play.balancer.share_left[0] == before + 1.0  # given back
     for _ in range(20):  # more than its bucket holds
         tx = play.arrive(key="x", share=0)
         if tx in play.hops:
-            play.end(tx, m.End.ERROR, 0)
+            play.end(tx, m.HopOutcome.ERROR, 0)
     assert play.balancer.share_left[0] >= before
     tx = play.arrive(key="good", share=0)
     assert not play.balancer.txs[tx].over
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -9,7 +9,7 @@
 
 def settle(p: Play, keys: int = 40, rounds: int = 10, pause: int = 5) -> None:
     for n in range(keys * rounds):
-        p.end(p.arrive(f"k{n % keys}"), m.End.DONE)
+        p.end(p.arrive(f"k{n % keys}"), m.HopOutcome.DONE)
         p.run(pause)
     p.trace.clear()
 
@@ -18,7 +18,7 @@
     p = Play(5)
     settle(p)
     before = {f"k{n}": p.hops[p.tx - 39 + n][0] for n in range(40)}
-    p.list(line(2, m.Standing.GONE))
+    p.list(line(2, m.HostStatus.GONE))
     settle(p, rounds=1)
     after = {f"k{n}": p.hops[p.tx - 39 + n][0] for n in range(40)}
     moved = [k for k in before if before[k] != after[k]]
@@ -47,11 +47,11 @@
 def test_hot_keys_become_ranges_of_their_own_and_fold_back() -> None:
     p = Play()
     for n in range(600):
-        p.end(p.arrive("hot" if n % 2 else f"k{n}"), m.End.DONE)
+        p.end(p.arrive("hot" if n % 2 else f"k{n}"), m.HopOutcome.DONE)
     hot = text_hash("hot")
     assert list(p.balancer.singles) == [hot]
     for n in range(5000):
-        p.end(p.arrive(f"k{n}"), m.End.DONE)
+        p.end(p.arrive(f"k{n}"), m.HopOutcome.DONE)
     assert hot not in p.balancer.singles and sum(p.balancer.loads) == len(p.balancer.window)
     assert all(0 <= number < RANGES for number in p.balancer.ranges)
     # Kept, as a search for it at each of 512 placements held up everything for 20 ms.
@@ -70,11 +70,11 @@
     p = Play(4)
     settle(p)
     for _ in range(3):
-        p.end(p.arrive("k1"), m.End.RESET)
+        p.end(p.arrive("k1"), m.HopOutcome.RESET)
     p.arrive("k1")
     p.run(1100)
-    p.end(p.arrive("k1"), m.End.DONE)
-    p.end(p.arrive("k1"), m.End.DONE)
+    p.end(p.arrive("k1"), m.HopOutcome.DONE)
+    p.end(p.arrive("k1"), m.HopOutcome.DONE)
     p.matches("out_and_back")
 
 
@@ -82,7 +82,7 @@
     p = Play(4)
     settle(p)
     for n in range(40):
-        p.end(p.arrive(f"k{n}"), m.End.RESET)
+        p.end(p.arrive(f"k{n}"), m.HopOutcome.RESET)
     out = sum(h.out_until > p.now for h in p.balancer.ready)
     assert out <= 1
 
@@ -96,18 +96,18 @@
         p.arrive(f"k{other}")
     p.run(400)
     second = max(p.hops, key=lambda t: len(p.hops[t]))
-    p.end(second, m.End.DONE, hop=1, took=10)
-    p.end(second, m.End.CANCELLED)
+    p.end(second, m.HopOutcome.DONE, hop=1, took=10)
+    p.end(second, m.HopOutcome.CANCELLED)
     p.matches("second_copy")
 
 
 def test_not_in_time_is_rolled_back_at_once_but_for_one_on_trial() -> None:
     p = Play(1)
     settle(p, pause=400)
-    p.end(p.arrive("k1"), m.End.DONE, took=5000)
+    p.end(p.arrive("k1"), m.HopOutcome.DONE, took=5000)
     trial = p.arrive("k1")
     p.arrive("k1")
-    p.end(trial, m.End.DONE)
+    p.end(trial, m.HopOutcome.DONE)
     p.run(5000)
     p.arrive("k1")
     p.arrive("k1")
@@ -116,7 +116,7 @@
 
 def test_a_try_whose_goal_has_passed_is_not_sent() -> None:
     p = Play()
-    p.end(p.arrive(), m.End.DONE)
+    p.end(p.arrive(), m.HopOutcome.DONE)
     p.arrive(ttl=700, again=True)
     p.matches("goal_passed")
 
@@ -124,11 +124,11 @@
 def test_what_is_beyond_its_share_needs_more_room() -> None:
     p = Play(1)
     settle(p, pause=400)
-    p.end(p.arrive("k1"), m.End.DONE, took=900)
+    p.end(p.arrive("k1"), m.HopOutcome.DONE, took=900)
     for _ in range(10):
         tx = p.arrive("k1", share=0)
         if tx in p.hops:
-            p.end(tx, m.End.DONE, took=188)
+            p.end(tx, m.HopOutcome.DONE, took=188)
     p.arrive("k1", share=1)
     p.matches("share")
 
@@ -136,17 +136,17 @@
 def test_aside_what_is_not_there_comes_from_the_origin() -> None:
     p = Play(3, origin=True)
     first, second = p.arrive(), p.arrive()
-    p.end(first, m.End.MISS)
-    p.end(second, m.End.MISS)
-    p.end(first, m.End.DONE, hop=1)
-    p.end(second, m.End.ERROR, hop=1)
+    p.end(first, m.HopOutcome.MISS)
+    p.end(second, m.HopOutcome.MISS)
+    p.end(first, m.HopOutcome.DONE, hop=1)
+    p.end(second, m.HopOutcome.ERROR, hop=1)
     p.matches("aside_miss")
 
 
 def test_aside_writes_go_to_the_origin_and_not_without_it() -> None:
     p = Play(3, origin=True)
-    p.end(p.arrive(profile=1), m.End.DONE)
-    p.list(line(9, m.Standing.GONE, kind=1))
+    p.end(p.arrive(profile=1), m.HopOutcome.DONE)
+    p.list(line(9, m.HostStatus.GONE, kind=1))
     p.arrive(profile=1)
     p.matches("aside_writes")
 
@@ -155,11 +155,11 @@
     """Against an origin that answers each of many fetches at once, with an error."""
     p = Play(3)
     for n in range(3):
-        p.end(p.arrive(f"k{n}"), m.End.ERROR, note=2)
+        p.end(p.arrive(f"k{n}"), m.HopOutcome.ERROR, note=2)
     p.arrive("k4")
     p.arrive("k5", profile=2)
     p.run(2500)
-    p.end(p.arrive("k4"), m.End.DONE, note=2)
+    p.end(p.arrive("k4"), m.HopOutcome.DONE, note=2)
     p.arrive("k4")
     p.matches("through_rest")
 
@@ -167,14 +167,14 @@
 def test_one_heavy_answer_does_not_close_the_origin() -> None:
     p = Play(3, origin=True)
     for n in range(30):
-        p.end(p.arrive(f"w{n}", profile=1), m.End.DONE, took=2000 if n == 20 else 50)
+        p.end(p.arrive(f"w{n}", profile=1), m.HopOutcome.DONE, took=2000 if n == 20 else 50)
     assert p.balancer.origin_limit >= ORIGIN_START / 2
 
 
 def test_an_origin_late_in_the_mean_is_asked_less() -> None:
     p = Play(3, origin=True)
     for n in range(30):
-        p.end(p.arrive(f"w{n}", profile=1), m.End.DONE, took=900)
+        p.end(p.arrive(f"w{n}", profile=1), m.HopOutcome.DONE, took=900)
         p.run(50)
     assert p.balancer.origin_limit < 8
 
@@ -192,7 +192,7 @@
 def test_a_silent_or_lost_list_is_asked_for_again_and_again_later() -> None:
     p = Play(2, watch_list=True)
     for _ in range(4):
-        p.feed("list lost", m.ListLost())
+        p.feed("list lost", m.ListUnavailable())
         p.run(9000)
     p.arrive()
     p.matches("list_lost")
@@ -208,9 +208,9 @@
 def test_events_of_ended_or_unknown_transactions_are_passed_over() -> None:
     p = Play()
     tx = p.arrive()
-    p.end(tx, m.End.DONE)
-    p.end(tx, m.End.DONE)
-    p.end(99, m.End.ERROR)
+    p.end(tx, m.HopOutcome.DONE)
+    p.end(tx, m.HopOutcome.DONE)
+    p.end(99, m.HopOutcome.ERROR)
     p.feed("gone 99", m.TxGone(99))
     p.run(1000)
     p.matches("passed_over")
@@ -222,7 +222,7 @@
     p.list(line(1, since=p.now - 12_000_000_000))
     p.trace.clear()
     for n in range(40):
-        p.end(p.arrive(f"k{n}"), m.End.DONE)
+        p.end(p.arrive(f"k{n}"), m.HopOutcome.DONE)
     assert not any("roll back" in said for said in p.trace)
 
 
@@ -241,7 +241,7 @@
     for _ in range(8):
         p.arrive("k1")
     for tx in range(p.tx - 7, p.tx + 1):
-        p.end(tx, m.End.TIMED_OUT, took=5000)
+        p.end(tx, m.HopOutcome.TIMED_OUT, took=5000)
     p.arrive("k1")
     p.arrive("k2")
     p.matches("crowded_fleet")
@@ -255,16 +255,16 @@
     for _ in range(3):
         tx = p.arrive("k1")
         if p.hops[tx] == p.hops[tx - 1] or not p.trace[1:]:
-            p.end(tx, m.End.FULL)
+            p.end(tx, m.HopOutcome.FULL)
     p.matches("turned_away")
 
 
 def test_aside_what_no_host_answers_in_time_the_origin_may() -> None:
     p = Play(1, origin=True)
     settle(p)
-    p.end(p.arrive("k1"), m.End.DONE, took=20000)
+    p.end(p.arrive("k1"), m.HopOutcome.DONE, took=20000)
     p.arrive("k1")
-    p.end(p.arrive("k1"), m.End.DONE)
+    p.end(p.arrive("k1"), m.HopOutcome.DONE)
     p.matches("overflow")
 
 
@@ -274,7 +274,7 @@
     for number in range(0, 200, 20):
         p = Play(60, balancers=200, number=number)
         for n in range(60):
-            p.end(p.arrive("hot" if n % 4 == 0 else f"k{n}"), m.End.DONE)
+            p.end(p.arrive("hot" if n % 4 == 0 else f"k{n}"), m.HopOutcome.DONE)
         p.trace.clear()
         hosts = {p.hops[p.arrive("hot")][0] for _ in range(2)}
         kept += len(hosts) == 1
@@ -290,7 +290,7 @@
         p.run(50)
         for tx in list(p.hops):
             if tx in p.balancer.txs:
-                p.end(tx, m.End.DONE, took=50)
+                p.end(tx, m.HopOutcome.DONE, took=50)
     p.matches("paced")
 
 
@@ -300,7 +300,7 @@
     for _ in range(12):
         tx = p.arrive("k1", share=0)
         over.append(p.balancer.txs[tx].over)
-        p.end(tx, m.End.DONE)
+        p.end(tx, m.HopOutcome.DONE)
         p.run(4000)
     assert over.count(True) <= 2
 
@@ -310,8 +310,8 @@
     p = Play(6)
     settle(p)
     for n in range(6):
-        p.end(p.arrive(f"w{n}", profile=2), m.End.RESET)
-    p.end(p.arrive("w6", profile=2), m.End.DONE)
+        p.end(p.arrive(f"w{n}", profile=2), m.HopOutcome.RESET)
+    p.end(p.arrive("w6", profile=2), m.HopOutcome.DONE)
     assert p.balancer.origin_limit >= ORIGIN_START / 2 and not p.balancer.rest_until
     p.matches("origin_kept")
 
@@ -322,23 +322,23 @@
 
     def lose(key: str) -> None:
         tx = p.arrive(key)
-        p.end(tx, m.End.RESET)
-        p.end(tx, m.End.DONE, hop=1)
+        p.end(tx, m.HopOutcome.RESET)
+        p.end(tx, m.HopOutcome.DONE, hop=1)
 
     settle(p)
     for n in range(300):
-        p.end(p.arrive(f"k{n % 40}"), m.End.DONE) if n % 10 else lose(f"k{n % 40}")
+        p.end(p.arrive(f"k{n % 40}"), m.HopOutcome.DONE) if n % 10 else lose(f"k{n % 40}")
         p.run(5)
     home = p.hops[p.arrive("k1")][0]
-    p.end(p.tx, m.End.DONE)
+    p.end(p.tx, m.HopOutcome.DONE)
     for _ in range(3):
         lose("k1")
     assert not any(h.out_until for h in p.balancer.ready)
-    p.end(p.arrive("k1"), m.End.DONE)
+    p.end(p.arrive("k1"), m.HopOutcome.DONE)
     p.run(1)
     for tx in [p.arrive(f"k{n}") for n in range(40)]:
         if p.hops[tx] != [home]:
-            p.end(tx, m.End.DONE)
+            p.end(tx, m.HopOutcome.DONE)
     p.run(400)
     assert [h.index for h in p.balancer.ready if h.out_until] == [home]
 
@@ -349,7 +349,7 @@
     for p, pause in ((rare, 1000), (many, 5)):
         settle(p, pause=pause)
         for n in range(10):
-            p.end(p.arrive(f"k{n}"), m.End.DONE, took=60)
+            p.end(p.arrive(f"k{n}"), m.HopOutcome.DONE, took=60)
     assert many.balancer.usual < 30 * MS < rare.balancer.usual
 
 
@@ -362,13 +362,13 @@
     late, fetch = p.arrive("k1"), p.arrive("x1")
     for n in range(100):
         p.run(4)
-        p.end(p.arrive(f"k{n % 40}"), m.End.DONE)
+        p.end(p.arrive(f"k{n % 40}"), m.HopOutcome.DONE)
         if n == 10:
-            p.end(p.arrive("x2"), m.End.DONE, note=2)
+            p.end(p.arrive("x2"), m.HopOutcome.DONE, note=2)
     assert [p.hops[tx] for tx in (late, fetch)] == [[p.hops[tx][0]] * 2 for tx in (late, fetch)]
     p.run(1000)
-    p.end(late, m.End.TIMED_OUT, took=600)
-    p.end(fetch, m.End.TIMED_OUT, took=600)
+    p.end(late, m.HopOutcome.TIMED_OUT, took=600)
+    p.end(fetch, m.HopOutcome.TIMED_OUT, took=600)
     assert p.balancer.usual == took and p.balancer.origin_limit >= limit
     assert not any(h.out_until for h in p.balancer.ready)
 
@@ -378,7 +378,12 @@
     p = Play(5)
     settle(p)
     p.balancer.extra, p.balancer.usual = 0.0, 100.0 * MS
-    for end, after in ((m.End.RESET, 3), (m.End.UNREACHABLE, 3), (m.End.RESET, 60), (m.End.ERROR, 3)):
+    for end, after in (
+        (m.HopOutcome.RESET, 3),
+        (m.HopOutcome.UNREACHABLE, 3),
+        (m.HopOutcome.RESET, 60),
+        (m.HopOutcome.ERROR, 3),
+    ):
         tx = p.arrive("k1")
         p.run(after)
         p.end(tx, end, took=after)
@@ -390,11 +395,11 @@
     p = Play(4)
     settle(p)
     home = p.hops[p.arrive("k1")][0]
-    p.end(p.tx, m.End.DONE)
+    p.end(p.tx, m.HopOutcome.DONE)
     others = [f"k{k}" for k in range(40) if p.hops[361 + k][0] != home]
     for key in ["k1", *others[:20]] * 20:
-        p.end(p.arrive(key), m.End.DONE, took=300 if key == "k1" else 10)
+        p.end(p.arrive(key), m.HopOutcome.DONE, took=300 if key == "k1" else 10)
     read = p.hops[p.arrive("k1")]
-    p.end(p.tx, m.End.DONE, took=300)
+    p.end(p.tx, m.HopOutcome.DONE, took=300)
     write = p.hops[p.arrive("k1", profile=2)]
     assert read == [home] and write != [home]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -28,7 +28,7 @@
 from tests.test_review_links import until
 from tests.test_upgrade import platform
 
-LISTED = Member("h1", Address("127.0.0.1", 9), "a", "k", 2, m.Standing.DRAINING, 1.5, 77)
+LISTED = Member("h1", Address("127.0.0.1", 9), "a", "k", 2, m.HostStatus.DRAINING, 1.5, 77)
 NOTE = Note(5, 100, True, "127.0.0.1:8500", 41, (LISTED,), {"usual": 1.5, "hosts": {}})
 
 
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -134,7 +134,7 @@
 PLACE, OTHER = Place("10.0.0.1", 80), Place("10.0.0.2", 80)
 
 
-def named(place: Place = PLACE, standing: m.Standing = m.Standing.READY, since: int = 0) -> Named:
+def named(place: Place = PLACE, standing: m.HostStatus = m.HostStatus.READY, since: int = 0) -> Named:
     return Named(place, standing, since)
 
 
@@ -145,8 +145,8 @@
     assert ledger.told(0, "b", {"y": named(since=50), "z": named(OTHER)}) == {"a", "b"}
     a, b = ledger.lines(0, "a")["x"], ledger.lines(0, "b")["y"]
     assert (a.part, b.part, a.since, a.shared) == (0.25, 0.75, 50, True) and ledger.lines(0, "b")["z"].part == 1.0
-    assert ledger.told(0, "b", {"y": named(standing=m.Standing.DRAINING, since=50), "z": named(OTHER)}) == {"a", "b"}
-    assert ledger.lines(0, "a")["x"].standing is m.Standing.DRAINING
+    assert ledger.told(0, "b", {"y": named(standing=m.HostStatus.DRAINING, since=50), "z": named(OTHER)}) == {"a", "b"}
+    assert ledger.lines(0, "a")["x"].standing is m.HostStatus.DRAINING
     assert ledger.left(0, "b") == {"a"}
     assert ledger.lines(0, "a")["x"] == replace(a, part=1.0, since=0, shared=False)
     assert ledger.left(0, "a") == set() and not ledger.machines and not ledger.lists
@@ -157,33 +157,33 @@
     ledger.told(0, "a", {"x": named()})
     ledger.told(0, "b", {"y": named()})
     assert ledger.told(5, "a", {}, [PLACE]) == {"a", "b"}
-    assert ledger.lines(5, "b")["y"].standing is m.Standing.DRAINING
-    assert ledger.due(5 + GONE_KEPT) == {"b"} and ledger.lines(5 + GONE_KEPT, "b")["y"].standing is m.Standing.READY
+    assert ledger.lines(5, "b")["y"].standing is m.HostStatus.DRAINING
+    assert ledger.due(5 + GONE_KEPT) == {"b"} and ledger.lines(5 + GONE_KEPT, "b")["y"].standing is m.HostStatus.READY
     ledger.told(9, "a", {"x": named()})
     ledger.told(9, "a", {}, [PLACE])
     ledger.told(9, "b", {"y": named(since=7)})  # another start of it: that is another machine
-    assert ledger.lines(9, "b")["y"].standing is m.Standing.READY
+    assert ledger.lines(9, "b")["y"].standing is m.HostStatus.READY
 
 
 def test_a_machine_that_answers_nobody_rests_for_all_and_one_that_answers_any_does_not() -> None:
     ledger = Ledger()
     ledger.told(0, "a", {"x": named()})
-    assert not any(ledger.ended(n, PLACE, m.End.RESET) for n in range(20))  # one tenant's own judges its health
+    assert not any(ledger.ended(n, PLACE, m.HopOutcome.RESET) for n in range(20))  # one tenant's own judges its health
     ledger.told(0, "b", {"y": named()})
     for n in range(FAILS - 1):
-        assert not ledger.ended(n, PLACE, m.End.TIMED_OUT)
-    assert not ledger.ended(5, PLACE, m.End.DONE)
+        assert not ledger.ended(n, PLACE, m.HopOutcome.TIMED_OUT)
+    assert not ledger.ended(5, PLACE, m.HopOutcome.DONE)
     for n in range(FAILS - 1):
-        assert not ledger.ended(n, PLACE, (m.End.RESET, m.End.UNREACHABLE, m.End.TIMED_OUT)[n])
-    assert ledger.ended(10, PLACE, m.End.CANCELLED) == set()
-    assert ledger.ended(10, PLACE, m.End.RESET) == {"a", "b"}
-    assert ledger.lines(11, "a")["x"].standing is ledger.lines(11, "b")["y"].standing is m.Standing.DRAINING
+        assert not ledger.ended(n, PLACE, (m.HopOutcome.RESET, m.HopOutcome.UNREACHABLE, m.HopOutcome.TIMED_OUT)[n])
+    assert ledger.ended(10, PLACE, m.HopOutcome.CANCELLED) == set()
+    assert ledger.ended(10, PLACE, m.HopOutcome.RESET) == {"a", "b"}
+    assert ledger.lines(11, "a")["x"].standing is ledger.lines(11, "b")["y"].standing is m.HostStatus.DRAINING
     assert ledger.due(SECOND) == set() and ledger.due(SECOND + 10) == {"a", "b"}
-    assert ledger.lines(SECOND + 10, "a")["x"].standing is m.Standing.READY
-    ledger.ended(SECOND + 20, PLACE, m.End.RESET)
-    assert ledger.ended(SECOND + 30, PLACE, m.End.RESET) == {"a", "b"}  # sooner after a rest, and for longer
+    assert ledger.lines(SECOND + 10, "a")["x"].standing is m.HostStatus.READY
+    ledger.ended(SECOND + 20, PLACE, m.HopOutcome.RESET)
+    assert ledger.ended(SECOND + 30, PLACE, m.HopOutcome.RESET) == {"a", "b"}  # sooner after a rest, and for longer
     assert ledger.due(3 * SECOND) == set() and ledger.due(3 * SECOND + 30) == {"a", "b"}
-    assert ledger.ended(0, OTHER, m.End.RESET) == set()
+    assert ledger.ended(0, OTHER, m.HopOutcome.RESET) == set()
 
 
 # ---- documents ----
@@ -584,14 +584,14 @@
     def sent(part: float) -> int:
         balancer = Balancer(replace(START, balancers=1, tip_window=10 * SECOND, warm_within=100 * SECOND))
         balancer.unit_rate = 20.0
-        line = m.Listed(0, "a", 0, 0, 0, m.Standing.READY, 1.0, T0 - 1, part)
+        line = m.ListedHost(0, "a", 0, 0, 0, m.HostStatus.READY, 1.0, T0 - 1, part)
         balancer.decide(T0, m.ListChanged(True, (line,)))
         hops = 0
         for n in range(200):
             for action in balancer.decide(T0 + n * MS, m.TxArrived(n, 0, -1, f"k{n}", 900 * MS, False, False)):
                 if isinstance(action, m.SendHop):
                     hops += 1
-                    balancer.decide(T0 + n * MS, m.HopEnded(n, 0, m.End.DONE, MS, True, 1))
+                    balancer.decide(T0 + n * MS, m.HopEnded(n, 0, m.HopOutcome.DONE, MS, True, 1))
         return hops
 
     alone, quarter = sent(1.0), sent(0.25)
@@ -601,14 +601,14 @@
 def test_other_figures_are_for_what_comes_and_what_is_open_ends_by_those_it_was_taken_with() -> None:
     balancer = Balancer(START)
     balancer.decide(
-        T0, m.ListChanged(True, tuple(m.Listed(n, f"h{n}", 0, 0, 0, m.Standing.READY, 1.0, 0) for n in range(3)))
+        T0, m.ListChanged(True, tuple(m.ListedHost(n, f"h{n}", 0, 0, 0, m.HostStatus.READY, 1.0, 0) for n in range(3)))
     )
     sends = [
         a for a in balancer.decide(T0, m.TxArrived(1, 2, -1, "k", 900 * MS, False, True)) if isinstance(a, m.SendHop)
     ]
     assert len(sends) == 1  # a non-idempotent one is out
     balancer.decide(T0 + MS, replace(START, profiles=(START.profiles[0],), quotas=()))
-    actions = balancer.decide(T0 + 2 * MS, m.HopEnded(1, 0, m.End.RESET, MS, False, 0))
+    actions = balancer.decide(T0 + 2 * MS, m.HopEnded(1, 0, m.HopOutcome.RESET, MS, False, 0))
     assert any(isinstance(a, m.Abandon) for a in actions) and not any(isinstance(a, m.SendHop) for a in actions)
     again = balancer.decide(T0 + 3 * MS, m.TxArrived(2, 0, 0, "k", 900 * MS, False, False))
     assert any(isinstance(a, m.SendHop) for a in again)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -111,7 +111,7 @@
     (SetKeys("sur", (Key("k", b"\5" * 32, Scope.READER, 5, 5),)), "keys[0].until"),
     (Replace(tenant("sur", state=State.ENDING)), "state"),
     (Replace(tenant("sur", profiles=())), "profiles"),
-    (Replace(tenant("sur", profiles=(NamedProfile("m", replace(MARKED, memory=0)),))), "profiles[0].memory"),
+    (Replace(tenant("sur", profiles=(NamedProfile("m", replace(MARKED, dedup_window=0)),))), "profiles[0].memory"),
     (Replace(tenant("sur", profiles=(NamedProfile("r", replace(READ, hard_limit=1)),))), "profiles[0].hard_limit"),
     (Replace(tenant("sur", rules=RuleFigures(S, 1.5, S, 4.0, S))), "rules.cold_share"),
     (Replace(tenant("sur", shares=(Share("a", 1.0),) * 2)), "shares[1]"),
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -228,11 +228,11 @@
     watch, agent = followed(net, monkeypatch)
     agent.calls[0].callback(told(9, member(1), member(2)))
     agent.calls[1].callback(told(4, member(1, "draining"), complete=False))
-    assert watch.revision == -1 and net.door.balancer.hosts[net.door.hosts["h1"]].standing is m.Standing.READY
+    assert watch.revision == -1 and net.door.balancer.hosts[net.door.hosts["h1"]].standing is m.HostStatus.READY
     until_asked(net, agent, 3)
     agent.calls[2].callback(told(4, member(1, "draining"), member(2)))
     assert watch.revision == 4
-    assert net.door.balancer.hosts[net.door.hosts["h1"]].standing is m.Standing.DRAINING
+    assert net.door.balancer.hosts[net.door.hosts["h1"]].standing is m.HostStatus.DRAINING
 
 
 @pytest.mark.parametrize("stays", [True, False])
@@ -275,17 +275,17 @@
     play = Play(hosts=3)
     tx = play.arrive("a")
     home = play.hops[tx][0]
-    play.end(tx, m.End.DONE)
-    play.list(line(home, m.Standing.GONE))
+    play.end(tx, m.HopOutcome.DONE)
+    play.list(line(home, m.HostStatus.GONE))
     play.list(line(home))
     assert play.hops[play.arrive("a")] == [home]
 
 
 def test_weights_that_change_give_the_orders_of_a_fresh_start() -> None:
-    def weighed(*hints: float) -> tuple[m.Listed, ...]:
-        return tuple(m.Listed(n, f"h{n}", 0, 0, 0, m.Standing.READY, hint, 0) for n, hint in enumerate(hints))
+    def weighed(*hints: float) -> tuple[m.ListedHost, ...]:
+        return tuple(m.ListedHost(n, f"h{n}", 0, 0, 0, m.HostStatus.READY, hint, 0) for n, hint in enumerate(hints))
 
-    old, new = Play(hosts=0, weights=m.Weights.SIZES), Play(hosts=0, weights=m.Weights.SIZES)
+    old, new = Play(hosts=0, weights=m.WeightMode.STATIC), Play(hosts=0, weights=m.WeightMode.STATIC)
     for hints in ((1.0, 1.0, 1.0, 1.0), (4.0, 1.0, 0.5, 1.0)):
         old.list(*weighed(*hints), whole=True)
         for group in range(64):
@@ -302,12 +302,12 @@
         if n % 97 == 0:
             drains = n // 97 % 4
             play.list(
-                *(line(h, m.Standing.DRAINING if h == drains else m.Standing.READY) for h in range(4)), whole=True
+                *(line(h, m.HostStatus.DRAINING if h == drains else m.HostStatus.READY) for h in range(4)), whole=True
             )
         if len(out) > 6:
-            play.end(out.pop(0), m.End.DONE)
+            play.end(out.pop(0), m.HopOutcome.DONE)
     for tx in out:
-        play.end(tx, m.End.DONE)
+        play.end(tx, m.HopOutcome.DONE)
     balancer = play.balancer
     assert not balancer.txs and balancer.inflight == 0 and all(h.inflight == 0 for h in balancer.hosts.values())
     counts = sum(r.count for r in (*balancer.ranges.values(), *balancer.singles.values()))
@@ -318,9 +318,9 @@
     play = Play(hosts=2)
     for n in range(300):
         play.list(line(n), line(n + 1), whole=True)
-        play.end(play.arrive("hot"), m.End.DONE)
+        play.end(play.arrive("hot"), m.HopOutcome.DONE)
     for _ in range(600):  # past the next time that ranges are placed
-        play.end(play.arrive("hot"), m.End.DONE)
+        play.end(play.arrive("hot"), m.HopOutcome.DONE)
     assert all(len(hosts) <= 2 for hosts in play.balancer.held.values())
 
 
--- a/tests/test_review_step.py
+++ b/tests/test_review_step.py
@@ -30,14 +30,14 @@
         ]
         self.sent: list[tuple[int, int, int]] = []  # when, by whom, where
         self.backs: list[int] = []  # when a client that was rolled back comes again
-        lines = tuple(m.Listed(h, f"h{h}", 0, 0, 0, m.Standing.READY, 1.0, 0) for h in range(HOSTS))
+        lines = tuple(m.ListedHost(h, f"h{h}", 0, 0, 0, m.HostStatus.READY, 1.0, 0) for h in range(HOSTS))
         for who in range(MANY):
             self.feed(who, m.ListChanged(True, lines))
 
     note = 1  # all is found at the cache hosts
 
-    def answer(self, who: int, host: int) -> tuple[m.End, int]:
-        return m.End.DONE, 10 * MS
+    def answer(self, who: int, host: int) -> tuple[m.HopOutcome, int]:
+        return m.HopOutcome.DONE, 10 * MS
 
     def at(self, when: int, who: int, event: m.Event) -> None:
         from heapq import heappush
@@ -51,7 +51,7 @@
                 hop = sum(1 for one in self.balancers[who].txs[a.tx].hops) - 1
                 end, took = self.answer(who, a.host)
                 self.sent.append((self.now, who, a.host))
-                self.at(self.now + took, who, m.HopEnded(a.tx, hop, end, took, end is m.End.DONE, self.note))
+                self.at(self.now + took, who, m.HopEnded(a.tx, hop, end, took, end is m.HopOutcome.DONE, self.note))
             elif isinstance(a, m.SetTimer):
                 self.at(max(self.now, a.at), who, m.TimerFired())
             elif isinstance(a, m.RollBack):
@@ -91,8 +91,10 @@
     fleet = Fleet()
     failing, began = 3, 4 * SECOND
 
-    def answer(who: int, host: int) -> tuple[m.End, int]:
-        return (m.End.RESET, 5 * MS) if host == failing and fleet.now > T0 + began else (m.End.DONE, 10 * MS)
+    def answer(who: int, host: int) -> tuple[m.HopOutcome, int]:
+        return (
+            (m.HopOutcome.RESET, 5 * MS) if host == failing and fleet.now > T0 + began else (m.HopOutcome.DONE, 10 * MS)
+        )
 
     fleet.answer = answer  # type: ignore[method-assign]
     fleet.load(8.0, 40, 3000, skew)
@@ -114,9 +116,9 @@
     fleet.load(10.0, 60, 600, 3.0)
     silent, began, ended = 3, 3 * SECOND, 9 * SECOND
 
-    def answer(who: int, host: int) -> tuple[m.End, int]:
+    def answer(who: int, host: int) -> tuple[m.HopOutcome, int]:
         out = host == silent and T0 + began < fleet.now < T0 + ended
-        return (m.End.RESET, MS) if out else (m.End.DONE, 10 * MS)
+        return (m.HopOutcome.RESET, MS) if out else (m.HopOutcome.DONE, 10 * MS)
 
     fleet.answer = answer  # type: ignore[method-assign]
     fleet.run(10.0)
@@ -132,8 +134,10 @@
     down = (3 * SECOND, 6 * SECOND)
     draw = Random(9)
 
-    def answer(who: int, host: int) -> tuple[m.End, int]:
-        return (m.End.ERROR, 20 * MS) if T0 + down[0] < fleet.now < T0 + down[1] else (m.End.DONE, 40 * MS)
+    def answer(who: int, host: int) -> tuple[m.HopOutcome, int]:
+        return (
+            (m.HopOutcome.ERROR, 20 * MS) if T0 + down[0] < fleet.now < T0 + down[1] else (m.HopOutcome.DONE, 40 * MS)
+        )
 
     fleet.answer = answer  # type: ignore[method-assign]
     for who in range(MANY):
@@ -192,6 +196,6 @@
     wakes = []
     for number in range(MANY):
         balancer = Balancer(replace(START, number=number, balancers=MANY, watch_list=True))
-        balancer.decide(T0, m.ListLost())
+        balancer.decide(T0, m.ListUnavailable())
         wakes.append(min(at for at, _, what in balancer.wakes.heap if what == -2))
     assert max(Counter(at // BIN for at in wakes).values()) <= MANY // 2, wakes
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,8 +11,8 @@
 @pytest.mark.parametrize("profile", range(4))
 def test_every_profile_against_every_end(profile: int) -> None:
     p = Play()
-    for end in m.End:
-        if end is not m.End.DONE:
+    for end in m.HopOutcome:
+        if end is not m.HopOutcome.DONE:
             p.end(p.arrive(f"k{end}", profile), end)
             p.run(1000)
     p.matches(f"ends_profile_{profile}")
@@ -22,10 +22,10 @@
     p = Play(parallel=False)
     tx = p.arrive(profile=2)
     p.run(2000)
-    p.end(tx, m.End.CANCELLED)
-    p.end(tx, m.End.CANCELLED)
+    p.end(tx, m.HopOutcome.CANCELLED)
+    p.end(tx, m.HopOutcome.CANCELLED)
     tx = p.arrive()
-    p.end(tx, m.End.TIMED_OUT, took=600)
+    p.end(tx, m.HopOutcome.TIMED_OUT, took=600)
     p.feed("gone", m.TxGone(tx))
     p.matches("one_answer")
 
@@ -34,7 +34,7 @@
     p = Play()
     tx = p.arrive(profile=2, ttl=100)
     p.now += 100_000_000
-    p.end(tx, m.End.TIMED_OUT, took=100)
+    p.end(tx, m.HopOutcome.TIMED_OUT, took=100)
     p.matches("hard_limit")
 
 
@@ -42,18 +42,18 @@
     p = Play()
     tx = p.arrive(profile=1)
     p.now += 299_000_000
-    p.end(tx, m.End.RESET, took=299)
+    p.end(tx, m.HopOutcome.RESET, took=299)
     p.matches("memory")
 
 
 def test_nothing_new_after_a_drain_or_a_whole_list_without_it() -> None:
     p = Play(2)
     first = p.hops[p.arrive()][0]
-    p.list(line(first, m.Standing.DRAINING))
+    p.list(line(first, m.HostStatus.DRAINING))
     p.arrive()
     p.list(line(first), whole=True)
     p.arrive()
-    p.list(line(first, m.Standing.GONE))
+    p.list(line(first, m.HostStatus.GONE))
     p.arrive()
     p.matches("drain")
 
@@ -61,7 +61,7 @@
 def test_a_restarted_host_comes_back_range_by_range_within_its_budget() -> None:
     p = Play(3)
     for n in range(400):
-        p.end(p.arrive(f"k{n}"), m.End.DONE)
+        p.end(p.arrive(f"k{n}"), m.HopOutcome.DONE)
         p.run(10)
     before = sum(hops == [1] for hops in p.hops.values())
     p.trace.clear()
@@ -70,7 +70,7 @@
     for second in range(20):
         seen, rate = p.tx, p.balancer.unit_rate
         for n in range(100):
-            p.end(p.arrive(f"k{n}"), m.End.DONE)
+            p.end(p.arrive(f"k{n}"), m.HopOutcome.DONE)
             p.run(10)
         taken.append(sum(1 in p.hops.get(tx, []) for tx in range(seen + 1, p.tx + 1)))
         part = 1.5 * max(rate, p.balancer.unit_rate) * (0.2 + 0.8 * (second + 1) / 20)  # of a multiple of 3
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -23,14 +23,14 @@
 
 from .helper import FACTS, Play, line
 
-LIVE: dict[str, Any] = {"weights": m.Weights.LIVE}
+LIVE: dict[str, Any] = {"weights": m.WeightMode.LIVE}
 SIZES = (0.5, 1.0, 1.5)
 
 
-def live(held: dict[int, float], hosts: int = 6, zones: int = 1) -> list[m.Listed]:
+def live(held: dict[int, float], hosts: int = 6, zones: int = 1) -> list[m.ListedHost]:
     """The list as it stands when host n, of kind n % 3 and its size, holds so many a core."""
     return [
-        replace(line(h, kind=h % 3), zone=h % zones, hint=SIZES[h % 3] / (1 + held.get(h, 0.0))) for h in range(hosts)
+        replace(line(h, kind=h % 3), zone=h % zones, weight=SIZES[h % 3] / (1 + held.get(h, 0.0))) for h in range(hosts)
     ]
 
 
@@ -40,7 +40,7 @@
     return p
 
 
-def homes(p: Play, keys: int = 60, ends: m.End = m.End.DONE) -> list[int]:
+def homes(p: Play, keys: int = 60, ends: m.HopOutcome = m.HopOutcome.DONE) -> list[int]:
     found = []
     for n in range(keys):
         tx = p.arrive(f"k{n}")
@@ -76,7 +76,7 @@
 def test_an_absurd_weight_changes_no_home_and_no_cold_budget(absurd: float) -> None:
     p, other = fleet(), fleet()
     lines = live({})
-    lines[2] = replace(lines[2], hint=absurd)
+    lines[2] = replace(lines[2], weight=absurd)
     other.list(*lines)
     assert homes(other) == homes(p)
     assert [h.weight for h in other.balancer.ready] == [h.weight for h in p.balancer.ready]
@@ -114,7 +114,7 @@
     assert 0 < len(kept) < before.count(0) / 2 and p.balancer.hosts[0].room == pytest.approx(0.2)
     for _ in range(60):
         p.run(1000)
-        p.end(p.arrive("k1"), m.End.DONE)
+        p.end(p.arrive("k1"), m.HopOutcome.DONE)
     assert p.balancer.hosts[0].room == 1.0 and homes(p, 400) == before
 
 
@@ -124,7 +124,7 @@
         p.run(1000)
         p.list(*live({0: 50.0}))
     assert p.balancer.hosts[0].room < 0.5
-    p.list(*[replace(x, since=p.now if x.host == 0 else 0) for x in live({})])
+    p.list(*[replace(x, started_at=p.now if x.host == 0 else 0) for x in live({})])
     assert p.balancer.hosts[0].room == 1.0
 
 
@@ -141,8 +141,8 @@
     for n in range(60):
         tx = p.arrive(f"k{n}")
         service = 200 if p.hops[tx][0] == 3 else 30
-        report = m.Report(held=1.0, service=float(service * MS))
-        p.feed("", m.HopEnded(tx, 0, m.End.DONE, 10 * MS, True, 1, report))
+        report = m.LoadReport(active=1.0, service_time=float(service * MS))
+        p.feed("", m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, report))
     p.run(1000)
     p.list(*live({h: 1.0 for h in range(6)}))
     assert [h.index for h in p.balancer.ready if h.room < 1.0] == [3]
@@ -156,27 +156,29 @@
 @pytest.mark.parametrize(
     ("row", "report"),
     [
-        ([2.0, 31.5, 0.7], m.Report(held=2.0, service=31_500_000.0)),
-        ([0, 0, 0], m.Report(held=0.0, service=0.0)),
+        ([2.0, 31.5, 0.7], m.LoadReport(active=2.0, service_time=31_500_000.0)),
+        ([0, 0, 0], m.LoadReport(active=0.0, service_time=0.0)),
         (None, None),
         ([], None),
         ([1.0, 2.0], None),
         ([1.0, 2.0, 3.0, 4.0], None),
         ({"depth": 1}, None),
         (7, None),
-        ([None, 20, 0], m.Report(service=20_000_000.0)),
+        ([None, 20, 0], m.LoadReport(service_time=20_000_000.0)),
         ([-1, "x", 0], None),
         ([True, 1e300, 0], None),
         ([float("nan"), float("inf"), 0], None),
     ],
 )
-def test_a_report_that_is_odd_counts_as_not_told(row: Any, report: m.Report | None) -> None:
+def test_a_report_that_is_odd_counts_as_not_told(row: Any, report: m.LoadReport | None) -> None:
     assert Names(FACTS | REPORT).report(row) == report
 
 
 def test_names_that_are_not_known_are_passed_over_and_without_a_source_there_are_none() -> None:
     told = {"Source": "answers", "Names": ["brightness", "concurrent", "tps", "err_ps"]}
-    assert Names(FACTS | {"LoadReport": told}).report([9, 3, 8, 1]) == m.Report(held=3.0, errors=1.0, done=8.0)
+    assert Names(FACTS | {"LoadReport": told}).report([9, 3, 8, 1]) == m.LoadReport(
+        active=3.0, errors_per_second=1.0, completed_per_second=8.0
+    )
     for source in ("probe", "none"):
         assert Names(FACTS | {"LoadReport": told | {"Source": source}}).report([9, 3, 8, 1]) is None
     assert Names(FACTS).report([1]) is None
@@ -188,7 +190,7 @@
     rows: list[Any] = [[5.0, 40.0, 0.5], [5.0, 40.0, 0.5], [0, 0, 0], None, [None] * 3, [1.0], "x"]
     for n in range(210):
         tx = p.arrive(f"k{n % 60}")
-        p.feed("", m.HopEnded(tx, 0, m.End.DONE, 10 * MS, True, 1, names.report(drawn.choice(rows))))
+        p.feed("", m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.report(drawn.choice(rows))))
         p.run(5)
     p.list(*live({}))
     assert homes(p) == before
@@ -197,7 +199,7 @@
     for n, row in enumerate(rows):
         tx = p.arrive(f"k{n}")
         said = f"hop {tx}.0 ends DONE, report {row}"
-        p.feed(said, m.HopEnded(tx, 0, m.End.DONE, 10 * MS, True, 1, names.report(row)))
+        p.feed(said, m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.report(row)))
         p.run(300)
     p.list(*live({2: 30.0}))
     p.trace.append(f"rooms {[round(h.room, 2) for h in p.balancer.ready]}")
@@ -207,11 +209,11 @@
 def test_the_adapter_hands_on_weights_and_reports() -> None:
     instance = Instance(7, FACTS | REPORT | {"Weights": "live"})
     record = {"Host": "10.0.0.1:80", "Locality": "a", "ClassOfHost": "k", "Block": 0, "Availability": "IN"}
-    assert [x.hint for x in instance.lines([record, record | {"CapacityHint": 0.25}])] == [0.0, 0.25]
+    assert [x.weight for x in instance.lines([record, record | {"CapacityHint": 0.25}])] == [0.0, 0.25]
     instance.arrival({"Corr": "t", "Type": "read", "Subject": "a", "Ttl": 9000})
     told = {"Corr": "t", "Trial": 0, "StateCode": "done", "Took": 5, "Ended": True, "Stats": [1, 20, 0.9]}
     ended = instance.reply(told)
-    assert isinstance(ended, m.HopEnded) and ended.report == m.Report(held=1.0, service=20_000_000.0)
+    assert isinstance(ended, m.HopEnded) and ended.report == m.LoadReport(active=1.0, service_time=20_000_000.0)
     ended = instance.reply(told | {"Stats": None})
     assert isinstance(ended, m.HopEnded) and ended.report is None
 
@@ -244,7 +246,7 @@
 
 def test_without_the_new_settings_all_is_as_before() -> None:
     start = read_start(1, FACTS)
-    assert (start.weights, start.zone, start.cross_price) == (m.Weights.NONE, -1, 0.0)
+    assert (start.weights, start.zone, start.cross_price) == (m.WeightMode.NONE, -1, 0.0)
     assert not Balancer(start).near_counts
 
 
@@ -259,19 +261,19 @@
     for n in range(400):
         tx = near.arrive(f"k{n % 60}")
         if near.hops.get(tx):
-            near.end(tx, m.End.DONE, took=2000 if near.hops[tx][0] % 2 else 20)
+            near.end(tx, m.HopOutcome.DONE, took=2000 if near.hops[tx][0] % 2 else 20)
         near.run(50)
     strained = near.balancer.near_part
     assert strained < 0.8
     for n in range(2000):
-        near.end(near.arrive(f"k{n % 60}"), m.End.DONE)
+        near.end(near.arrive(f"k{n % 60}"), m.HopOutcome.DONE)
         near.run(20)
     assert near.balancer.near_part == 1.0 and {home % 2 for home in homes(near)} == {1}
 
 
 def test_the_own_zone_lost_its_ranges_are_served_by_the_others() -> None:
     p = fleet(zones=2, zone=1, cross_price=0.1)
-    p.list(*[replace(x, standing=m.Standing.GONE) for x in live({}, zones=2) if x.zone == 1])
+    p.list(*[replace(x, status=m.HostStatus.GONE) for x in live({}, zones=2) if x.zone == 1])
     assert {home % 2 for home in homes(p)} == {0}
 
 
@@ -281,7 +283,7 @@
 def aside(**terms: Any) -> Play:
     p = Play(4, origin=True, **terms)
     for n in range(40):
-        p.end(p.arrive(f"k{n}"), m.End.DONE)
+        p.end(p.arrive(f"k{n}"), m.HopOutcome.DONE)
         p.run(5)
     p.trace.clear()
     return p
@@ -291,7 +293,7 @@
     p = aside()
     p.arrive("k1")
     p.run(400)
-    p.end(p.tx, m.End.DONE, hop=1)
+    p.end(p.tx, m.HopOutcome.DONE, hop=1)
     p.arrive("k2", profile=1)  # a write is there already
     p.run(400)
     p.balancer.origin_limit = 2.0
