--- a/ternquay/balance.py
+++ b/ternquay/balance.py
@@ -52,24 +52,24 @@
 
 
 class Balancer(Kept):
-    def __init__(self, started: m.Started) -> None:
+    def __init__(self, started: m.Config) -> None:
         super().__init__(GROUPS, WINDOW)
         self._figures(started)
-        self.random, self.apart = Random(started.seed), mix(started.seed ^ mix(started.number + 1))
-        self.margin, self.ask_wait, self.extra = started.quantum + 2 * MS, ASK_FIRST, EXTRA_MOST
-        part = 1 / started.balancers
+        self.random, self.apart = Random(started.seed), mix(started.seed ^ mix(started.balancer_index + 1))
+        self.margin, self.ask_wait, self.extra = started.clock_quantum + 2 * MS, ASK_FIRST, EXTRA_MOST
+        part = 1 / started.balancer_count
         self.origin_limit, self.origin_least = ORIGIN_START * part, ORIGIN_LEAST * part
         # How often a copy that we did not see is there all the same: the others of N brought it.
         self.hit_part = 1 - part
 
-    def _figures(self, started: m.Started) -> None:
+    def _figures(self, started: m.Config) -> None:
         # What is open keeps the profile that it was taken with; what was measured of machines stays.
         self.start = started
         self.shortest_goal = min((p.service_goal for p in started.profiles), default=SECOND)
-        self.origin_late = self.shortest_goal * (ORIGIN_LATE if started.aside else THROUGH_LATE)
-        self.near_counts = started.cross_price >= CROSS_DEAR
+        self.origin_late = self.shortest_goal * (ORIGIN_LATE if started.cache_aside else THROUGH_LATE)
+        self.near_counts = started.cross_zone_price >= CROSS_DEAR
         self.usual_ttl = [0] * len(started.profiles)
-        self.shares = [q / started.balancers for q in started.quotas]
+        self.shares = [q / started.balancer_count for q in started.quotas]
         self.share_left, self.share_at = [0.0] * len(self.shares), [0] * len(self.shares)
 
     def decide(self, now: int, event: m.Event) -> list[m.Action]:
@@ -106,7 +106,7 @@
         # A draining that was seen holds on. Harm: so many that went indeed cost hops that fail, until FORGET.
         wrong = len(lacks) > OUT_PART * sum(1 for h in self.hosts.values() if not h.unlisted)
         for host in lacks:
-            if self.start.gone_is_advice and (wrong or host.standing is m.HostStatus.DRAINING):
+            if self.start.gone_is_advisory and (wrong or host.standing is m.HostStatus.DRAINING):
                 host.unlisted = self.now
             else:
                 host.standing = m.HostStatus.GONE
@@ -134,7 +134,7 @@
                 holders -= gone
         up = [h for h in self.hosts.values() if h.standing is m.HostStatus.READY]
         self.ready = [h for h in up if not h.is_origin]
-        if told and self.ready and self.start.weights is m.WeightMode.LIVE:
+        if told and self.ready and self.start.weight_mode is m.WeightMode.LIVE:
             self._learn()
         # A host less is passed over where it stands; only a new one, or a new weight, needs new orders.
         # By the record and not its index: under that one may come back that is another.
@@ -149,10 +149,10 @@
         host = self.hosts.get(line.host)
         standing = line.status
         if host is None:
-            is_origin = self.start.aside and line.kind == self.start.origin_kind
+            is_origin = self.start.cache_aside and line.kind == self.start.origin_kind
             host = CacheHost(line.host, text_hash(line.address), is_origin, line.started_at, line.status)
             self.hosts[line.host] = host
-        elif self.start.gone_is_advice and host.standing is m.HostStatus.DRAINING and line.started_at <= host.since:
+        elif self.start.gone_is_advisory and host.standing is m.HostStatus.DRAINING and line.started_at <= host.since:
             standing = m.HostStatus.DRAINING  # an `up` from before that draining, of an old list: it binds on
         elif line.started_at != host.since and line.status is m.HostStatus.READY:
             host.since, host.fails, host.seen, host.took, host.crowd = line.started_at, 0, 0, 0.0, 0.0
@@ -160,7 +160,7 @@
         host.zone, host.cell, host.standing, host.part = line.zone, line.cell, standing, line.cold_fraction
         host.unlisted = 0
         host.kind, host.hint, host.size = line.kind, line.weight, max(host.size, line.weight)
-        if self.start.weights is m.WeightMode.STATIC:
+        if self.start.weight_mode is m.WeightMode.STATIC:
             self._weigh(host, line.weight)
 
     def _weigh(self, host: CacheHost, weight: float) -> None:
@@ -190,7 +190,7 @@
         # Against a flood of calls on a discovery that is down: each failure waits longer, with a random part.
         if self.start.watch_list:
             # A call at least as often as the list that is held counts: each waits one to two such spans.
-            wait = min(self.ask_wait, self.start.must_ask * 2 // 5)
+            wait = min(self.ask_wait, self.start.list_max_age * 2 // 5)
             self.wakes.add(self.now + wait // 2 + self._about(wait), -2)
             self.ask_wait = min(ASK_MOST, self.ask_wait * 2)
 
@@ -241,7 +241,7 @@
             host.room = min(1.0, host.room + ROOM_UP * passed / SECOND)
         step = -NEAR_DOWN if self.strained else NEAR_UP
         self.near_part, self.strained = max(0.0, min(1.0, self.near_part + step * passed / TICK)), False
-        if self.start.gone_is_advice and any(h.unlisted for h in self.hosts.values()):
+        if self.start.gone_is_advisory and any(h.unlisted for h in self.hosts.values()):
             self._settle()
         # Often enough for some ten transactions: more often costs CPU.
         self.wakes.add(self.now + max(TICK, min(TICK_MOST, int(10 * SECOND / max(1.0, self.rate)))), -1)
@@ -334,9 +334,9 @@
 
     def _warmth(self, host: CacheHost) -> float:
         age = self.now - host.since
-        if not host.since or age >= self.start.warm_within:
+        if not host.since or age >= self.start.warm_up_time:
             return 1.0
-        return self.start.cold_share + (1 - self.start.cold_share) * max(0, age) / self.start.warm_within
+        return self.start.cold_share + (1 - self.start.cold_share) * max(0, age) / self.start.warm_up_time
 
     def _usable(self, host: CacheHost) -> bool:
         up = host.standing is m.HostStatus.READY and host.out_until <= self.now
@@ -386,7 +386,7 @@
             self.strained = True
         near = self._servers(rng.group, places, tx.hops)
         # Of many balancers none sees a crowd, so each begins at its own; half keep it when places double.
-        first = (self.start.number + rng.group) % len(near) if near else 0
+        first = (self.start.balancer_index + rng.group) % len(near) if near else 0
         near = near[first:] + near[:first]
         if tx.write and near and self._expected(near[0]) > WRITE_SOON * (tx.goal - self.now):
             # A write may go to any cache host, and many may run but once: not where it would come back late.
@@ -478,7 +478,7 @@
         return left < 1.0
 
     def _route(self, tx: Tx) -> None:
-        if self.start.aside and tx.write:
+        if self.start.cache_aside and tx.write:
             return self._ask_origin(tx)
         host = self._choose(tx)
         if host is not None and self._expects_fetch(tx, host):
@@ -497,7 +497,7 @@
         return self.hit_part < HIT_ENOUGH and self._unknown(tx, host)
 
     def _unknown(self, tx: Tx, host: CacheHost) -> bool:
-        known = self.start.aside or tx.write or tx.range is None
+        known = self.start.cache_aside or tx.write or tx.range is None
         return not known and host.index not in self.held.get(tx.key, ())
 
     def _overtaken(self, hop: Hop) -> bool:
@@ -519,7 +519,7 @@
         last, host = tx.hops[-1], None
         out, lost = last.host.out_until > self.now, self._overtaken(last)
         full = last.fetches and not self._origin_room()
-        if not self.start.parallel or tx.out > 1 or self.extra < 1 or full:
+        if not self.start.parallel_hops or tx.out > 1 or self.extra < 1 or full:
             return
         if self._origin_spare(tx) and not last.host.is_origin:
             host = self.origin
@@ -590,7 +590,7 @@
                 self._drain_origin()
 
     def _send_fetch(self, tx: Tx) -> None:
-        host = self.origin if self.start.aside else tx.missed
+        host = self.origin if self.start.cache_aside else tx.missed
         # What can't come in time is not fetched, but for one at a time, to find out if the origin is back.
         late = self.now + self.origin_took > tx.goal and self.fetch_out > 0
         if host is None or late or not self._send(tx, host):
@@ -605,7 +605,7 @@
     def _origin_spare(self, tx: Tx) -> bool:
         # Half of the places are for misses.
         free = not self.origin_queue and self.fetch_out < self.origin_limit / 2
-        return self.start.aside and not (tx.write or tx.over) and free
+        return self.start.cache_aside and not (tx.write or tx.over) and free
 
     def _fetch_next(self) -> int:
         return self.fetch_at + int(self.origin_took / self.origin_limit)
@@ -648,7 +648,7 @@
 
     def _judge(self, tx: Tx, hop: Hop, e: m.HopEnded) -> None:
         host = hop.host
-        through = not self.start.aside
+        through = not self.start.cache_aside
         # An answer lost on its way to us tells of its cache host, not of the origin behind it.
         overtaken = e.outcome is m.HopOutcome.TIMED_OUT and self._overtaken(hop)
         lost = e.outcome is m.HopOutcome.UNREACHABLE or (through and (e.outcome is m.HopOutcome.RESET or overtaken))
@@ -755,21 +755,21 @@
     # ---- the guard ----
 
     def _cold_room(self, host: CacheHost) -> bool:
-        warmth, sent, span = self._warmth(host), host.cold_sent, self.start.tip_window
+        warmth, sent, span = self._warmth(host), host.cold_sent, self.start.overload_window
         if warmth >= 1.0:
             return True
         while sent and sent[0] <= self.now - span:
             sent.popleft()
         # Rule 4: as many as a warm cache host takes of us, times its warmth; the others do so with theirs.
-        each, tip = host.weight * self.unit_rate * span / SECOND, self.start.tip_multiple
-        room = host.part * max(COLD_LEAST / self.start.balancers, min(COLD_MARGIN, tip / 2) * warmth * each)
+        each, tip = host.weight * self.unit_rate * span / SECOND, self.start.overload_multiple
+        room = host.part * max(COLD_LEAST / self.start.balancer_count, min(COLD_MARGIN, tip / 2) * warmth * each)
         if room >= 1.0:
             return len(sent) < room
         # A part under one hop a window is one in several. Not from all that had none for long and want it in
         # one moment, as when others fail: each window of its age, the same for all, is dealt to evenly many,
         # so that a crowd of COLD_CROWD times the usual is borne. Harm: who is not dealt to sends elsewhere.
         dealt = COLD_DEALT * tip * warmth * each / min(1.0, COLD_CROWD * each) if each else room
-        turn = mix(host.hash + (self.now - host.since) // span) + self.start.number * SPACED & MASK
+        turn = mix(host.hash + (self.now - host.since) // span) + self.start.balancer_index * SPACED & MASK
         return turn < max(room, host.part * dealt) * MASK and self.now >= host.cold_from + int(span / room)
 
     def _first_run(self, tx: Tx) -> Hop | None:
@@ -787,9 +787,9 @@
 
     def _send(self, tx: Tx, host: CacheHost) -> bool:
         """Every hop passes here: rule 1 (nothing after the answer), 2, 3 and 4."""
-        if tx.ended or len(tx.hops) >= self.start.most_hops or self.now >= tx.give_up:
+        if tx.ended or len(tx.hops) >= self.start.max_hops or self.now >= tx.give_up:
             return False
-        if host.standing is not m.HostStatus.READY or (tx.out and not self.start.parallel):
+        if host.standing is not m.HostStatus.READY or (tx.out and not self.start.parallel_hops):
             return False
         cold = not host.is_origin and self._warmth(host) < 1.0
         if not self._may_repeat(tx, host) or (cold and not self._cold_room(host)):
@@ -814,9 +814,9 @@
         hop.begun, hop.sent, hop.crowd = True, self.now, host.inflight
         if not host.is_origin:
             self.inflight += 1
-            if self.start.parallel:
+            if self.start.parallel_hops:
                 self.wakes.add(self.now + int(PATIENCE * tx.profile.service_goal), tx.id)
-        if host.is_origin or (tx.write and not self.start.aside) or self._expects_fetch(tx, host):
+        if host.is_origin or (tx.write and not self.start.cache_aside) or self._expects_fetch(tx, host):
             hop.fetches = True
             self.fetch_out += 1
             self.fetch_at = self.now
@@ -840,7 +840,7 @@
 
     def _close(self, tx: Tx) -> None:
         tx.ended = True
-        if self.start.cancel:
+        if self.start.can_cancel:
             self.actions += [m.CancelHop(tx.id, n) for n, hop in enumerate(tx.hops) if hop.out]
         if not tx.out:
             self.txs.pop(tx.id, None)
@@ -854,6 +854,6 @@
     m.TxGone: Balancer._gone,
     m.ListChanged: Balancer._list_changed,
     m.ListUnavailable: Balancer._list_lost,
-    m.Started: Balancer._figures,
+    m.Config: Balancer._figures,
     m.Learned: Balancer._take,
 }
--- a/ternquay/facts.py
+++ b/ternquay/facts.py
@@ -85,7 +85,7 @@
     )
 
 
-def read_start(seed: int, facts: dict[str, Any]) -> m.Started:
+def read_start(seed: int, facts: dict[str, Any]) -> m.Config:
     """Raises KeyError or ValueError, which name the field."""
     limits, rules, family = facts["Limits"], facts["Invariants"], facts.get("FamilyInfo", {})
     goal = table(facts, "Goal")
@@ -95,29 +95,29 @@
     profiles = tuple(read_profile(at, one) for at, one in named(facts["Profiles"], "Profiles"))
     if not profiles:
         raise ValueError("Profiles: at least one is wanted")
-    return m.Started(
+    return m.Config(
         seed=seed,
-        balancers=int(number(facts, "Balancers", "", 1, MOST)),
-        number=int(number(facts, "MyNumber", "", 0, MOST, 0)),
+        balancer_count=int(number(facts, "Balancers", "", 1, MOST)),
+        balancer_index=int(number(facts, "MyNumber", "", 0, MOST, 0)),
         profiles=profiles,
         quotas=tuple(number(t, "QuotaPerS", at, 0, MOST) for at, t in named(facts.get("Tenants") or [], "Tenants")),
-        aside=family.get("Mode") == "aside",
+        cache_aside=family.get("Mode") == "aside",
         origin_kind=family.get("OriginKind", -1),
         watch_list=facts.get("Discovery") == "on_request",
-        cancel=limits.get("Cancel", False),
-        parallel=limits.get("ParallelTries", False),
-        most_hops=int(number(limits, "MostHops", "Limits", 1, MOST, 1)),
-        weights=choice(facts, "Weights", "", WEIGHTS, "none"),
+        can_cancel=limits.get("Cancel", False),
+        parallel_hops=limits.get("ParallelTries", False),
+        max_hops=int(number(limits, "MostHops", "Limits", 1, MOST, 1)),
+        weight_mode=choice(facts, "Weights", "", WEIGHTS, "none"),
         max_backoff=span(limits, "MaxRetryAfter", "Limits", usual=0) if limits.get("RetryAfter") else 0,
-        quantum=span(facts, "Quantum", "", usual=0),
+        clock_quantum=span(facts, "Quantum", "", usual=0),
         cold_share=number(rules, "ColdShare", "Invariants", 0, 1),
-        warm_within=span(rules, "WarmWithin", "Invariants"),
-        tip_multiple=number(rules, "TipMultiple", "Invariants", 0, MOST),
-        tip_window=span(rules, "Fall", "Invariants"),
-        must_ask=span(rules, "MustAskIn", "Invariants", usual=0) or MUST_ASK,
-        gone_is_advice=flag(rules, "GoneIsAdvice", "Invariants"),
+        warm_up_time=span(rules, "WarmWithin", "Invariants"),
+        overload_multiple=number(rules, "TipMultiple", "Invariants", 0, MOST),
+        overload_window=span(rules, "Fall", "Invariants"),
+        list_max_age=span(rules, "MustAskIn", "Invariants", usual=0) or MUST_ASK,
+        gone_is_advisory=flag(rules, "GoneIsAdvice", "Invariants"),
         zone=own_zone(facts),
-        cross_price=number(table(facts, "Prices"), "CrossZone", "Prices", 0, MOST, 0.0),
+        cross_zone_price=number(table(facts, "Prices"), "CrossZone", "Prices", 0, MOST, 0.0),
     )
 
 
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -72,28 +72,28 @@
         return self[name]
 
 
-def started_of(process: Process, tenant: Tenant) -> m.Started:
+def started_of(process: Process, tenant: Tenant) -> m.Config:
     """What the tenant's decisions are told. Its last share is of those who crowd others: beyond it from the first."""
     rules = tenant.rules
-    return m.Started(
+    return m.Config(
         seed=process.seed,
-        balancers=process.balancers,
-        number=process.number,
+        balancer_count=process.balancers,
+        balancer_index=process.number,
         profiles=tuple(one.profile for one in tenant.profiles),
         quotas=(*(share.txs_a_second for share in tenant.shares), 0.0),
-        aside=False,
+        cache_aside=False,
         origin_kind=-1,
         watch_list=False,
-        cancel=True,
-        parallel=True,
-        most_hops=MOST_HOPS,
-        weights=m.WeightMode.STATIC,
+        can_cancel=True,
+        parallel_hops=True,
+        max_hops=MOST_HOPS,
+        weight_mode=m.WeightMode.STATIC,
         max_backoff=BACKOFF_MOST,
-        quantum=0,
+        clock_quantum=0,
         cold_share=rules.cold_share,
-        warm_within=rules.warm_within,
-        tip_multiple=rules.tip_multiple,
-        tip_window=rules.tip_window,
+        warm_up_time=rules.warm_within,
+        overload_multiple=rules.tip_multiple,
+        overload_window=rules.tip_window,
     )
 
 
--- a/ternquay/model.py
+++ b/ternquay/model.py
@@ -65,31 +65,33 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Started:
+class Config:
     """The instance starts, with what it is told of its deployment; later on, what it is told is another."""
 
     seed: int
-    balancers: int
-    number: int  # its own among them, from 0
+    balancer_count: int
+    balancer_index: int  # its own among them, from 0
     profiles: tuple[Profile, ...]
     quotas: tuple[float, ...]  # transactions a second, by share
-    aside: bool
+    cache_aside: bool
     origin_kind: int
     watch_list: bool
-    cancel: bool
-    parallel: bool
-    most_hops: int
-    weights: WeightMode
+    can_cancel: bool
+    parallel_hops: bool
+    max_hops: int
+    weight_mode: WeightMode
     max_backoff: int  # 0 where clients are given none
-    quantum: int
+    clock_quantum: int
     cold_share: float
-    warm_within: int
-    tip_multiple: float
-    tip_window: int
+    warm_up_time: int
+    overload_multiple: float
+    overload_window: int
     zone: int = -1  # its own
-    cross_price: float = 0.0  # of a hop to another zone, as a part of what a transaction earns
-    gone_is_advice: bool = False  # of the list only a draining that was seen binds
-    must_ask: int = 10_000_000_000  # for so long the list that is held counts, where it is asked for and not watched
+    cross_zone_price: float = 0.0  # of a hop to another zone, as a part of what a transaction earns
+    gone_is_advisory: bool = False  # of the list only a draining that was seen binds
+    list_max_age: int = (
+        10_000_000_000  # for so long the list that is held counts, where it is asked for and not watched
+    )
 
 
 @dataclass(slots=True, frozen=True)
@@ -196,7 +198,7 @@
     hosts: tuple[LearnedHost, ...]
 
 
-Event = Learned | ListChanged | ListUnavailable | TxArrived | TxWhole | HopEnded | TxGone | TimerFired | Started
+Event = Learned | ListChanged | ListUnavailable | TxArrived | TxWhole | HopEnded | TxGone | TimerFired | Config
 
 
 @dataclass(slots=True, frozen=True)
--- a/ternquay/net/door.py
+++ b/ternquay/net/door.py
@@ -121,7 +121,7 @@
 
 class Door:
     def __init__(
-        self, clock: Clock, start: m.Started, names: Names, limits: Limits, decisions: type[Balancer] = Balancer
+        self, clock: Clock, start: m.Config, names: Names, limits: Limits, decisions: type[Balancer] = Balancer
     ) -> None:
         self.clock, self.names, self.limits = clock, names, limits
         self.start = start
@@ -129,7 +129,7 @@
         self.safety = Safety(self.now, self.tell)
         self.balancer = decisions(start)
         self.timer: Call | None = None  # the decisions' one
-        self.draw = Random(f"{start.seed}.{start.number}")
+        self.draw = Random(f"{start.seed}.{start.balancer_index}")
         self.pool: Carrier
         self.stood_still: Callable[[int], bool] = lambda now: False
         self.watch: Callable[[], None] = lambda: None
@@ -309,7 +309,7 @@
         hop = Outgoing(tx, len(tx.hops), a.host, now, a.not_past, a.begin_by)
         tx.hops.append(hop)
         tx.out += 1
-        if tx.answered or hop.number >= self.start.most_hops or a.not_past <= now:
+        if tx.answered or hop.number >= self.start.max_hops or a.not_past <= now:
             self.hop_ended(hop, m.HopOutcome.SKIPPED)
             return
         if tx.whole:
@@ -386,14 +386,14 @@
 
     # ---- figures and the list ----
 
-    def refigured(self, start: m.Started, names: Names, limits: Limits) -> None:
+    def refigured(self, start: m.Config, names: Names, limits: Limits) -> None:
         """Other profiles, rules or limits from now on; what is open ends by those that it was taken with."""
         self.start, self.names, self.limits = start, names, limits
         self.happened(start)
 
     def list_told(self, whole: bool, members: tuple[Member, ...]) -> None:
         doubted: tuple[m.ListedHost, ...] = ()
-        if self.start.gone_is_advice:
+        if self.start.gone_is_advisory:
             members, doubted = self._advised(whole, members)
             whole = False
         gone = {member.id for member in members if member.standing is m.HostStatus.GONE} & self.hosts.keys()
--- a/ternquay/net/launch.py
+++ b/ternquay/net/launch.py
@@ -29,7 +29,7 @@
     listen: Address
     management: Address | None
     discovery: Address
-    start: m.Started
+    start: m.Config
     names: Names
     known: dict[str, Any]
     limits: Limits
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -75,7 +75,7 @@
         self.replacement: Any = None
         self.shut = False  # another process takes the clients
         self.door = Door(reactor, launch.start, launch.names, self.limits, decisions)
-        self.pool = self.door.pool = Pool(reactor, self.door, self.limits, sockets, launch.start.parallel)
+        self.pool = self.door.pool = Pool(reactor, self.door, self.limits, sockets, launch.start.parallel_hops)
         self.turn = Turn(self.limits.turn)
         self.door.stood_still = self.turn.stood_still
         self.front = Front(reactor, self.door, self.limits, sockets, self.turn)
--- a/ternquay/state.py
+++ b/ternquay/state.py
@@ -156,7 +156,7 @@
 class Kept:
     """What one balancer keeps for as long as it runs."""
 
-    start: m.Started
+    start: m.Config
     near_counts: bool  # whether a crossing between zones costs enough to keep from it
     random: Random
     apart: int
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -29,25 +29,25 @@
 READ = m.Profile(m.Semantics.IDEMPOTENT, m.DedupScope.ALL, 0, 600 * MS, 1500 * MS, 0.0)
 MARKED = replace(READ, semantics=m.Semantics.JOURNALLED, dedup_window=300 * MS)
 ONCE = replace(READ, semantics=m.Semantics.NON_IDEMPOTENT)
-START = m.Started(
+START = m.Config(
     seed=7,
-    balancers=2,
-    number=0,
+    balancer_count=2,
+    balancer_index=0,
     profiles=(READ, MARKED, ONCE, replace(MARKED, dedup_scope=m.DedupScope.ZONE)),
     quotas=(4.0, 1000.0),
-    aside=False,
+    cache_aside=False,
     origin_kind=-1,
     watch_list=False,
-    cancel=True,
-    parallel=True,
-    most_hops=4,
-    weights=m.WeightMode.NONE,
+    can_cancel=True,
+    parallel_hops=True,
+    max_hops=4,
+    weight_mode=m.WeightMode.NONE,
     max_backoff=SECOND,
-    quantum=5 * MS,
+    clock_quantum=5 * MS,
     cold_share=0.2,
-    warm_within=20 * SECOND,
-    tip_multiple=3.0,
-    tip_window=SECOND,
+    warm_up_time=20 * SECOND,
+    overload_multiple=3.0,
+    overload_window=SECOND,
 )
 T0 = 1000 * SECOND
 TRACES = Path(__file__).parent / "traces"
@@ -69,7 +69,7 @@
 
     def __init__(self, hosts: int = 4, *, origin: bool = False, **terms: Any) -> None:
         if origin:
-            terms |= {"aside": True, "origin_kind": 1}
+            terms |= {"cache_aside": True, "origin_kind": 1}
         self.balancer = Balancer(replace(START, **terms))
         self.now, self.due, self.tx = T0, 0, 0
         self.trace: list[str] = []
@@ -294,7 +294,7 @@
         self.sockets = Sockets(self.limits)
         start = read_start(7, facts)
         self.door = Door(self.reactor, start, Names(facts), self.limits)
-        self.pool = self.door.pool = Pool(self.reactor, self.door, self.limits, self.sockets, start.parallel)
+        self.pool = self.door.pool = Pool(self.reactor, self.door, self.limits, self.sockets, start.parallel_hops)
         self.turn = Turn(self.limits.turn)
         self.front = Front(self.reactor, self.door, self.limits, self.sockets, self.turn)
         self.door.watch = lambda: self.say("the list is asked for")
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -14,7 +14,7 @@
 from tests.test_net import mg, va
 from tests.test_review_links import told
 
-ADVICE = {"gone_is_advice": True}
+ADVICE = {"gone_is_advisory": True}
 
 
 def facts(value: Any) -> dict[str, Any]:
@@ -22,15 +22,15 @@
 
 
 def test_the_setting_comes_in_both_ways_and_is_a_boolean(tmp_path: Path) -> None:
-    assert not read_start(1, FACTS).gone_is_advice
-    assert read_start(1, facts(True)).gone_is_advice and not read_start(1, facts(False)).gone_is_advice
+    assert not read_start(1, FACTS).gone_is_advisory
+    assert read_start(1, facts(True)).gone_is_advisory and not read_start(1, facts(False)).gone_is_advisory
     path = tmp_path / "x.json"
     for value in (1, "true", None):
         path.write_text(json.dumps(told(1, 2, settings=facts(value))))
         with pytest.raises(LaunchError, match=r"^settings: Invariants\.GoneIsAdvice: true or false is wanted"):
             read_launch(str(path), {})
     path.write_text(json.dumps(told(1, 2, settings=facts(True))))
-    assert read_launch(str(path), {}).start.gone_is_advice
+    assert read_launch(str(path), {}).start.gone_is_advisory
 
 
 def sent(play: Play, many: int = 40) -> set[int]:
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("advice", [True, False])
 @pytest.mark.parametrize("how", ["called gone", "left out", "empty"])
 def test_hosts_that_the_list_lacks_are_used_where_that_is_advice_alone(how: str, advice: bool) -> None:
-    play = Play(4, gone_is_advice=advice)
+    play = Play(4, gone_is_advisory=advice)
     if how == "called gone":
         play.list(line(1, m.HostStatus.GONE), line(2, m.HostStatus.GONE))
     elif how == "left out":
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("advice", [True, False])
 def test_a_few_that_the_list_drops_are_believed_to_be_gone(advice: bool) -> None:
     """As many as fail together by themselves: to go on with them cost more than it brought."""
-    play = Play(6, gone_is_advice=advice)
+    play = Play(6, gone_is_advisory=advice)
     play.list(line(1, m.HostStatus.GONE))
     assert sent(play) == {0, 2, 3, 4, 5}
     play.list(*(line(h) for h in (0, 2, 3, 4)), whole=True)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -16,7 +16,7 @@
 from tests.helper import START, T0, line
 
 COLD, WARM = 0, 1
-SPAN = START.tip_window
+SPAN = START.overload_window
 
 
 class Fleet:
@@ -24,7 +24,9 @@
 
     def __init__(self, many: int, rate: float, seed: int, even: bool = True, **terms: Any) -> None:
         self.draw, self.rate = Random(seed), rate
-        self.start = replace(START, balancers=many, cancel=True, parallel=False, warm_within=30 * SECOND, **terms)
+        self.start = replace(
+            START, balancer_count=many, can_cancel=True, parallel_hops=False, warm_up_time=30 * SECOND, **terms
+        )
         parts = [1.0 if even else self.draw.expovariate(1.0) for _ in range(many)]
         self.rates = [rate * part / sum(parts) for part in parts]
         self.all = [self._one(n) for n in range(many)]
@@ -32,14 +34,14 @@
         self.tx = 0
 
     def _one(self, number: int) -> Balancer:
-        one = Balancer(replace(self.start, number=number, seed=number + 1))
+        one = Balancer(replace(self.start, balancer_index=number, seed=number + 1))
         one.decide(T0, m.ListChanged(True, (line(WARM), line(COLD, since=T0))))
         # As measured at warm hosts, of which each has the same load.
         one.rate = one.unit_rate = self.rates[number]
         return one
 
     def restart(self, number: int, now: int) -> None:
-        one = self.all[number] = Balancer(replace(self.start, number=number, seed=self.draw.getrandbits(32)))
+        one = self.all[number] = Balancer(replace(self.start, balancer_index=number, seed=self.draw.getrandbits(32)))
         one.decide(now, m.ListChanged(True, (line(WARM), line(COLD, since=T0))))
         one.rate = one.unit_rate = self.rates[number]
 
@@ -75,8 +77,8 @@
 def allowed(fleet: Fleet, now: int) -> float:
     """N of the rule, a warm host being able to do what it is sent and no more."""
     start = fleet.start
-    warmth = start.cold_share + (1 - start.cold_share) * (now - T0) / start.warm_within
-    return start.tip_multiple * warmth * fleet.rate * start.tip_window / SECOND
+    warmth = start.cold_share + (1 - start.cold_share) * (now - T0) / start.warm_up_time
+    return start.overload_multiple * warmth * fleet.rate * start.overload_window / SECOND
 
 
 @pytest.mark.parametrize("wanted", ["always", "bursts", "late", "restarts"])
@@ -87,7 +89,7 @@
     many: int, rate: float, even: bool, tip: float, wanted: str
 ) -> None:
     for seed in range(2):
-        fleet = Fleet(many, rate, seed, even, tip_multiple=tip)
+        fleet = Fleet(many, rate, seed, even, overload_multiple=tip)
         step, end = 50 * MS, 8 * SECOND
         for at in range(0, end, step):
             now = T0 + at
@@ -109,7 +111,7 @@
     """In the simulator, and on a machine that has just started, the first second of the clock is the day's."""
     sent = 0
     for number in range(100):
-        one = Balancer(replace(START, number=number, balancers=100))
+        one = Balancer(replace(START, balancer_index=number, balancer_count=100))
         now = SECOND
         one.decide(now, m.ListChanged(True, (line(WARM), line(COLD, since=now))))
         one.rate = one.unit_rate = 0.3
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -236,7 +236,7 @@
 
 def test_time_outs_feed_the_estimate() -> None:
     """Against a fleet so crowded that only its quickest answers would be counted."""
-    p = Play(1, parallel=False)
+    p = Play(1, parallel_hops=False)
     settle(p)
     for _ in range(8):
         p.arrive("k1")
@@ -272,7 +272,7 @@
     places: set[int] = set()
     kept = 0
     for number in range(0, 200, 20):
-        p = Play(60, balancers=200, number=number)
+        p = Play(60, balancer_count=200, balancer_index=number)
         for n in range(60):
             p.end(p.arrive("hot" if n % 4 == 0 else f"k{n}"), m.HopOutcome.DONE)
         p.trace.clear()
@@ -284,7 +284,7 @@
 
 def test_one_of_many_balancers_paces_its_fetches() -> None:
     """Against 200 balancers with a place each at an origin that can do ten fetches at a time."""
-    p = Play(3, origin=True, balancers=200)
+    p = Play(3, origin=True, balancer_count=200)
     for n in range(20):
         p.arrive(f"w{n}", profile=1)
         p.run(50)
@@ -295,7 +295,7 @@
 
 
 def test_a_part_of_a_share_under_one_tx_still_holds_whole_ones() -> None:
-    p = Play(2, quotas=(40.0,), balancers=200)
+    p = Play(2, quotas=(40.0,), balancer_count=200)
     over = []
     for _ in range(12):
         tx = p.arrive("k1", share=0)
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -122,7 +122,7 @@
 
 def test_where_lists_are_asked_for_no_wait_is_longer_than_the_list_that_is_held_counts() -> None:
     for must_ask in (SECOND // 2, 2 * SECOND, 60 * SECOND):
-        balancer = Balancer(replace(START, watch_list=True, must_ask=must_ask))
+        balancer = Balancer(replace(START, watch_list=True, list_max_age=must_ask))
         waits = []
         for _ in range(12):
             balancer.decide(T0, m.ListUnavailable())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -125,7 +125,7 @@
     told = learned_text(old.learned(), names)
     learned = learned_read(told | {"hosts": told["hosts"] | {"unheard": told["hosts"]["h1"]}}, {"h1": 7, "h2": 3})
     assert learned is not None and {h.host for h in learned.hosts} == {7, 3}
-    new = Balancer(replace(START, balancers=2))
+    new = Balancer(replace(START, balancer_count=2))
     new.decide(T0, m.ListChanged(True, (line(7), line(3))))
     new.decide(T0, learned)
     assert new.usual == old.usual > 0 and new.unit_rate == old.unit_rate / 2 and new.hits == old.hits > 0.5
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -285,7 +285,7 @@
     def weighed(*hints: float) -> tuple[m.ListedHost, ...]:
         return tuple(m.ListedHost(n, f"h{n}", 0, 0, 0, m.HostStatus.READY, hint, 0) for n, hint in enumerate(hints))
 
-    old, new = Play(hosts=0, weights=m.WeightMode.STATIC), Play(hosts=0, weights=m.WeightMode.STATIC)
+    old, new = Play(hosts=0, weight_mode=m.WeightMode.STATIC), Play(hosts=0, weight_mode=m.WeightMode.STATIC)
     for hints in ((1.0, 1.0, 1.0, 1.0), (4.0, 1.0, 0.5, 1.0)):
         old.list(*weighed(*hints), whole=True)
         for group in range(64):
--- a/tests/test_review_step.py
+++ b/tests/test_review_step.py
@@ -26,7 +26,8 @@
         self.now, self.order, self.number = T0, 0, 0
         self.events: list[tuple[int, int, int, m.Event]] = []
         self.balancers = [
-            Balancer(replace(START, seed=seed, balancers=MANY, number=n, **terms)) for n, seed in enumerate(seeds(MANY))
+            Balancer(replace(START, seed=seed, balancer_count=MANY, balancer_index=n, **terms))
+            for n, seed in enumerate(seeds(MANY))
         ]
         self.sent: list[tuple[int, int, int]] = []  # when, by whom, where
         self.backs: list[int] = []  # when a client that was rolled back comes again
@@ -195,7 +196,7 @@
 def test_instances_with_one_seed_do_not_ask_for_the_list_in_step() -> None:
     wakes = []
     for number in range(MANY):
-        balancer = Balancer(replace(START, number=number, balancers=MANY, watch_list=True))
+        balancer = Balancer(replace(START, balancer_index=number, balancer_count=MANY, watch_list=True))
         balancer.decide(T0, m.ListUnavailable())
         wakes.append(min(at for at, _, what in balancer.wakes.heap if what == -2))
     assert max(Counter(at // BIN for at in wakes).values()) <= MANY // 2, wakes
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,7 +19,7 @@
 
 
 def test_one_answer_before_the_goal_and_nothing_after_it() -> None:
-    p = Play(parallel=False)
+    p = Play(parallel_hops=False)
     tx = p.arrive(profile=2)
     p.run(2000)
     p.end(tx, m.HopOutcome.CANCELLED)
@@ -91,7 +91,7 @@
     """Against a floor of one hop a window for each: nine times what the host could do, from 380 balancers."""
     sent = [0] * 10
     for number in range(100):
-        p = Play(1, balancers=100, number=number)
+        p = Play(1, balancer_count=100, balancer_index=number)
         p.list(line(0, since=T0 - SECOND))
         for window in range(10):
             before = len(p.hops)
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -23,7 +23,7 @@
 
 from .helper import FACTS, Play, line
 
-LIVE: dict[str, Any] = {"weights": m.WeightMode.LIVE}
+LIVE: dict[str, Any] = {"weight_mode": m.WeightMode.LIVE}
 SIZES = (0.5, 1.0, 1.5)
 
 
@@ -84,7 +84,7 @@
 
 
 def test_a_host_told_to_hold_too_much_gives_up_ranges_and_takes_them_back() -> None:
-    one, two = fleet(), fleet(seed=99, number=1)
+    one, two = fleet(), fleet(seed=99, balancer_index=1)
     before = homes(one, 240)
     crowd = before[0]
     for p in (one, two):
@@ -246,7 +246,7 @@
 
 def test_without_the_new_settings_all_is_as_before() -> None:
     start = read_start(1, FACTS)
-    assert (start.weights, start.zone, start.cross_price) == (m.WeightMode.NONE, -1, 0.0)
+    assert (start.weight_mode, start.zone, start.cross_zone_price) == (m.WeightMode.NONE, -1, 0.0)
     assert not Balancer(start).near_counts
 
 
@@ -254,7 +254,7 @@
 
 
 def test_where_crossing_is_dear_homes_lie_in_the_own_zone_until_that_is_strained() -> None:
-    near, cheap = fleet(zones=2, zone=1, cross_price=0.1), fleet(zones=2, zone=1, cross_price=0.01)
+    near, cheap = fleet(zones=2, zone=1, cross_zone_price=0.1), fleet(zones=2, zone=1, cross_zone_price=0.01)
     assert {home % 2 for home in homes(near)} == {1}
     assert {home % 2 for home in homes(cheap)} == {0, 1}
     # The own zone is late with all that it is sent: ranges go back to their homes in the fleet, and then return.
@@ -272,7 +272,7 @@
 
 
 def test_the_own_zone_lost_its_ranges_are_served_by_the_others() -> None:
-    p = fleet(zones=2, zone=1, cross_price=0.1)
+    p = fleet(zones=2, zone=1, cross_zone_price=0.1)
     p.list(*[replace(x, status=m.HostStatus.GONE) for x in live({}, zones=2) if x.zone == 1])
     assert {home % 2 for home in homes(p)} == {0}
 
