--- a/ternquay/balance.py
+++ b/ternquay/balance.py
@@ -423,7 +423,7 @@
 
     def _arrived(self, e: m.TxArrived) -> None:
         profile = self.start.profiles[e.profile]
-        tx = self.txs[e.tx] = Tx(e.tx, profile, e.write, whole=e.whole, since=self.now)
+        tx = self.txs[e.tx] = Tx(e.tx, profile, e.is_write, whole=e.fully_received, since=self.now)
         end = self.now + e.ttl - self.margin
         tx.goal = self.now + profile.service_goal - self._spent(e, profile) - self.margin
         if profile.overdue_revenue > 0:
@@ -444,12 +444,12 @@
         self.wakes.add(tx.give_up, tx.id)
         self._route(tx)
 
-    def _gone(self, e: m.TxGone) -> None:
+    def _gone(self, e: m.ClientGone) -> None:
         tx = self.txs.get(e.tx)
         if tx is not None and not tx.ended:
             self._close(tx)
 
-    def _whole(self, e: m.TxWhole) -> None:
+    def _whole(self, e: m.TxFullyReceived) -> None:
         # Against a slow writer, or a large value, that makes its cache host look slow and holds a place at
         # the origin: what is still coming is chosen for, and nothing else of it counts before its last byte.
         tx = self.txs.get(e.tx)
@@ -465,7 +465,7 @@
     def _spent(self, e: m.TxArrived, profile: m.Profile) -> int:
         # A try shorter than the profile's usual one is cut by the hard limit: it tells how long it waits.
         usual = self.usual_ttl[e.profile]
-        if not e.again:
+        if not e.is_retry:
             self.usual_ttl[e.profile] = max(usual, e.ttl)
             return 0
         return profile.hard_limit - e.ttl if e.ttl < usual - MS else 0
@@ -850,8 +850,8 @@
     m.TxArrived: Balancer._arrived,
     m.HopEnded: Balancer._hop_ended,
     m.TimerFired: Balancer._timer_fired,
-    m.TxWhole: Balancer._whole,
-    m.TxGone: Balancer._gone,
+    m.TxFullyReceived: Balancer._whole,
+    m.ClientGone: Balancer._gone,
     m.ListChanged: Balancer._list_changed,
     m.ListUnavailable: Balancer._list_lost,
     m.Config: Balancer._figures,
--- a/ternquay/model.py
+++ b/ternquay/model.py
@@ -127,13 +127,13 @@
     share: int  # -1: none
     key: str | None
     ttl: int
-    again: bool
-    write: bool
-    whole: bool = True  # False: its value is still coming, and TxWhole tells its last byte
+    is_retry: bool
+    is_write: bool
+    fully_received: bool = True  # False: its value is still coming, and TxFullyReceived tells its last byte
 
 
 @dataclass(slots=True, frozen=True)
-class TxWhole:
+class TxFullyReceived:
     """The last byte of a tx that came as it was still being written; its times run from here."""
 
     tx: int
@@ -161,7 +161,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TxGone:
+class ClientGone:
     tx: int
 
 
@@ -198,14 +198,16 @@
     hosts: tuple[LearnedHost, ...]
 
 
-Event = Learned | ListChanged | ListUnavailable | TxArrived | TxWhole | HopEnded | TxGone | TimerFired | Config
+Event = (
+    Learned | ListChanged | ListUnavailable | TxArrived | TxFullyReceived | HopEnded | ClientGone | TimerFired | Config
+)
 
 
 @dataclass(slots=True, frozen=True)
 class SendHop:
     tx: int
     host: int
-    not_past: int
+    deadline: int
     begin_by: int = 0  # a repeat may be known as one no longer than that; 0: no matter when
 
 
--- a/ternquay/net/door.py
+++ b/ternquay/net/door.py
@@ -187,7 +187,7 @@
                     self._failed(action)
         if failed and isinstance(event, m.TxArrived):
             self._abandon(event.tx)
-            self.events.append(m.TxGone(event.tx))
+            self.events.append(m.ClientGone(event.tx))
 
     def _failed(self, a: m.SendHop) -> None:
         """A hop that could not be sent has ended, as far as anything of it is out."""
@@ -268,7 +268,7 @@
             if not hop.ended:
                 hop.sent, hop.not_past = now, hop.not_past + now - tx.came
                 self._time(hop)
-        self.happened(m.TxWhole(tx.id))
+        self.happened(m.TxFullyReceived(tx.id))
 
     def gone(self, number: int) -> None:
         """The client has gone away: no answer is owed any more."""
@@ -279,13 +279,13 @@
                 # The rest of it never comes, whatever may be cancelled: what is half written is cut off.
                 for hop in [hop for hop in tx.hops if not hop.ended]:
                     self._give_up(hop, m.HopOutcome.CANCELLED)
-            self.happened(m.TxGone(number))
+            self.happened(m.ClientGone(number))
 
     def _overdue(self, tx: OpenTx) -> None:
         if not tx.answered:
             self.tell("ERROR", "a transaction was not answered by its hard limit")
             self._abandon(tx.id)
-            self.happened(m.TxGone(tx.id))
+            self.happened(m.ClientGone(tx.id))
 
     def _abandon(self, number: int) -> None:
         tx = self.txs.get(number)
@@ -306,10 +306,10 @@
         tx, now = self.txs.get(a.tx), self.now()
         if tx is None:
             return
-        hop = Outgoing(tx, len(tx.hops), a.host, now, a.not_past, a.begin_by)
+        hop = Outgoing(tx, len(tx.hops), a.host, now, a.deadline, a.begin_by)
         tx.hops.append(hop)
         tx.out += 1
-        if tx.answered or hop.number >= self.start.max_hops or a.not_past <= now:
+        if tx.answered or hop.number >= self.start.max_hops or a.deadline <= now:
             self.hop_ended(hop, m.HopOutcome.SKIPPED)
             return
         if tx.whole:
--- a/ternquay/wirehost/serve.py
+++ b/ternquay/wirehost/serve.py
@@ -102,7 +102,7 @@
             return m.TimerFired()
         if name == "Gone":
             tx = self.txs.get(e["Corr"])
-            return None if tx is None else m.TxGone(tx)
+            return None if tx is None else m.ClientGone(tx)
         if name == "Membership":
             if e["Mode"] == "Error":
                 return m.ListUnavailable()
@@ -118,7 +118,7 @@
                 "Who": who,
                 "Corr": self.words[a.tx],
                 "Host": self.addresses[a.host],
-                "NotPast": a.not_past // US,
+                "NotPast": a.deadline // US,
             }
         if isinstance(a, m.SetTimer):
             return {"msg": "Defer", "Who": who, "Nonce": "t", "When": -(-a.at // US)}
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -211,7 +211,7 @@
     p.end(tx, m.HopOutcome.DONE)
     p.end(tx, m.HopOutcome.DONE)
     p.end(99, m.HopOutcome.ERROR)
-    p.feed("gone 99", m.TxGone(99))
+    p.feed("gone 99", m.ClientGone(99))
     p.run(1000)
     p.matches("passed_over")
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -26,7 +26,7 @@
     p.end(tx, m.HopOutcome.CANCELLED)
     tx = p.arrive()
     p.end(tx, m.HopOutcome.TIMED_OUT, took=600)
-    p.feed("gone", m.TxGone(tx))
+    p.feed("gone", m.ClientGone(tx))
     p.matches("one_answer")
 
 
