--- a/ternquay/hosted/administration/http.py
+++ b/ternquay/hosted/administration/http.py
@@ -16,8 +16,8 @@
 from ternquay.hosted.administration.changes import Keeper
 from ternquay.hosted.service import ApiDocument, Service
 from ternquay.hosted.shared.fairness import SECOND, Bucket
-from ternquay.hosted.tenants.documents import place_text
-from ternquay.hosted.tenants.tenant import Unfit
+from ternquay.hosted.tenants.documents import format_endpoint
+from ternquay.hosted.tenants.tenant import InvalidField
 from ternquay.net.http import CallIn, CallLimits, CallPort, Channel
 
 QUERY_MOST = 1024
@@ -101,8 +101,8 @@
             else:
                 self.port = self.reactor.listenTCP(where.port, self, 64, where.host)
         except CannotListenError as fault:
-            raise Unfit("api.listen", f"can't be bound: {fault.socketError}") from fault
-        logger.info("the administration API listens on {}", place_text(where))
+            raise InvalidField("api.listen", f"can't be bound: {fault.socketError}") from fault
+        logger.info("the administration API listens on {}", format_endpoint(where))
 
     def reload(self, service: Service) -> None:
         """Raises ServiceError where the certificate can't be used; then the old one stays."""
