--- a/ternquay/net/discovery.py
+++ b/ternquay/net/discovery.py
@@ -1,6 +1,6 @@
 """Follows the list of cache hosts: one watch after the other, at once; a failed call ends the watching.
 
-When the next call goes out, and how long it may take, is decided in net/follow.py.
+When the next call goes out, and how long it may take, is decided in net/watch_schedule.py.
 """
 
 from collections.abc import Callable
@@ -18,11 +18,10 @@
 from zope.interface import implementer
 
 from ternquay.net.door import Call, Door, unschedule
-from ternquay.net.follow import Ask, Follow
-from ternquay.net.follow import Failure as Kind
 from ternquay.net.limits import MS, SECOND, Limits
 from ternquay.net.listing import Address, ToldWrong, read_list
 from ternquay.net.start_times import StartTimes
+from ternquay.net.watch_schedule import CallFailure, CallTimes, WatchSchedule
 
 
 class CallFailed(Exception):
@@ -81,7 +80,7 @@
     """One call that is out."""
 
     at: int
-    ask: Ask
+    times: CallTimes
     answer: "Deferred[None]"
     timer: Call | None = None
     dropped: bool = False  # nobody waits for it any more
@@ -113,7 +112,7 @@
         pool.maxPersistentPerHost = 1
         self.agent = Agent.usingEndpointFactory(reactor, Straight(reactor, where), pool)
         self.revision = -1  # no list of this address is known yet
-        self.follow = Follow(limits, door.draw, not door.start.watch_list)
+        self.schedule = WatchSchedule(limits, door.draw, not door.start.watch_list)
         self.ended = self.last = False  # last: no further call, but what is out is still good
         self.call: Called | None = None
         self.kept: Called | None = None  # one that was silent for longer than it may, and may yet be answered
@@ -159,11 +158,11 @@
         if self.ended or self.last:
             return
         # The versions of one address need not be those of another: there the whole list comes first.
-        ask = self.follow.ask()
-        since = f"?index={self.revision}&wait={ask.wait // MS}" if self.revision >= 0 else ""
+        times = self.schedule.next_call()
+        since = f"?index={self.revision}&wait={times.wait // MS}" if self.revision >= 0 else ""
         answer = self.agent.request(b"GET", (self.url + since).encode()).addCallback(self._body)
-        one = self.call = Called(self.door.now(), ask, answer)
-        one.timer = self.reactor.callLater(ask.patience / SECOND, self._silent, one)
+        one = self.call = Called(self.door.now(), times, answer)
+        one.timer = self.reactor.callLater(times.timeout / SECOND, self._silent, one)
         answer.addCallback(self._read, one).addErrback(self._failed, one)
 
     def _body(self, response: Any) -> "Deferred[bytes]":
@@ -200,7 +199,7 @@
         self.call = None
         self._ended_once()
         # At once, as a rule: a later call would be a new watch, with a gap before it.
-        self._next(self.follow.answered(self.door.now() - one.at, self.revision != before))
+        self._next(self.schedule.answered(self.door.now() - one.at, self.revision != before))
 
     def _next(self, pause: int) -> None:
         if pause:
@@ -215,17 +214,17 @@
 
     def _silent(self, one: Called) -> None:
         """Nothing came, or not all of it, in the time that a call may take."""
-        ask = one.ask
+        times = one.times
         if one is self.kept:
             self.kept = None
             one.drop()
             return
-        if ask.kept > ask.patience and self.kept is None:
+        if times.kept_for > times.timeout and self.kept is None:
             self.kept = one
-            one.timer = self.reactor.callLater((ask.kept - ask.patience) / SECOND, self._silent, one)
+            one.timer = self.reactor.callLater((times.kept_for - times.timeout) / SECOND, self._silent, one)
         else:
             one.drop()
-        self._lost(Kind.SILENT, f"silent, {ask.patience / SECOND:.2f} s after the call")
+        self._lost(CallFailure.SILENT, f"silent, {times.timeout / SECOND:.2f} s after the call")
 
     def _failed(self, failure: Failure, one: Called) -> None:
         unschedule(one.timer)
@@ -234,16 +233,16 @@
         if one is self.kept:
             self.kept = None  # those that were made since go on
             return
-        self._lost(Kind.SPOILT if failure.check(Spoilt) else Kind.ENDED, reason(failure))
+        self._lost(CallFailure.CORRUPT if failure.check(Spoilt) else CallFailure.NO_ANSWER, reason(failure))
 
-    def _lost(self, how: Kind, why: str) -> None:
+    def _lost(self, how: CallFailure, why: str) -> None:
         self.call = None
-        if how is Kind.SPOILT:
+        if how is CallFailure.CORRUPT:
             # What it told is lost, so that only the whole list says how things stand; it is taken at any revision.
             self.revision = -1
         self.door.tell("WARNING", "discovery: {}", why)
         self._ended_once()
-        self._next(self.follow.failed(self.door.now(), how))
+        self._next(self.schedule.failed(self.door.now(), how))
 
 
 def reason(failure: Failure) -> str:
--- a/ternquay/rig/balancer.py
+++ b/ternquay/rig/balancer.py
@@ -13,5 +13,5 @@
 
 if __name__ == "__main__":
     if sys.argv[1] in TWINS:
-        setattr(discovery, "Follow", TWINS[sys.argv[1]])  # noqa: B010
+        setattr(discovery, "WatchSchedule", TWINS[sys.argv[1]])  # noqa: B010
     run(read_launch(sys.argv[2]), load("pat" if sys.argv[1] in TWINS else sys.argv[1]))
--- a/ternquay/rig/twins.py
+++ b/ternquay/rig/twins.py
@@ -3,18 +3,18 @@
 from dataclasses import replace
 from random import Random
 
-from ternquay.net.follow import Failure, Follow
 from ternquay.net.limits import SECOND, Limits
+from ternquay.net.watch_schedule import CallFailure, WatchSchedule
 
 
-class NotAnew(Follow):
+class NotAnew(WatchSchedule):
     """A watch that has fallen silent is not opened anew."""
 
-    def failed(self, now: int, how: Failure) -> int:
-        return super().failed(now, how) if how is not Failure.SILENT else 3600 * SECOND
+    def failed(self, now: int, failure: CallFailure) -> int:
+        return super().failed(now, failure) if failure is not CallFailure.SILENT else 3600 * SECOND
 
 
-class Late(Follow):
+class Late(WatchSchedule):
     """Silence is noticed some seconds after what it missed counts as told, and followed by the usual pause."""
 
     def __init__(self, limits: Limits, draw: Random, pushed: bool) -> None:
@@ -33,4 +33,4 @@
         )
 
 
-TWINS: dict[str, type[Follow]] = {"not-anew": NotAnew, "late": Late}
+TWINS: dict[str, type[WatchSchedule]] = {"not-anew": NotAnew, "late": Late}
