--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -13,7 +13,7 @@
 from ternquay.hosted.shared.loop import PIECE, Loop
 from ternquay.net import meta
 from ternquay.net.client import ClientConnection, Owed
-from ternquay.net.door import Door
+from ternquay.net.dispatcher import Dispatcher
 from ternquay.net.front import Front
 from ternquay.net.limits import Limits
 from ternquay.net.listener import Listener
@@ -108,7 +108,7 @@
         self.front.loop.ready(self.front.name, self.address, self)
 
     def _await_turn(self) -> None:
-        self.waits, self.waits_since = True, self.front.door.now()
+        self.waits, self.waits_since = True, self.front.dispatcher.now()
 
     def held_by_us(self) -> bool:
         return self.waits or self.stuck or super().held_by_us()
@@ -120,7 +120,7 @@
 
     def hold_back(self) -> None:
         if not self.unreading and not self.ended and (len(self.machine.buffer) > BACKLOG or self.stuck):
-            self.unreading, self.paused_at = True, self.front.door.now()
+            self.unreading, self.paused_at = True, self.front.dispatcher.now()
             self.transport.pauseProducing()
 
     def lay_unread(self, goes_on: bool) -> int:
@@ -131,7 +131,7 @@
         self.turn_wait = 0
         if self.waits:
             self.waits = False
-            self.turn_wait = self.front.door.now() - self.waits_since
+            self.turn_wait = self.front.dispatcher.now() - self.waits_since
             self.deadline.extend(self.turn_wait)
         if self.ended or self.closing:
             return False
@@ -178,7 +178,7 @@
     def arrives(self, command: meta.Command, owed: Owed, unread: int) -> None:
         if self.front.full(self):
             self.front.safety.refuses(RefuseReason.SHARE, owed.id)
-            owed.roll_back(self.front.door.about(self.front.limits.retry_after))
+            owed.roll_back(self.front.dispatcher.about(self.front.limits.retry_after))
             return
         owed.counted = True
         self.open += 1
@@ -199,9 +199,17 @@
     """`shut`: nought, or how long what comes is told to wait, as the tenant takes nothing now."""
 
     def __init__(
-        self, reactor: Any, door: Door, limits: Limits, sockets: Sockets, turn: Turn, loop: Loop, name: str, dues: Dues
+        self,
+        reactor: Any,
+        dispatcher: Dispatcher,
+        limits: Limits,
+        sockets: Sockets,
+        turn: Turn,
+        loop: Loop,
+        name: str,
+        dues: Dues,
     ) -> None:
-        super().__init__(reactor, door, limits, sockets, turn)
+        super().__init__(reactor, dispatcher, limits, sockets, turn)
         self.loop, self.name, self.dues = loop, name, dues
         self.by_address: dict[str, dict[TenantClient, None]] = {}
         self.shut = self.open_most = self.busy_clients = 0
@@ -290,7 +298,7 @@
     def over(self, client: TenantClient) -> int:
         """Nought, or how long its next command is told to wait, without being read."""
         shut = self.shut or (self.fenced() if self.fenced is not None else 0)
-        return self.door.about(shut) or self.dues.take(self.door.now(), client.address)
+        return self.dispatcher.about(shut) or self.dues.take(self.dispatcher.now(), client.address)
 
     def full(self, client: TenantClient) -> bool:
         """Whether the tenant has as many open as it may, and this client its part of them."""
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -18,7 +18,7 @@
 from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Server, State, Tenant
 from ternquay.net.closing import all_accepted
 from ternquay.net.discovery import Discovery
-from ternquay.net.door import Door, Outgoing
+from ternquay.net.dispatcher import Dispatcher, OutgoingHop
 from ternquay.net.host_connection import HostConnection
 from ternquay.net.limits import SECOND, Limits, derive_limits
 from ternquay.net.listing import Address, Member
@@ -167,7 +167,7 @@
                 connection.drop(ServerCloseReason.REMOVED)
 
 
-class TenantDoor(Door):
+class TenantDispatcher(Dispatcher):
     """Its list goes by the ledger, and what its hops tell of machines that others name too."""
 
     told: Callable[[bool, tuple[Member, ...]], None]
@@ -185,7 +185,7 @@
         super().list_told(True, members)
         self.shared = {self.hosts[id]: place for id, place in shared.items() if id in self.hosts}
 
-    def _ended(self, hop: Outgoing, end: m.End, answer: Any = None, note: int = 0) -> None:
+    def _ended(self, hop: OutgoingHop, end: m.End, answer: Any = None, note: int = 0) -> None:
         place = self.shared.get(hop.host) if self.shared else None
         super()._ended(hop, end, answer, note)
         if place is not None:
@@ -241,16 +241,18 @@
         self.limits = limits_of(common.process, tenant)
         self.zones, self.cells = Numbers(), Numbers()
         self.sockets = TenantSockets(self.limits, self.id, common.sockets, tenant.limits.host_connections)
-        self.door = TenantDoor(reactor, started_of(common.process, tenant), names_of(tenant, self.zones), self.limits)
-        self.door.told, self.door.machine_ended = self._told, self._machine_ended
-        self.pool = self.door.pool = TenantPool(
-            common.loop, self.id, reactor, self.door, self.limits, self.sockets, True
+        self.dispatcher = TenantDispatcher(
+            reactor, started_of(common.process, tenant), names_of(tenant, self.zones), self.limits
+        )
+        self.dispatcher.told, self.dispatcher.machine_ended = self._told, self._machine_ended
+        self.pool = self.dispatcher.pool = TenantPool(
+            common.loop, self.id, reactor, self.dispatcher, self.limits, self.sockets, True
         )
         self.turn = OwnTurn(turn, self.limits.turn_duration)
-        self.door.stood_still = self.turn.stood_still
+        self.dispatcher.stood_still = self.turn.stood_still
         self.dues = Dues(tenant.limits.txs_a_second, tenant.limits.burst)
         self.front = TenantFront(
-            reactor, self.door, self.limits, self.sockets, self.turn, common.loop, self.id, self.dues
+            reactor, self.dispatcher, self.limits, self.sockets, self.turn, common.loop, self.id, self.dues
         )
         self.front.open_most = tenant.limits.open_txs
         self.front.gate = self._gate
@@ -282,7 +284,7 @@
             self._limited(new)
         if (old.profiles, old.rules, old.shares) != (new.profiles, new.rules, new.shares):
             start, names = started_of(self.common.process, new), names_of(new, self.zones)
-            self.door.refigured(start, names, self.limits)
+            self.dispatcher.refigured(start, names, self.limits)
         if old.listeners != new.listeners:
             for place in set(old.listeners) - set(new.listeners):
                 if place in self.ports:
@@ -295,7 +297,7 @@
 
     def _limited(self, tenant: Tenant) -> None:
         self.limits = limits_of(self.common.process, tenant)
-        self.door.limits = self.pool.limits = self.front.limits = self.sockets.limits = self.limits
+        self.dispatcher.limits = self.pool.limits = self.front.limits = self.sockets.limits = self.limits
         self.sockets.hosts_most = tenant.limits.host_connections
         self.turn.most = self.limits.turn_duration
         self.dues.change(tenant.limits.txs_a_second, tenant.limits.burst)
@@ -313,7 +315,7 @@
     def _stand(self, state: State) -> None:
         self.front.shut = 0 if state is State.ACTIVE else self.limits.retry_after
         if state is State.ENDING and not self.ending_since:
-            self.ending_since = self.door.now()
+            self.ending_since = self.dispatcher.now()
             self.close_ports()
             self.front.leave()
 
@@ -334,8 +336,8 @@
         if not self.ending_since:
             return False
         longest = max(one.profile.hard_limit for one in self.entry.tenant.profiles)
-        waited = self.door.now() - self.ending_since
-        return (not self.front.all and not self.door.txs) or waited > longest + SECOND
+        waited = self.dispatcher.now() - self.ending_since
+        return (not self.front.all and not self.dispatcher.txs) or waited > longest + SECOND
 
     def end(self) -> None:
         """It is no more: nothing of it stays."""
@@ -345,7 +347,7 @@
         for client in list(self.front.all):
             self.front.drop(client, CloseReason.REMOVED)
         self.pool.end()
-        self.common.retell(self.common.ledger.left(self.door.now(), self.id))
+        self.common.retell(self.common.ledger.left(self.dispatcher.now(), self.id))
 
     # ---- its cache hosts ----
 
@@ -357,12 +359,12 @@
             (old.end if tenant.source is None else old.retire)()
         if tenant.source is not None and self.discovery is None:
             where = Address(tenant.source.host, tenant.source.port)
-            self.discovery = Discovery(self.common.reactor, self.door, self.limits, where, self.start_times, old)
-            self.door.watch = self.discovery.watch
+            self.discovery = Discovery(self.common.reactor, self.dispatcher, self.limits, where, self.start_times, old)
+            self.dispatcher.watch = self.discovery.watch
             self.discovery.watch()
         elif tenant.source is None:
             members = tuple(self._member(server) for server in tenant.servers)
-            self._told(True, self.start_times.dated(True, members, self.door.now()))
+            self._told(True, self.start_times.dated(True, members, self.dispatcher.now()))
 
     def _member(self, server: Server) -> Member:
         # The place stands for the host: it is the same by whatever name it goes.
@@ -386,24 +388,24 @@
         named = {id: Named(_place(member.where), member.standing, member.since) for id, member in self.members.items()}
         source = self.entry.tenant.source is not None
         told = self.common.ledger.told(
-            self.door.now(), self.id, named, [place for place in places if source and place not in taken]
+            self.dispatcher.now(), self.id, named, [place for place in places if source and place not in taken]
         )
         self.settle()
         self.common.retell(told - {self.id})
 
     def settle(self) -> None:
         """Its list as the ledger has it goes to the decisions."""
-        lines = self.common.ledger.lines(self.door.now(), self.id)
+        lines = self.common.ledger.lines(self.dispatcher.now(), self.id)
         members = tuple(
             replace(
                 member, standing=lines[id].standing, since=lines[id].since, part=lines[id].part, zone=member.zone or id
             )
             for id, member in self.members.items()
         )
-        self.door.settled(members, {id: line.place for id, line in lines.items() if line.shared})
+        self.dispatcher.settled(members, {id: line.place for id, line in lines.items() if line.shared})
 
     def _machine_ended(self, place: Endpoint, end: m.End) -> None:
-        told = self.common.ledger.ended(self.door.now(), place, end)
+        told = self.common.ledger.ended(self.dispatcher.now(), place, end)
         if told:
             self.common.retell(told)
 
@@ -417,14 +419,14 @@
 
     def held(self) -> int:
         """Bytes that it has in memory of half-read and unanswered things."""
-        return self.door.held + self.front.kept + self.front.queued + self.pool.kept
+        return self.dispatcher.held + self.front.kept + self.front.queued + self.pool.kept
 
     def use(self) -> dict[str, Any]:
         part = self.common.loop.parts.get(self.id)
         return {
             "clients": self.sockets.clients,
             "host_connections": self.sockets.hosts,
-            "open": len(self.door.txs),
+            "open": len(self.dispatcher.txs),
             "held_bytes": self.held(),
             "cpu_s": round(part.spent / SECOND, 3) if part else 0.0,
             "servers": len(self.members),
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -9,7 +9,7 @@
 from zope.interface import implementer
 
 from ternquay.net import meta
-from ternquay.net.door import Arrival
+from ternquay.net.dispatcher import IncomingTx
 from ternquay.net.driver import Driver
 from ternquay.net.flow import Flow
 from ternquay.net.limits import MS
@@ -29,10 +29,10 @@
 class Owed:
     """One answer that a client waits for, in its place among the others."""
 
-    __slots__ = ("client", "command", "counted", "door", "flow", "text", "tx")
+    __slots__ = ("client", "command", "counted", "dispatcher", "flow", "text", "tx")
 
     def __init__(self, client: "ClientConnection", command: meta.Command) -> None:
-        self.client, self.command, self.door = client, command, client.front.door
+        self.client, self.command, self.dispatcher = client, command, client.front.dispatcher
         self.text: bytes | None = None
         self.flow: Flow | None = None  # the value that is its answer, as it comes
         self.tx = -1
@@ -114,7 +114,7 @@
             if isinstance(one, Owed) and one.flow is not None:
                 one.flow.leave()
             elif isinstance(one, Owed) and one.text is None:
-                one.door.gone(one.tx)
+                one.dispatcher.gone(one.tx)
 
     def rawDataReceived(self, data: bytes) -> None:
         if self.ended or self.closing:
@@ -143,7 +143,7 @@
             else:
                 self.bad(item)
         self.reading = False
-        self.moved = self.front.door.now()
+        self.moved = self.front.dispatcher.now()
         self.keep()
         self.expect_more()
         self.since = 0
@@ -201,14 +201,14 @@
             self.owed.append(item.line + b"\r\n")
             return
         # A large value that does not end where it should: what was passed on of it is cut off, and never whole.
-        owed.door.gone(owed.tx)
+        owed.dispatcher.gone(owed.tx)
         owed.put(item.line + b"\r\n")
 
     def hold(self, back: bool) -> None:
         """The cache host takes a large value more slowly than it comes, or goes on."""
         if self.ended:
             return
-        self.moved = self.front.door.now()
+        self.moved = self.front.dispatcher.now()
         self.pause(back)
         self.catch_up_until = 0  # what comes after this has waited for us
         if back:
@@ -221,7 +221,7 @@
         owed, flow = self.pours, self.coming
         self.pours = self.coming = None
         if owed is not None and flow is not None:
-            owed.door.whole(owed.tx)
+            owed.dispatcher.whole(owed.tx)
             flow.finish()
 
     def swallow(self) -> None:
@@ -242,15 +242,15 @@
         self.owed.append(owed)
         if command.length:
             self.pours, self.coming = owed, Flow(command.length, self.front.limits.chunk_bytes, self.hold)
-        now, turn = self.front.door.now(), self.front.turn
+        now, turn = self.front.dispatcher.now(), self.front.turn
         # Against more than there is time for: all that is taken makes all else late, past its hard limit too.
         late = turn.over(now)
         if late:
-            self.front.door.tell("WARNING", "short of CPU: what comes late in a turn of the loop is rolled back")
+            self.front.dispatcher.tell("WARNING", "short of CPU: what comes late in a turn of the loop is rolled back")
         why = self.no_room(late)
         if why is not None:
             self.front.safety.refuses(why, owed.id)
-            owed.roll_back(self.front.door.about(self.front.limits.retry_after))
+            owed.roll_back(self.front.dispatcher.about(self.front.limits.retry_after))
             return
         self.arrives(command, owed, turn.unread(now, self.first_since()))
 
@@ -264,7 +264,7 @@
 
     def arrives(self, command: meta.Command, owed: Owed, unread: int) -> None:
         names, left = command.names, max(0, command.ttl_ms * MS - unread)
-        arrival = Arrival(
+        arrival = IncomingTx(
             names["c"],
             self.share(command),
             command.key.decode("latin-1"),
@@ -275,7 +275,7 @@
             self.coming,
             unread,
         )
-        owed.tx = self.front.door.arrived(arrival, owed)
+        owed.tx = self.front.dispatcher.arrived(arrival, owed)
         if owed.tx < 0:
             owed.put(b"CLIENT_ERROR unknown profile\r\n")
 
@@ -332,14 +332,14 @@
 
     def queue(self, data: bytes) -> None:
         self.queued += len(data)
-        self.moved = self.front.door.now()
+        self.moved = self.front.dispatcher.now()
         self.transport.write(data)
 
     def write(self, text: bytes) -> None:
         self.queued += len(text)
         self.owing += len(text)
         self.front.queued += len(text)
-        self.moved = self.front.door.now()
+        self.moved = self.front.dispatcher.now()
         if self.queued > self.front.limits.queued_bytes:
             self.abort(CloseReason.ANSWERS_UNREAD)
         elif self.front.queued > self.front.limits.buffered_bytes:
@@ -370,7 +370,7 @@
         if self.queued:
             self.front.queued -= self.owing
             self.queued = self.owing = self.untaken_since = 0
-            self.moved = self.front.door.now()
+            self.moved = self.front.dispatcher.now()
             first = self.owed[0] if self.owed else None
             if isinstance(first, Owed) and first.flow is not None:
                 self.flush()
@@ -382,7 +382,7 @@
 
     def stalled(self) -> bool:
         """It takes none of its answers, or is held back from a request that gets nowhere."""
-        now = self.front.door.now()
+        now = self.front.dispatcher.now()
         if self.queued:
             return self.untaken(now) > self.front.limits.stall_timeout
         half = self.ended or (self.unreading and not self.machine.quiet())
--- a/ternquay/net/discovery.py
+++ b/ternquay/net/discovery.py
@@ -17,7 +17,7 @@
 from twisted.web.iweb import IAgentEndpointFactory
 from zope.interface import implementer
 
-from ternquay.net.door import Call, Door, unschedule
+from ternquay.net.dispatcher import DelayedCall, Dispatcher, cancel_call
 from ternquay.net.limits import MS, SECOND, Limits
 from ternquay.net.listing import Address, ToldWrong, read_list
 from ternquay.net.start_times import StartTimes
@@ -82,11 +82,11 @@
     at: int
     times: CallTimes
     answer: "Deferred[None]"
-    timer: Call | None = None
+    timer: DelayedCall | None = None
     dropped: bool = False  # nobody waits for it any more
 
     def drop(self) -> None:
-        unschedule(self.timer)
+        cancel_call(self.timer)
         self.dropped = True
         self.answer.cancel()
 
@@ -97,13 +97,13 @@
     def __init__(
         self,
         reactor: Any,
-        door: Door,
+        dispatcher: Dispatcher,
         limits: Limits,
         where: Address,
         start_times: StartTimes,
         instead: "Discovery | None" = None,
     ) -> None:
-        self.reactor, self.door, self.limits, self.start_times = reactor, door, limits, start_times
+        self.reactor, self.dispatcher, self.limits, self.start_times = reactor, dispatcher, limits, start_times
         self.where = where
         self.url = f"http://{where}/api/targets"
         self.idle = pool = HTTPConnectionPool(reactor)
@@ -112,11 +112,11 @@
         pool.maxPersistentPerHost = 1
         self.agent = Agent.usingEndpointFactory(reactor, Straight(reactor, where), pool)
         self.revision = -1  # no list of this address is known yet
-        self.schedule = WatchSchedule(limits, door.draw, not door.start.watch_list)
+        self.schedule = WatchSchedule(limits, dispatcher.draw, not dispatcher.start.watch_list)
         self.ended = self.last = False  # last: no further call, but what is out is still good
         self.call: Called | None = None
         self.kept: Called | None = None  # one that was silent for longer than it may, and may yet be answered
-        self.next: Call | None = None
+        self.next: DelayedCall | None = None
         self.instead = instead  # the one at another address, until this one has told something
         self.first: Callable[[], None] | None = None  # told once, when a call has ended for the first time
 
@@ -128,7 +128,7 @@
     def retire(self) -> None:
         """No further call. What was written by now on the one that is out counts as told, so it is still read."""
         self.last = True
-        unschedule(self.next)
+        cancel_call(self.next)
         if self.instead is not None:
             self.instead.end()
             self.instead = None
@@ -137,7 +137,7 @@
     def end(self) -> None:
         """No further call, and nothing is told any more, not even by the calls that are out."""
         self.ended = True
-        unschedule(self.next)
+        cancel_call(self.next)
         for one in (self.call, self.kept, self.instead):
             if isinstance(one, Called):
                 one.drop()
@@ -152,7 +152,7 @@
         if revision < self.revision:
             raise ToldWrong(f"revision: {revision} is older than {self.revision}, which is known")
         self.revision = revision  # before the decisions hear of it, as they may ask for the next at once
-        self.door.list_told(whole, self.start_times.dated(whole, members, self.door.now()))
+        self.dispatcher.list_told(whole, self.start_times.dated(whole, members, self.dispatcher.now()))
 
     def _call(self) -> None:
         if self.ended or self.last:
@@ -161,7 +161,7 @@
         times = self.schedule.next_call()
         since = f"?index={self.revision}&wait={times.wait // MS}" if self.revision >= 0 else ""
         answer = self.agent.request(b"GET", (self.url + since).encode()).addCallback(self._body)
-        one = self.call = Called(self.door.now(), times, answer)
+        one = self.call = Called(self.dispatcher.now(), times, answer)
         one.timer = self.reactor.callLater(times.timeout / SECOND, self._silent, one)
         answer.addCallback(self._read, one).addErrback(self._failed, one)
 
@@ -179,7 +179,7 @@
         return Failure(Spoilt(f"cut off: {reason(why)}"))
 
     def _read(self, body: bytes, one: Called) -> None:
-        unschedule(one.timer)
+        cancel_call(one.timer)
         if self.ended or one.dropped:
             return
         # Whichever is answered first is the one that goes on.
@@ -187,7 +187,7 @@
         self.call, self.kept = one, None
         if other is not None:
             other.drop()
-        unschedule(self.next)
+        cancel_call(self.next)
         before = self.revision
         try:
             self.take(orjson.loads(body))
@@ -199,7 +199,7 @@
         self.call = None
         self._ended_once()
         # At once, as a rule: a later call would be a new watch, with a gap before it.
-        self._next(self.schedule.answered(self.door.now() - one.at, self.revision != before))
+        self._next(self.schedule.answered(self.dispatcher.now() - one.at, self.revision != before))
 
     def _next(self, pause: int) -> None:
         if pause:
@@ -227,7 +227,7 @@
         self._lost(CallFailure.SILENT, f"silent, {times.timeout / SECOND:.2f} s after the call")
 
     def _failed(self, failure: Failure, one: Called) -> None:
-        unschedule(one.timer)
+        cancel_call(one.timer)
         if self.ended or one.dropped:
             return
         if one is self.kept:
@@ -240,9 +240,9 @@
         if how is CallFailure.CORRUPT:
             # What it told is lost, so that only the whole list says how things stand; it is taken at any revision.
             self.revision = -1
-        self.door.tell("WARNING", "discovery: {}", why)
+        self.dispatcher.tell("WARNING", "discovery: {}", why)
         self._ended_once()
-        self._next(self.schedule.failed(self.door.now(), how))
+        self._next(self.schedule.failed(self.dispatcher.now(), how))
 
 
 def reason(failure: Failure) -> str:
--- a/ternquay/net/door.py
+++ b/ternquay/net/dispatcher.py
@@ -1,7 +1,7 @@
 """Between a front, the decisions and the connections to cache hosts: indices, events, actions, timers.
 
 A front hands in arrivals and gets one answer for each through its Asker; the pool carries hops out and says
-how each ended. No protocol is known here, so a second front can go through the same door.
+how each ended. No protocol is known here, so a second front can go through the same dispatcher.
 """
 
 from collections import deque
@@ -22,7 +22,7 @@
 from ternquay.net.safety import Attempt, RefuseReason, Safety
 
 
-class Call(Protocol):
+class DelayedCall(Protocol):
     def active(self) -> bool: ...
 
     def cancel(self) -> None: ...
@@ -33,15 +33,15 @@
 
     def seconds(self) -> float: ...
 
-    def callLater(self, delay: float, callable: Callable[..., object], *args: Any) -> Call: ...
+    def callLater(self, delay: float, callable: Callable[..., object], *args: Any) -> DelayedCall: ...
 
 
-def unschedule(call: Call | None) -> None:
+def cancel_call(call: DelayedCall | None) -> None:
     if call is not None and call.active():
         call.cancel()
 
 
-class Asker(Protocol):
+class Requester(Protocol):
     """Whoever is owed the answer."""
 
     def commit(self, answer: Any) -> None: ...
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Arrival:
+class IncomingTx:
     profile: str
     share: str
     key: str
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Outgoing:
+class OutgoingHop:
     """One hop that is out: what the pool has in hand."""
 
     tx: "OpenTx"
@@ -82,7 +82,7 @@
     sent: int
     not_past: int
     begin_by: int = 0  # 0: no matter when
-    call: Call | None = None
+    call: DelayedCall | None = None
     ended: bool = False
     written: bool = False  # its last byte may have left
     waited: bool = False  # for a poll, as the process had stood still when it was decided
@@ -92,9 +92,9 @@
 @dataclass(slots=True, eq=False)
 class OpenTx:
     id: int
-    asker: Asker
+    requester: Requester
     message: Any
-    hops: list[Outgoing] = field(default_factory=list)
+    hops: list[OutgoingHop] = field(default_factory=list)
     out: int = 0
     answered: bool = False
     flow: Flow | None = None  # of a value that goes through as it comes
@@ -102,15 +102,15 @@
     seen: int = 0  # when who asked was last known to be there
     ttl: int = 0
     whole: bool = True
-    call: Call | None = None
+    call: DelayedCall | None = None
 
 
-class Carrier(Protocol):
-    """Takes hops to cache hosts, and tells hop_ended() of each that the door did not give up."""
+class HopTransport(Protocol):
+    """Takes hops to cache hosts, and tells hop_ended() of each that the dispatcher did not give up."""
 
-    def send(self, hop: Outgoing) -> None: ...
+    def send(self, hop: OutgoingHop) -> None: ...
 
-    def give_up(self, hop: Outgoing) -> None: ...
+    def give_up(self, hop: OutgoingHop) -> None: ...
 
     def listed(self, index: int, address: Address, ready: bool) -> None: ...
 
@@ -119,7 +119,7 @@
     def unlisted(self, index: int) -> None: ...
 
 
-class Door:
+class Dispatcher:
     def __init__(
         self, clock: Clock, start: m.Started, names: Names, limits: Limits, decisions: type[Balancer] = Balancer
     ) -> None:
@@ -128,9 +128,9 @@
         self.tell = Flood(clock.seconds, limits.warning_interval).tell
         self.safety = Safety(self.now, self.tell)
         self.balancer = decisions(start)
-        self.timer: Call | None = None  # the decisions' one
+        self.timer: DelayedCall | None = None  # the decisions' one
         self.draw = Random(f"{start.seed}.{start.number}")
-        self.pool: Carrier
+        self.pool: HopTransport
         self.stood_still: Callable[[int], bool] = lambda now: False
         self.watch: Callable[[], None] = lambda: None
         self.hosts: dict[str, int] = {}
@@ -147,7 +147,7 @@
     def now(self) -> int:
         return int(self.clock.seconds() * SECOND)
 
-    def later(self, at: int, what: Callable[..., None], *args: Any) -> Call:
+    def later(self, at: int, what: Callable[..., None], *args: Any) -> DelayedCall:
         return self.clock.callLater(max(0, at - self.now()) / SECOND, what, *args)
 
     def about(self, span: int) -> int:
@@ -200,14 +200,14 @@
             self._send(a)
         elif isinstance(a, m.SetTimer):
             # A little late, as rounding may not make it early, and after the hops that end at that time.
-            unschedule(self.timer)
+            cancel_call(self.timer)
             self.timer = self.later(a.at + 2000, self.happened, m.TimerFired())
         elif isinstance(a, m.RollBack):
             tx = self.txs.get(a.tx)
             if tx is not None and not tx.answered:
                 self._answered(tx)
-                self.safety.refuses(RefuseReason.DECISIONS, tx.asker.id)
-                tx.asker.roll_back(a.backoff)
+                self.safety.refuses(RefuseReason.DECISIONS, tx.requester.id)
+                tx.requester.roll_back(a.backoff)
         elif isinstance(a, m.Abandon):
             self._abandon(a.tx)
         elif isinstance(a, m.CancelHop):
@@ -219,7 +219,7 @@
 
     # ---- a transaction ----
 
-    def arrived(self, arrival: Arrival, asker: Asker) -> int:
+    def arrived(self, arrival: IncomingTx, asker: Requester) -> int:
         """Takes a transaction; the asker is answered once, maybe before this returns. -1: no such profile."""
         profile = self.names.profiles.get(arrival.profile)
         if profile is None:
@@ -291,11 +291,11 @@
         tx = self.txs.get(number)
         if tx is not None and not tx.answered:
             self._answered(tx)
-            tx.asker.abandon()
+            tx.requester.abandon()
 
     def _answered(self, tx: OpenTx) -> None:
         tx.answered = True
-        unschedule(tx.call)
+        cancel_call(tx.call)
         self.held -= tx.message.size()
         if not tx.out:
             del self.txs[tx.id]
@@ -306,7 +306,7 @@
         tx, now = self.txs.get(a.tx), self.now()
         if tx is None:
             return
-        hop = Outgoing(tx, len(tx.hops), a.host, now, a.not_past, a.begin_by)
+        hop = OutgoingHop(tx, len(tx.hops), a.host, now, a.not_past, a.begin_by)
         tx.hops.append(hop)
         tx.out += 1
         if tx.answered or hop.number >= self.start.most_hops or a.not_past <= now:
@@ -322,11 +322,11 @@
         else:
             self.pool.send(hop)
 
-    def _go(self, hop: Outgoing) -> None:
+    def _go(self, hop: OutgoingHop) -> None:
         if not hop.ended:
             self.pool.send(hop)
 
-    def may_begin(self, hop: Outgoing) -> bool:
+    def may_begin(self, hop: OutgoingHop) -> bool:
         """The last question before the first byte of a hop, as what was decided may have waited for a dial or a place.
 
         Nothing more of a tx that has its answer, also where hops may not be cancelled; no repeat past the time for
@@ -340,23 +340,23 @@
             hop.begin_by,
             stale=not hop.waited and self.stood_still(self.now()),
         )
-        return self.safety.may_begin(attempt, lambda: self._departed(hop.tx), hop.tx.asker.id) is None
+        return self.safety.may_begin(attempt, lambda: self._departed(hop.tx), hop.tx.requester.id) is None
 
     def _departed(self, tx: OpenTx) -> bool:
         """Whether the client has gone, as far as the system knows."""
         now = self.now()
         if now - tx.seen <= self.limits.presence_check_after:
             return False
-        if tx.asker.left():
+        if tx.requester.left():
             self.gone(tx.id)
             return True
         tx.seen = now
         return False
 
-    def _time(self, hop: Outgoing) -> None:
+    def _time(self, hop: OutgoingHop) -> None:
         hop.call = self.later(hop.not_past + 1000, self._give_up, hop, m.End.TIMED_OUT)
 
-    def _give_up(self, hop: Outgoing, end: m.End) -> None:
+    def _give_up(self, hop: OutgoingHop, end: m.End) -> None:
         hop.ended = True
         self.pool.give_up(hop)
         if not hop.written:
@@ -364,19 +364,19 @@
             end = m.End.SKIPPED if end is m.End.CANCELLED else m.End.UNREACHABLE
         self._ended(hop, end)
 
-    def hop_ended(self, hop: Outgoing, end: m.End, answer: Any = None, note: int = 0) -> None:
+    def hop_ended(self, hop: OutgoingHop, end: m.End, answer: Any = None, note: int = 0) -> None:
         """From the pool; what comes after the end, as a late answer, is dropped."""
         if not hop.ended:
             hop.ended = True
             self._ended(hop, end, answer, note)
 
-    def _ended(self, hop: Outgoing, end: m.End, answer: Any = None, note: int = 0) -> None:
-        unschedule(hop.call)
+    def _ended(self, hop: OutgoingHop, end: m.End, answer: Any = None, note: int = 0) -> None:
+        cancel_call(hop.call)
         tx = hop.tx
         tx.out -= 1
         if end is m.End.DONE and not tx.answered:
             self._answered(tx)
-            tx.asker.commit(answer)
+            tx.requester.commit(answer)
         else:
             if isinstance(answer, Flow):
                 answer.leave()  # another hop was first, or nobody waits any more
--- a/ternquay/net/eviction.py
+++ b/ternquay/net/eviction.py
@@ -29,7 +29,7 @@
 
 
 def _evicted(front: "Front") -> Iterator["ClientConnection"]:
-    now = front.door.now()
+    now = front.dispatcher.now()
     for client in [one for one in front.resting if one.answered or now - one.moved >= SILENT]:
         if client in front.resting and front.close_resting(client):
             yield client
--- a/ternquay/net/front.py
+++ b/ternquay/net/front.py
@@ -7,7 +7,7 @@
 
 from ternquay.net import meta
 from ternquay.net.client import ClientConnection
-from ternquay.net.door import Call, Door, unschedule
+from ternquay.net.dispatcher import DelayedCall, Dispatcher, cancel_call
 from ternquay.net.eviction import INTERVAL, evict
 from ternquay.net.limits import MS, SECOND, Limits
 from ternquay.net.safety import CloseReason, may_close
@@ -21,23 +21,23 @@
 class Front(Factory):
     noisy = False
 
-    def __init__(self, reactor: Any, door: Door, limits: Limits, sockets: Sockets, turn: Turn) -> None:
-        self.reactor, self.door, self.limits, self.sockets, self.turn = reactor, door, limits, sockets, turn
+    def __init__(self, reactor: Any, dispatcher: Dispatcher, limits: Limits, sockets: Sockets, turn: Turn) -> None:
+        self.reactor, self.dispatcher, self.limits, self.sockets, self.turn = reactor, dispatcher, limits, sockets, turn
         self.all: set[ClientConnection] = set()
         self.queued = self.kept = 0  # bytes of all clients
         self.resting: dict[ClientConnection, None] = {}  # idle ones, the longest first
         self.asked: dict[ClientConnection, None] = {}  # those of them that had an answer
         self.unproven: dict[ClientConnection, None] = {}  # no whole command line has come yet; the oldest first
         self.unfinished: dict[ClientConnection, None] = {}  # a request has begun to arrive and is not whole
-        self.expiry: Call | None = None  # the next look at those
+        self.expiry: DelayedCall | None = None  # the next look at those
         self.expires_at = 0  # when that is
-        self.safety = door.safety
+        self.safety = dispatcher.safety
         self.leaving = self.held_up = False
         self.spared = 0  # how long one that has said nothing yet is left while they leave
         self.hello = meta.HELLO  # what an `mn` is answered with
         self.gate: Callable[[bool], None] = lambda accept: None
         self.waiting: Callable[[], int] = lambda: 0  # how many clients wait to be accepted
-        self.admission: Call | None = None  # the next look for places for those
+        self.admission: DelayedCall | None = None  # the next look for places for those
         sockets.shed_client, sockets.has_room = self.shed, self.has_room
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
@@ -46,7 +46,7 @@
     def came(self, client: ClientConnection) -> None:
         self.all.add(client)
         client.crowded = not self.sockets.client_came()
-        client.moved, client.since = self.door.now(), self.turn.waits_since()
+        client.moved, client.since = self.dispatcher.now(), self.turn.waits_since()
         client.made, client.turn = client.moved, self.turn.count
         self.unproven[client] = None
         self.idle(client)
@@ -55,14 +55,14 @@
             self.held_up = True
             self.gate(False)
             if self.admission is None:
-                self.admission = self.door.later(client.made + INTERVAL, self._admit)
+                self.admission = self.dispatcher.later(client.made + INTERVAL, self._admit)
 
     def _admit(self) -> None:
         """Places for those that wait to be accepted, as long as all are taken."""
         self.admission = None
         if not self.held_up:
             return
-        self.admission = self.door.later(self.door.now() + INTERVAL, self._admit)
+        self.admission = self.dispatcher.later(self.dispatcher.now() + INTERVAL, self._admit)
         evict(self, self.waiting())
 
     def room(self) -> int:
@@ -96,14 +96,14 @@
 
     def _look_for_overdue(self, at: int) -> None:
         """One timer serves all requests that are not whole."""
-        unschedule(self.expiry)
+        cancel_call(self.expiry)
         self.expires_at = at
-        self.expiry = self.door.later(at, self._expire)
+        self.expiry = self.dispatcher.later(at, self._expire)
 
     def _expire(self) -> None:
         """Ends the requests that are overdue, and looks again when the next one is."""
         self.expiry = None
-        now = self.door.now()
+        now = self.dispatcher.now()
         try:
             for client in [one for one in self.unfinished if one.overdue(now)]:
                 # The end of one may set off that of another, which was to be ended here too.
@@ -141,7 +141,7 @@
                 self.close_resting(client)
             elif client.answered and (client.crowded or self.held_up):
                 # Not in this step: what a client has written behind its request may be on its way.
-                self.door.later(client.moved + SETTLE, self._close_settled, client, client.moved)
+                self.dispatcher.later(client.moved + SETTLE, self._close_settled, client, client.moved)
 
     def _close_settled(self, client: ClientConnection, moved: int) -> None:
         """Closes one that was idle then and has been since."""
@@ -150,7 +150,7 @@
 
     def shed(self) -> bool:
         """Closes the client connection that has been idle longest."""
-        now = self.door.now()
+        now = self.dispatcher.now()
         for client in self.resting:
             if client.answered or now - client.moved > self.limits.new_client_grace:
                 return self.close_resting(client)
@@ -158,7 +158,7 @@
 
     def _close_unproven(self, most: int) -> int:
         """Closes the oldest that have sent nothing whole for longer than a true one takes; how many."""
-        before = self.door.now() - self.limits.first_command_timeout
+        before = self.dispatcher.now() - self.limits.first_command_timeout
         old: list[ClientConnection] = []
         for client in self.unproven:
             if client.made > before or len(old) >= most:
@@ -211,13 +211,13 @@
         self._close_still()
 
     def _close_still(self) -> None:
-        before = self.door.now() - self.spared
+        before = self.dispatcher.now() - self.spared
         for client in [c for c in self.resting if c.answered or c.moved <= before]:
             self.close_resting(client)
 
     def cut_off(self) -> None:
         """Closes what owes nothing and does not move: half a command, for one."""
-        before = self.door.now() - self.limits.new_client_grace
+        before = self.dispatcher.now() - self.limits.new_client_grace
         for client in [c for c in self.all if not c.owed and not c.queued and c.moved <= before]:
             if may_close(CloseReason.LEAVING, owing=False, unread=client.lies_unread()):
                 client.abort(CloseReason.LEAVING)
--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -14,7 +14,7 @@
 from zope.interface import implementer
 
 from ternquay import model as m
-from ternquay.net.door import Outgoing
+from ternquay.net.dispatcher import OutgoingHop
 from ternquay.net.driver import Driver
 from ternquay.net.flow import Flow, nothing
 from ternquay.net.limits import MS
@@ -35,9 +35,9 @@
         self.connector: Any = None
         self.machine = HostSide(pool.limits.line_bytes, pool.limits.answer_bytes, pool.limits.stream_above_bytes)
         self.kept = 0  # bytes of an answer that is not whole
-        self.to_write: deque[Outgoing] = deque()
-        self.writing: Outgoing | None = None
-        self.hops: deque[Outgoing] = deque()  # given to the transport, in order; given-up ones stay in place
+        self.to_write: deque[OutgoingHop] = deque()
+        self.writing: OutgoingHop | None = None
+        self.hops: deque[OutgoingHop] = deque()  # given to the transport, in order; given-up ones stay in place
         self.idle_since = 0
         self.rested = -1  # how long it had been idle before the hop it is used for now, until something comes
         self.up = self.closing = False
@@ -85,17 +85,17 @@
                 self.recall()
                 return
             hop = self.to_write.popleft()
-            if self.pool.door.may_begin(hop):
+            if self.pool.dispatcher.may_begin(hop):
                 self.begin(hop)
             else:
                 skipped = True
-                self.pool.door.hop_ended(hop, m.End.SKIPPED)
+                self.pool.dispatcher.hop_ended(hop, m.End.SKIPPED)
         if skipped:
             self.settle()
 
-    def begin(self, hop: Outgoing) -> None:
-        left = max(1, (hop.not_past - self.pool.door.now()) // MS)
-        self.pool.door.safety.begun(hop.tx.answered, hop.tx.asker.id, hop.number)
+    def begin(self, hop: OutgoingHop) -> None:
+        left = max(1, (hop.not_past - self.pool.dispatcher.now()) // MS)
+        self.pool.dispatcher.safety.begun(hop.tx.answered, hop.tx.requester.id, hop.number)
         self.writing = hop
         self.hops.append(hop)
         self.machine.expect(hop.tx.message)
@@ -130,7 +130,7 @@
 
     def _filled(self) -> None:
         """The system is given some of a large value."""
-        self.filled, self.filled_at = True, self.pool.door.now()
+        self.filled, self.filled_at = True, self.pool.dispatcher.now()
 
     def stopProducing(self) -> None:
         pass
@@ -158,24 +158,24 @@
             if self.pool.kept > self.pool.limits.buffered_bytes:
                 self.machine.fault = "more than there is room for"
         if self.machine.fault and not self.closing:
-            self.pool.door.tell("WARNING", "{} answered badly: {}", self.host.address, self.machine.fault)
+            self.pool.dispatcher.tell("WARNING", "{} answered badly: {}", self.host.address, self.machine.fault)
             self.drop(ServerCloseReason.BAD_ANSWER)
 
     def answered(self, answer: Answer) -> None:
         hop = self.hops.popleft()
         if hop is self.writing and not hop.written:
             # Before its last byte was written it can't have run, whatever the cache host says.
-            self.pool.door.hop_ended(hop, answer.end if answer.end is m.End.FULL else m.End.UNREACHABLE)
+            self.pool.dispatcher.hop_ended(hop, answer.end if answer.end is m.End.FULL else m.End.UNREACHABLE)
             return self.drop(ServerCloseReason.BAD_ANSWER)
         # Before the door hears of it, as what that sets free may go to the same cache host.
         if not self.machine.fault:
             self.settle()
-        self.pool.door.hop_ended(hop, answer.end, answer.body, answer.note)
+        self.pool.dispatcher.hop_ended(hop, answer.end, answer.body, answer.note)
 
     # ---- a large value ----
 
     def begins(self, begun: Begun) -> None:
-        self.note, self.moved = begun.note, self.pool.door.now()
+        self.note, self.moved = begun.note, self.pool.dispatcher.now()
         self.flow = Flow(begun.length, self.pool.limits.chunk_bytes, self.hold, self.unwanted)
         self.hand_back()  # against what is small behind what is large
 
@@ -186,11 +186,11 @@
     def comes(self, data: bytes) -> None:
         """With its first byte it is the answer: it has come in time, and no other hop can give it any more."""
         flow, hop = self.flow, self.hops[0]
-        self.moved = self.pool.door.now()
+        self.moved = self.pool.dispatcher.now()
         if flow is None:
             return
         if not hop.ended:
-            self.pool.door.hop_ended(hop, m.End.DONE, flow, self.note)
+            self.pool.dispatcher.hop_ended(hop, m.End.DONE, flow, self.note)
         elif flow.sink is nothing:
             flow.broken = True  # given up before it came: read, and dropped
         flow.offer(data)
@@ -206,7 +206,7 @@
     def hold(self, back: bool) -> None:
         """Whoever takes the value is behind, or goes on."""
         if not self.closing:
-            self.moved = self.pool.door.now()
+            self.moved = self.pool.dispatcher.now()
             self.pause(back)
 
     def silent(self) -> bool:
@@ -215,7 +215,7 @@
         return (
             flow is not None
             and not flow.held_back
-            and (self.pool.door.now() - self.moved > self.pool.limits.stall_timeout)
+            and (self.pool.dispatcher.now() - self.moved > self.pool.limits.stall_timeout)
         )
 
     def takes_nothing(self) -> bool:
@@ -223,7 +223,7 @@
 
         A piece counts as taken once all of it is, so this bound is longer than the one for what comes in.
         """
-        return self.filled and self.up and self.pool.door.now() - self.filled_at > self.pool.limits.stall_timeout
+        return self.filled and self.up and self.pool.dispatcher.now() - self.filled_at > self.pool.limits.stall_timeout
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         if self.rested >= 0 and not self.closing:
@@ -235,13 +235,13 @@
 
     # ---- from the pool ----
 
-    def take(self, hop: Outgoing) -> None:
+    def take(self, hop: OutgoingHop) -> None:
         hop.connection = self
         self.to_write.append(hop)
         if self.up and self.writing is None:
             self.resumeProducing()
 
-    def give_up(self, hop: Outgoing) -> None:
+    def give_up(self, hop: OutgoingHop) -> None:
         """The hop is over for us; all others on this connection go on."""
         if hop in self.to_write:
             self.to_write.remove(hop)
@@ -261,7 +261,7 @@
         """What was not begun ends as never sent, and goes out elsewhere."""
         waiting, self.to_write = self.to_write, deque()
         for hop in waiting:
-            self.pool.door.hop_ended(hop, m.End.SKIPPED)
+            self.pool.dispatcher.hop_ended(hop, m.End.SKIPPED)
 
     def settle(self) -> None:
         """Idle again, or of no more use: with nothing but given-up hops on it, it is closed to end them."""
@@ -276,7 +276,7 @@
         """At once, with all that is on it."""
         if not self.closing:
             self.closing = True
-            self.pool.door.safety.closing_server(reason)
+            self.pool.dispatcher.safety.closing_server(reason)
             self.pool.lost(self)
             if self.up:
                 self.transport.abortConnection()
@@ -288,7 +288,7 @@
         """An idle one: nothing is on it."""
         if not self.closing:
             self.closing = True
-            self.pool.door.safety.closing_server(reason)
+            self.pool.dispatcher.safety.closing_server(reason)
             self.pool.lost(self)
             self.finish()
 
@@ -301,9 +301,9 @@
             flow.break_off()
         for hop in hops:
             end = m.End.UNREACHABLE if hop is self.writing else m.End.RESET
-            self.pool.door.hop_ended(hop, end)
+            self.pool.dispatcher.hop_ended(hop, end)
         for hop in waiting:
-            self.pool.door.hop_ended(hop, m.End.UNREACHABLE)
+            self.pool.dispatcher.hop_ended(hop, m.End.UNREACHABLE)
 
 
 class Dialer(ClientFactory):
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from ternquay import model as m
-from ternquay.net.door import Door, Outgoing
+from ternquay.net.dispatcher import Dispatcher, OutgoingHop
 from ternquay.net.host_connection import Dialer, HostConnection
 from ternquay.net.idle_loss import IdleLoss
 from ternquay.net.limits import SECOND, Limits
@@ -27,8 +27,8 @@
 
     connects = HostConnection  # what drives one connection
 
-    def __init__(self, reactor: Any, door: Door, limits: Limits, sockets: Sockets, share: bool) -> None:
-        self.reactor, self.door, self.limits, self.sockets = reactor, door, limits, sockets
+    def __init__(self, reactor: Any, dispatcher: Dispatcher, limits: Limits, sockets: Sockets, share: bool) -> None:
+        self.reactor, self.dispatcher, self.limits, self.sockets = reactor, dispatcher, limits, sockets
         # Where a transaction may not be out twice, a given-up hop may not stay behind on a shared connection.
         self.share = share
         self.places: dict[int, HostPlace] = {}
@@ -63,7 +63,7 @@
         if place.gone and not place.all:
             self.places.pop(place.index, None)
 
-    def send(self, hop: Outgoing) -> None:
+    def send(self, hop: OutgoingHop) -> None:
         place = self.places.get(hop.host)
         # Not to one that drains, though the decisions should know: they may have failed on the list that said so.
         # Nor what is partly written elsewhere: those bytes are gone.
@@ -73,18 +73,18 @@
         )
         if connection is None:
             # Not the cache host's fault, and never sent.
-            self.door.hop_ended(hop, m.End.SKIPPED)
+            self.dispatcher.hop_ended(hop, m.End.SKIPPED)
         else:
             connection.take(hop)
 
-    def give_up(self, hop: Outgoing) -> None:
+    def give_up(self, hop: OutgoingHop) -> None:
         if hop.connection is not None:
             hop.connection.give_up(hop)
 
     # ---- connections ----
 
     def _connection(self, place: HostPlace, share: bool) -> HostConnection | None:
-        now = self.door.now()
+        now = self.dispatcher.now()
         while place.idle:
             connection = place.idle.pop()
             # What the cache host closed, or added to its answer, may lie here unread: the hop would be lost.
@@ -112,7 +112,7 @@
 
     def idle(self, connection: HostConnection) -> None:
         # One that was taken up for a hop that was not begun has rested on.
-        connection.idle_since, connection.rested = self.door.now() - max(0, connection.rested), -1
+        connection.idle_since, connection.rested = self.dispatcher.now() - max(0, connection.rested), -1
         if not connection.current():
             connection.retire(ServerCloseReason.LEAVING)
         elif connection not in connection.host.idle:
@@ -150,13 +150,13 @@
 
     def swept(self) -> None:
         """Closes what stands idle before the cache host may: a write that crosses that is lost."""
-        before = self.door.now() - self.limits.host_idle_timeout
+        before = self.dispatcher.now() - self.limits.host_idle_timeout
         for place in list(self.places.values()):
             while place.idle and place.idle[0].idle_since <= before:
                 place.idle[0].retire(ServerCloseReason.UNFIT)
             for connection in [c for c in place.all if c.silent() and not c.lies_unread()]:
-                self.door.tell("WARNING", "{} breaks off a large value", place.address)
+                self.dispatcher.tell("WARNING", "{} breaks off a large value", place.address)
                 connection.drop(ServerCloseReason.VALUE_STOPPED)
             for connection in [c for c in place.all if c.takes_nothing()]:
-                self.door.tell("WARNING", "{} takes no more of a large value", place.address)
+                self.dispatcher.tell("WARNING", "{} takes no more of a large value", place.address)
                 connection.drop(ServerCloseReason.VALUE_STOPPED)
--- a/ternquay/net/replace.py
+++ b/ternquay/net/replace.py
@@ -1,7 +1,7 @@
 """One process beside another: who is there, what the second takes over, and how much each may have meanwhile.
 
 Loaded only where the platform holds the listening socket. The files and locks are handover/beside.py's, the note and
-the arithmetic handover/notes.py's; here they meet the clock, the door and the count of sockets.
+the arithmetic handover/notes.py's; here they meet the clock, the dispatcher and the count of sockets.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 from ternquay.handover.beside import Slots
 from ternquay.handover.notes import Ceilings, Note, learned_read, learned_text
 from ternquay.net.discovery import Discovery
-from ternquay.net.door import Door
+from ternquay.net.dispatcher import Dispatcher
 from ternquay.net.limits import MS, SECOND
 from ternquay.net.sockets import Sockets
 
@@ -26,7 +26,7 @@
     """The service, as far as a replacement has to do with it."""
 
     reactor: Any
-    door: Door
+    dispatcher: Dispatcher
     sockets: Sockets
     discovery: Discovery
 
@@ -40,7 +40,7 @@
     def __init__(self, service: Replaced, folder: Path) -> None:
         """Raises OSError where the folder can't be used."""
         self.service, self.slots = service, Slots(folder)
-        limits = service.door.limits
+        limits = service.dispatcher.limits
         self.ceilings = Ceilings(limits.sockets + limits.spare, limits.successor_sockets)
         self.other = self.second = self.other_serves = self.over = False
         self.since = self.wrote = 0  # when the other was met; when the last note was written
@@ -69,12 +69,12 @@
         self.service.reactor.callLater(LOOK / SECOND, what)
 
     def _joined(self) -> None:
-        self.since = self.service.door.now()
+        self.since = self.service.dispatcher.now()
         self.other = self.second = self.slots.other()
         self._ceiling(None)
         if self.other:
             logger.info("another process of this balancer is here, to be replaced")
-            self.service.door.beside(0.5)
+            self.service.dispatcher.beside(0.5)
         self.look()
 
     def look(self) -> None:
@@ -82,12 +82,12 @@
             return
         # Made first, so that a fault in one look does not end them all.
         self._later(self.look)
-        service, now = self.service, self.service.door.now()
+        service, now = self.service, self.service.dispatcher.now()
         other = self.slots.other()
         if other != self.other:
             self.other, self.second, self.since = other, False, now
             logger.info("another process of this balancer has come beside" if other else "this process is alone again")
-            service.door.beside(0.5 if other else 1.0)
+            service.dispatcher.beside(0.5 if other else 1.0)
         # A clock's tick early, as both may look in the same one.
         note = self.slots.read(self.since - MS) if other else None
         self._ceiling(note)
@@ -96,9 +96,9 @@
         if self.then is not None and (note is not None or not self.second or now - self.since > PATIENCE):
             then, self.then = self.then, None
             if note is not None and self.second:
-                learned = learned_read(note.learned, service.door.hosts)
+                learned = learned_read(note.learned, service.dispatcher.hosts)
                 if learned is not None:
-                    service.door.happened(learned)
+                    service.dispatcher.happened(learned)
             elif self.second:
                 logger.warning("the other process told nothing: this one serves by the list that it was given")
             then()
@@ -126,16 +126,16 @@
         if (same and note.revision > discovery.revision) or (not same and self.then is not None):
             if same:
                 discovery.revision = note.revision
-            self.service.door.list_told(True, note.members)
+            self.service.dispatcher.list_told(True, note.members)
 
     def _tell(self, now: int) -> None:
         service = self.service
-        discovery, door = service.discovery, service.door
+        discovery, dispatcher = service.discovery, service.dispatcher
         told = (service.sockets.ceiling, service.serves(), discovery.revision, self.since)
         if told == self.told and now - self.wrote < FRESH:
             return
         self.told, self.wrote = told, now
-        names = {index: name for name, index in door.hosts.items()}
+        names = {index: name for name, index in dispatcher.hosts.items()}
         self.slots.write(
             Note(
                 now,
@@ -143,8 +143,8 @@
                 service.serves(),
                 str(discovery.where),
                 discovery.revision,
-                tuple(door.members.values()),
-                learned_text(door.balancer.learned(), names),
+                tuple(dispatcher.members.values()),
+                learned_text(dispatcher.balancer.learned(), names),
             )
         )
 
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -20,7 +20,7 @@
 from ternquay.net import library_log, meta
 from ternquay.net.closing import all_accepted, once_paid
 from ternquay.net.discovery import Discovery
-from ternquay.net.door import Door, unschedule
+from ternquay.net.dispatcher import Dispatcher, cancel_call
 from ternquay.net.front import Front
 from ternquay.net.inherited import adopt, inherited
 from ternquay.net.launch import Launch, LaunchError, read_launch
@@ -74,11 +74,11 @@
         self.sockets = sockets = Sockets(self.limits)
         self.replacement: Any = None
         self.shut = False  # another process takes the clients
-        self.door = Door(reactor, launch.start, launch.names, self.limits, decisions)
-        self.pool = self.door.pool = Pool(reactor, self.door, self.limits, sockets, launch.start.parallel)
+        self.dispatcher = Dispatcher(reactor, launch.start, launch.names, self.limits, decisions)
+        self.pool = self.dispatcher.pool = Pool(reactor, self.dispatcher, self.limits, sockets, launch.start.parallel)
         self.turn = Turn(self.limits.turn_duration)
-        self.door.stood_still = self.turn.stood_still
-        self.front = Front(reactor, self.door, self.limits, sockets, self.turn)
+        self.dispatcher.stood_still = self.turn.stood_still
+        self.front = Front(reactor, self.dispatcher, self.limits, sockets, self.turn)
         self.discovery = self._discovery(launch.discovery)
         self.port: Any = None
         self.listen_until = reactor.seconds() + LISTEN_WITHIN
@@ -88,8 +88,8 @@
         self.leaves: list[Any] = []  # the steps of a drain that are still to come
 
     def _discovery(self, where: Address, instead: Discovery | None = None) -> Discovery:
-        discovery = Discovery(self.reactor, self.door, self.limits, where, self.start_times, instead)
-        self.door.watch = discovery.watch
+        discovery = Discovery(self.reactor, self.dispatcher, self.limits, where, self.start_times, instead)
+        self.dispatcher.watch = discovery.watch
         return discovery
 
     def begin(self) -> None:
@@ -129,7 +129,7 @@
             self.fault = LaunchError(f"listen: {self.launch.listen}: {fault}")
             self.reactor.stop()
             return
-        self.door.tell("WARNING", "can't listen yet: {}", fault.strerror)
+        self.dispatcher.tell("WARNING", "can't listen yet: {}", fault.strerror)
         self.reactor.callLater(LISTEN_AGAIN, self._listen)
 
     def _open(self, port: Any) -> None:
@@ -198,7 +198,7 @@
             return "out of service"
         if self.port is None:
             return "waits for the process that it replaces"
-        return "" if self.door.hosts else "no cache host is known"
+        return "" if self.dispatcher.hosts else "no cache host is known"
 
     def out_of_service(self) -> str:
         """Drains: an `mn` is told at once, clients are served for a moment, then each is closed after its answer."""
@@ -211,7 +211,7 @@
                     (self.limits.drain_cutoff_after, self.front.cut_off),
                 )
             ]
-            logger.info("out of service, {} transactions open", len(self.door.txs))
+            logger.info("out of service, {} transactions open", len(self.dispatcher.txs))
         return ""
 
     def in_service(self) -> str:
@@ -224,15 +224,15 @@
         return ""
 
     def metrics(self) -> str:
-        return self.door.safety.metrics()
+        return self.dispatcher.safety.metrics()
 
     def events(self) -> str:
-        return self.door.safety.latest()
+        return self.dispatcher.safety.latest()
 
     def _undrained(self) -> None:
         self.drained = False
         for call in self.leaves:
-            unschedule(call)
+            cancel_call(call)
 
     def signals(self) -> "dict[signal.Signals, Callable[[], None]]":
         return {signal.SIGTERM: self.end, signal.SIGINT: self.end, signal.SIGHUP: self.reload}
@@ -246,13 +246,13 @@
             return
         self.ending = True
         self._undrained()
-        logger.info("told to end, {} transactions open", len(self.door.txs))
+        logger.info("told to end, {} transactions open", len(self.dispatcher.txs))
         if self.replacement is not None and self.replacement.other_serves:
             # What comes now is the other process's, and so is who has its answer.
             self._close_door()
             self.front.leave(self.limits.new_client_grace)
             self._wait()
-        self.door.ends_at = self.door.now() + self.limits.last_answer_after
+        self.dispatcher.ends_at = self.dispatcher.now() + self.limits.last_answer_after
         self.reactor.callLater(self.limits.accept_grace / SECOND, self._close_door)
         self.reactor.callLater(self.limits.leave_after / SECOND, self._leave)
         self.reactor.callLater(self.limits.stop_after / SECOND, self._stop)
@@ -291,8 +291,8 @@
             self.discovery.end()
             if self.replacement is not None:
                 self.replacement.end()
-            logger.info(self.door.safety.summary())
-            logger.info("ended, {} transactions open", sum(not tx.answered for tx in self.door.txs.values()))
+            logger.info(self.dispatcher.safety.summary())
+            logger.info("ended, {} transactions open", sum(not tx.answered for tx in self.dispatcher.txs.values()))
             self.reactor.stop()
 
 
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -17,7 +17,7 @@
 from ternquay import model as m
 from ternquay.balance import MS, SECOND, Balancer
 from ternquay.facts import Names, read_start
-from ternquay.net.door import Door
+from ternquay.net.dispatcher import Dispatcher
 from ternquay.net.driver import LAST_DATA
 from ternquay.net.front import Front
 from ternquay.net.limits import derive_limits
@@ -293,11 +293,13 @@
         self.limits = replace(derive_limits(facts, sockets, 96), **limits or {})
         self.sockets = Sockets(self.limits)
         start = read_start(7, facts)
-        self.door = Door(self.reactor, start, Names(facts), self.limits)
-        self.pool = self.door.pool = Pool(self.reactor, self.door, self.limits, self.sockets, start.parallel)
+        self.dispatcher = Dispatcher(self.reactor, start, Names(facts), self.limits)
+        self.pool = self.dispatcher.pool = Pool(
+            self.reactor, self.dispatcher, self.limits, self.sockets, start.parallel
+        )
         self.turn = Turn(self.limits.turn_duration)
-        self.front = Front(self.reactor, self.door, self.limits, self.sockets, self.turn)
-        self.door.watch = lambda: self.say("the list is asked for")
+        self.front = Front(self.reactor, self.dispatcher, self.limits, self.sockets, self.turn)
+        self.dispatcher.watch = lambda: self.say("the list is asked for")
         self.pool.sweep()
         self.front.sweep()
         self.list(*(member(h) for h in range(1, hosts + 1)), whole=True)
@@ -307,7 +309,7 @@
 
     def list(self, *members: dict[str, Any], whole: bool = False) -> None:
         told = {"revision": 1, "complete": whole, "members": list(members)}
-        self.door.list_told(*read_list(told, 0)[1:])
+        self.dispatcher.list_told(*read_list(told, 0)[1:])
 
     def client(self) -> Wire:
         count = sum(w.name.startswith("client") for w in self.wires)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -56,7 +56,7 @@
         net.accept()
     net.run(5)
     assert not begun(net), net.trace
-    assert not net.door.txs
+    assert not net.dispatcher.txs
 
 
 @pytest.mark.parametrize("waits", [60, 200])
@@ -69,7 +69,7 @@
     net.run(waits)
     net.accept()
     assert not begun(net), net.trace
-    assert not net.door.txs
+    assert not net.dispatcher.txs
 
 
 def test_a_client_that_is_still_there_gets_its_late_hop() -> None:
@@ -128,16 +128,16 @@
 def test_what_has_lain_unread_is_taken_only_from_a_client_that_is_there() -> None:
     """A client that wrote, and left while it waited to be accepted or read."""
     net = Net()
-    net.turn.begins(net.door.now())
+    net.turn.begins(net.dispatcher.now())
     net.run(300)
-    net.turn.begins(net.door.now(), net.door.now())
+    net.turn.begins(net.dispatcher.now(), net.dispatcher.now())
     client = net.client()
     client.unread = b""
     client.feed(mg(1))
     if net.reactor.tcpClients:
         net.accept()
     assert not begun(net), net.trace
-    assert not net.door.txs
+    assert not net.dispatcher.txs
 
 
 # ---- a call to discovery that ends ----
@@ -160,8 +160,8 @@
     net = Net()
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    watch = Discovery(net.reactor, net.door, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
-    watch.revision, net.door.watch = 0, watch.watch
+    watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
+    watch.revision, net.dispatcher.watch = 0, watch.watch
     watch.watch()
     return net, agent, watch
 
@@ -468,7 +468,7 @@
     path.write_bytes(orjson.dumps(TOLD))
     net = Net()
     service = Service(net.reactor, read_launch(str(path), {}))
-    net.front, net.door, net.pool = service.front, service.door, service.pool
+    net.front, net.dispatcher, net.pool = service.front, service.dispatcher, service.pool
     service.begin()
     net.reactor.running = True
     net.reactor.tcpClients.clear()
@@ -517,7 +517,7 @@
     while net.reactor.tcpClients:
         net.accept()
     net.run(1000)
-    assert len(begun(net)) == 1 and not net.door.txs, net.trace
+    assert len(begun(net)) == 1 and not net.dispatcher.txs, net.trace
 
 
 def test_what_comes_in_one_read_with_the_end_behind_it_begins_at_once_or_never() -> None:
@@ -529,7 +529,7 @@
     while net.reactor.tcpClients:
         net.accept()
     net.run(1000)
-    assert not begun(net) and not net.door.txs and not net.pool.kept
+    assert not begun(net) and not net.dispatcher.txs and not net.pool.kept
 
 
 @pytest.mark.parametrize("back", [True, False])
@@ -639,17 +639,17 @@
 import sys, time
 from ternquay import model as m
 from ternquay.net import serve
-from ternquay.net.door import Door
+from ternquay.net.dispatcher import Dispatcher
 from ternquay.net.launch import read_launch
 
-happened = Door.happened
+happened = Dispatcher.happened
 
-def held(door, event):
-    happened(door, event)
+def held(dispatcher, event):
+    happened(dispatcher, event)
     if isinstance(event, m.HopEnded) and event.end is m.End.FULL:
         time.sleep(0.3)
 
-Door.happened = held
+Dispatcher.happened = held
 serve.run(read_launch(sys.argv[1]))
 """
 
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -47,7 +47,7 @@
         self.host.begin()
         self.tenancy = self.host.tenancies["sur"]
         self.limits, self.sockets = self.tenancy.limits, self.tenancy.sockets
-        self.door, self.pool = self.tenancy.door, self.tenancy.pool
+        self.dispatcher, self.pool = self.tenancy.dispatcher, self.tenancy.pool
         self.front: TenantFront = self.tenancy.front
 
     def turn_begins(self) -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -98,7 +98,7 @@
     client.feed(mg(1))
     net.accept()
     client.end()
-    assert not net.door.txs
+    assert not net.dispatcher.txs
     net.matches("net_client_gone")
 
 
@@ -111,7 +111,7 @@
     second.feed(mg(2))
     net.run(150)
     host.feed(va(1, b"late") + va(2))
-    assert not net.door.txs and not host.lost
+    assert not net.dispatcher.txs and not host.lost
     net.matches("net_shared")
 
 
@@ -124,7 +124,7 @@
     net.run(350)
     assert not host.lost
     net.run(100)
-    assert host.lost and not net.door.txs
+    assert host.lost and not net.dispatcher.txs
 
 
 def test_where_no_second_copy_is_allowed_nothing_is_shared() -> None:
@@ -140,14 +140,14 @@
     net = Net()
     client, other = net.client(), net.client()
     client.feed(mg(1))
-    host, ended = net.accept(), net.door.hop_ended
+    host, ended = net.accept(), net.dispatcher.hop_ended
 
     def then(*args: Any) -> None:
         monkeypatch.undo()
         ended(*args)
         other.feed(mg(2))
 
-    monkeypatch.setattr(net.door, "hop_ended", then)
+    monkeypatch.setattr(net.dispatcher, "hop_ended", then)
     host.feed(va(1))
     assert not net.reactor.tcpClients and net.sockets.hosts == 1
 
@@ -267,15 +267,15 @@
 def test_a_transaction_that_the_decisions_forget_is_answered_by_its_hard_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     net = Net()
     client = net.client()
-    monkeypatch.setattr(net.door.balancer, "decide", lambda now, event: [])
+    monkeypatch.setattr(net.dispatcher.balancer, "decide", lambda now, event: [])
     client.feed(mg(1))
     net.run(801)
-    assert not net.door.txs
+    assert not net.dispatcher.txs
 
     def broken(*_: object) -> None:
         raise ValueError("broken on purpose")
 
-    monkeypatch.setattr(net.door.balancer, "decide", broken)
+    monkeypatch.setattr(net.dispatcher.balancer, "decide", broken)
     client.feed(mg(2))
     net.matches("net_forgotten")
 
@@ -293,7 +293,7 @@
     assert idle.lost and list(net.pool.places) == [0, 38]
     busy.feed(va(1))
     net.run(1)
-    assert busy.lost and len(net.pool.places) == len(net.door.hosts) == len(net.door.balancer.hosts) == 1
+    assert busy.lost and len(net.pool.places) == len(net.dispatcher.hosts) == len(net.dispatcher.balancer.hosts) == 1
     assert net.sockets.hosts == 0
     net.matches("net_gone")
 
@@ -367,7 +367,7 @@
 
 def test_an_unreadable_list_changes_nothing() -> None:
     net = Net()
-    watch = Discovery(net.reactor, net.door, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
+    watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
     odd: tuple[Any, ...] = (
         None,
         [],
@@ -417,8 +417,8 @@
     agent = Agent(net)
     calls = agent.calls
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    watch = Discovery(net.reactor, net.door, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
-    watch.revision, net.door.watch = 0, watch.watch
+    watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
+    watch.revision, net.dispatcher.watch = 0, watch.watch
     watch.watch()
     good = {"revision": 5, "complete": False, "members": [member(2)]}
     calls[-1].callback(Response(200, orjson.dumps(good)))
@@ -514,7 +514,7 @@
     assert not moved.ended and len(service.pool.places) == 1
     told_anew = {"revision": 2, "complete": True, "members": [member(2)]}
     agent.calls[1].callback(Response(200, orjson.dumps(told_anew)))
-    assert list(service.pool.places) == [1] and list(service.door.hosts) == ["h2"]
+    assert list(service.pool.places) == [1] and list(service.dispatcher.hosts) == ["h2"]
     agent.calls[-1].errback(connectionDone)
     net.run(1500)
     path.write_bytes(orjson.dumps(TOLD))
@@ -530,7 +530,7 @@
     net = Net()
     reactor = net.reactor
     service = Service(reactor, read_launch(str(path), {}))
-    net.front, net.door = service.front, service.door
+    net.front, net.dispatcher = service.front, service.dispatcher
     service.begin()
     reactor.running = True
     reactor.tcpClients.clear()
@@ -571,7 +571,7 @@
 def test_a_turn_that_lasts_too_long_takes_no_more_and_what_waited_for_it_has_less_time() -> None:
     # Before, a balancer with twice the load that it can carry answered a third of it, much past the hard limit.
     net = Net()
-    start = net.door.now()
+    start = net.dispatcher.now()
     net.turn.begins(start)
     client = net.client()
     client.feed(mg(1))
@@ -583,7 +583,7 @@
     host.feed(va(2))
     net.reactor.advance(net.limits.turn_duration / 1e9 + 0.001)
     client.feed(mg(3))
-    net.turn.begins(net.door.now())
+    net.turn.begins(net.dispatcher.now())
     client.feed(mg(4))
     host.feed(va(4))
     net.matches("net_long_turn")
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -124,7 +124,7 @@
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     path.write_bytes(orjson.dumps(TOLD))
     service = Service(net.reactor, read_launch(str(path), {}))
-    net.front, net.door = service.front, service.door
+    net.front, net.dispatcher = service.front, service.dispatcher
     service.begin()
     return service, agent
 
@@ -150,7 +150,7 @@
     kept = [text for text in lines if "the old one is kept" in text]
     assert len(kept) == len(bad) and all(text.count("\n") == 1 for text in kept), len(kept)
     answers = [one for one in net.trace if "client 0 < b'VA" in one]
-    assert len(answers) == len(bad) and not service.door.txs
+    assert len(answers) == len(bad) and not service.dispatcher.txs
 
 
 def test_two_reloads_at_once_and_a_discovery_that_never_answers_leave_what_is_in_force(
@@ -180,8 +180,8 @@
 def followed(net: Net, monkeypatch: pytest.MonkeyPatch) -> tuple[Discovery, Agent]:
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    watch = Discovery(net.reactor, net.door, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
-    net.door.watch = watch.watch
+    watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
+    net.dispatcher.watch = watch.watch
     watch.watch()
     return watch, agent
 
@@ -208,17 +208,17 @@
     agent.calls[0].callback(told(5, member(1), member(2)))
     client = net.client()
     client.feed(mg(1))
-    before = dict(net.door.hosts)
+    before = dict(net.dispatcher.hosts)
     agent.calls[1].callback(Response(200, json.dumps(change["known"]).encode()))
     net.accept().feed(va(1))
     logger.remove(handler)
-    assert net.door.hosts == before and "client 0 < b'VA 3 O1" in "".join(net.trace)
+    assert net.dispatcher.hosts == before and "client 0 < b'VA 3 O1" in "".join(net.trace)
     assert sum(named.replace("known.", "") in text for text in lines) == 1, lines
     until_asked(net, agent, 3)
     asked = [one for one in net.trace if " GET " in one]
     assert asked[-1].endswith("/api/targets")  # the whole list, as what changed may be lost
     agent.calls[2].callback(told(7, member(3)))
-    assert set(net.door.hosts) == {"h3"}
+    assert set(net.dispatcher.hosts) == {"h3"}
 
 
 def test_an_older_revision_changes_nothing_and_a_discovery_that_went_back_is_believed_when_asked_anew(
@@ -228,11 +228,13 @@
     watch, agent = followed(net, monkeypatch)
     agent.calls[0].callback(told(9, member(1), member(2)))
     agent.calls[1].callback(told(4, member(1, "draining"), complete=False))
-    assert watch.revision == -1 and net.door.balancer.hosts[net.door.hosts["h1"]].standing is m.Standing.READY
+    assert (
+        watch.revision == -1 and net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].standing is m.Standing.READY
+    )
     until_asked(net, agent, 3)
     agent.calls[2].callback(told(4, member(1, "draining"), member(2)))
     assert watch.revision == 4
-    assert net.door.balancer.hosts[net.door.hosts["h1"]].standing is m.Standing.DRAINING
+    assert net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].standing is m.Standing.DRAINING
 
 
 @pytest.mark.parametrize("stays", [True, False])
@@ -248,7 +250,7 @@
     agent.calls[2].callback(told(6, member(1), *([member(2)] if stays else [])))
     assert watch.revision == 6
     left = {"h1", "h2"} if stays else {"h1"}
-    assert set(net.door.hosts) == left and len(net.door.balancer.hosts) == len(net.pool.places) == len(left)
+    assert set(net.dispatcher.hosts) == left and len(net.dispatcher.balancer.hosts) == len(net.pool.places) == len(left)
 
 
 def test_a_whole_list_that_is_empty_counts_as_told_and_the_next_one_mends_it() -> None:
@@ -267,7 +269,7 @@
     net.list(member(1), member(2), whole=True)
     client.feed(mg(4))
     net.accept().feed(va(4))
-    assert "VA 3 O4" in net.trace[-1] and not net.door.txs
+    assert "VA 3 O4" in net.trace[-1] and not net.dispatcher.txs
 
 
 def test_a_host_that_was_gone_and_is_told_again_gets_its_keys_back() -> None:
--- a/tests/test_review_step.py
+++ b/tests/test_review_step.py
@@ -176,7 +176,7 @@
         net = Net(facts={"Discovery": "pushed", "MyNumber": number, "Balancers": MANY})
         agent = Agent(net)
         monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-        watch = Discovery(net.reactor, net.door, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
+        watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
         watch.watch()
         for _ in range(60):
             if agent.calls and not agent.calls[-1].called:
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -119,11 +119,11 @@
 
 def test_a_young_host_stays_young_for_the_decisions_whatever_the_clock_does() -> None:
     net, clocks = Net(hosts=1), Clocks()
-    clocks.now = net.door.now()
+    clocks.now = net.dispatcher.now()
     clocks.dated(0)
     clocks.wall -= HOUR
     told = {"revision": 2, "complete": False, "members": [member(2, since=clocks.told(1) // MS)]}
-    members = clocks.times.dated(False, read_list(told, 0)[2], net.door.now())
-    net.door.list_told(False, members)
-    host = net.door.balancer.hosts[net.door.hosts["h2"]]
-    assert 0 <= net.door.now() - host.since <= 2 * SECOND
+    members = clocks.times.dated(False, read_list(told, 0)[2], net.dispatcher.now())
+    net.dispatcher.list_told(False, members)
+    host = net.dispatcher.balancer.hosts[net.dispatcher.hosts["h2"]]
+    assert 0 <= net.dispatcher.now() - host.since <= 2 * SECOND
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -241,7 +241,7 @@
 def late_reader(waited: int, silent_ms: int) -> tuple[Net, Wire]:
     """A client of a process that polled so long ago; its last byte came as long ago as the system says."""
     net = Net()
-    net.turn.begins(net.door.now(), net.door.now() - waited, most=0)
+    net.turn.begins(net.dispatcher.now(), net.dispatcher.now() - waited, most=0)
     client = net.client()
     client.silent_ms = silent_ms
     return net, client
@@ -272,7 +272,7 @@
     client.feed(b"ms k 100000 O1 Pc=once,d=900\r\n" + b"x" * 20000)
     for _ in range(3):
         net.run(1)
-        net.turn.begins(net.door.now())
+        net.turn.begins(net.dispatcher.now())
         client.silent_ms = 0  # the system had no room for the rest before
         client.feed(b"x" * 20000)
     net.run(VALUE_PAUSE // MS - 2000 + 60)
@@ -283,7 +283,7 @@
     net, client = late_reader(2 * SECOND, 1500)
     client.feed(b"ms k 1")
     net.run(2)
-    net.turn.begins(net.door.now())
+    net.turn.begins(net.dispatcher.now())
     client.feed(b"000 O1 Pc=once,d=900\r\nxx")
     net.run(VALUE_PAUSE // MS - 1500 + 60)
     assert client.closing or client.lost
@@ -293,7 +293,7 @@
     net, client = late_reader(3 * SECOND, 2000)
     client.feed(b"mg k")
     net.run(10)
-    net.turn.begins(net.door.now())
+    net.turn.begins(net.dispatcher.now())
     client.silent_ms = 0
     client.feed(mg(1, profile="nobody")[4:] + b"mg k")  # ends that line, and begins another
     net.run(LINE_MOST // MS - 60)
@@ -307,7 +307,7 @@
     client.silent_ms = 0
     for _ in range(4):
         net.run(300)
-        net.turn.begins(net.door.now())
+        net.turn.begins(net.dispatcher.now())
         assert not client.closing and not client.lost
         client.feed(b"x" * 20000)
     net.run(VALUE_PAUSE // MS - 100)
@@ -360,7 +360,7 @@
     first, second = net.accept(), net.accept()
     first.feed(va(1)) if "O1" in net.trace[-2] + net.trace[-1] else second.feed(va(1))
     net.run(2600)
-    assert client.lost and all(wire.lost for wire in net.wires[2:]) and not net.door.txs, net.trace
+    assert client.lost and all(wire.lost for wire in net.wires[2:]) and not net.dispatcher.txs, net.trace
     assert OVERDUE.decode() in "".join(net.trace)
 
 
@@ -431,8 +431,8 @@
     client.protocol.close(CloseReason.IDLE)
     owed.put(b"SERVER_ERROR busy\r\n")
     owed.put(b"SERVER_ERROR failed\r\n")
-    net.door.safety.begun(True, lambda: "1", 1)
-    safety = net.door.safety
+    net.dispatcher.safety.begun(True, lambda: "1", 1)
+    safety = net.dispatcher.safety
     assert safety.violations == {Violation.CLOSED_OWING: 1, Violation.ANSWERED_TWICE: 1, Violation.BEGUN_FORBIDDEN: 1}
     assert 'ternquay_violations_total{reason="closed_owing"} 1' in safety.metrics()
     assert "violation: a request was answered a second time 1" in safety.latest()
@@ -518,7 +518,7 @@
     looks = []
 
     def broken() -> None:
-        looks.append(net.door.now())
+        looks.append(net.dispatcher.now())
         raise ValueError("broken on purpose")
 
     monkeypatch.setattr(part, "swept", broken)
@@ -542,4 +542,4 @@
     monkeypatch.setattr(type(first.protocol), "end_request", ends_both)
     net.run(2700)
     assert first.lost and second.lost and not net.front.unfinished
-    assert net.door.safety.closes == {CloseReason.REQUEST_OVERDUE: 1, CloseReason.MEMORY: 1}
+    assert net.dispatcher.safety.closes == {CloseReason.REQUEST_OVERDUE: 1, CloseReason.MEMORY: 1}
