--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -71,7 +71,7 @@
         super().__init__(front)
         self.address = ""
         self.open = 0  # transactions
-        self.waits = self.unreading = self.stuck = False
+        self.waits = self.reading_paused = self.stuck = False
         self.unread_since = 0  # since when the oldest that is not read may be here
         self.paused_at = 0
         self.waits_since = 0  # for its turn to be read
@@ -119,8 +119,8 @@
         return not held and super().stalled()
 
     def hold_back(self) -> None:
-        if not self.unreading and not self.ended and (len(self.machine.buffer) > BACKLOG or self.stuck):
-            self.unreading, self.paused_at = True, self.front.door.now()
+        if not self.reading_paused and not self.ended and (len(self.machine.buffer) > BACKLOG or self.stuck):
+            self.reading_paused, self.paused_at = True, self.front.door.now()
             self.transport.pauseProducing()
 
     def lay_unread(self, goes_on: bool) -> int:
@@ -158,8 +158,8 @@
     def read_all(self) -> None:
         """All that is whole was read. What lies in the system's buffer may be as old as this pause."""
         self.unread_since = 0
-        if self.unreading:
-            self.unreading = False
+        if self.reading_paused:
+            self.reading_paused = False
             self.unread_since = self.paused_at
             self.transport.resumeProducing()
 
@@ -260,7 +260,7 @@
             if closed < most:
                 if client in self.resting:
                     closed += self.close_resting(client)
-                elif client.untouched():
+                elif client.nothing_unread():
                     self.drop(client, CloseReason.NO_REQUEST)
                     closed += 1
         return closed
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -56,7 +56,7 @@
         self.put(meta.ABANDONED)
 
     def left(self) -> bool:
-        return self.client.ended or self.client.gone()
+        return self.client.ended or self.client.peer_closed()
 
     def put(self, text: bytes) -> None:
         if not self.client.front.safety.answering(self.text is not None, self.id):
@@ -106,7 +106,7 @@
         self.front.came(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.ended = self.released = True
+        self.ended = self.transport_closed = True
         self.front.left(self)
         self.front.sockets.closed(self)
         owed, self.owed = self.owed, deque()
@@ -168,9 +168,9 @@
         """
         if self.moved < self.catch_up_until:
             most = self.moved - self.last_came
-            return most if goes_on else min(most, self.silence())
+            return most if goes_on else min(most, self.receive_idle_ns())
         most = self.front.turn.unread(self.moved, self.first_since())
-        waited = min(most, self.silence()) if most > UNREAD_NOTICED else 0
+        waited = min(most, self.receive_idle_ns()) if most > UNREAD_NOTICED else 0
         if waited > UNREAD_NOTICED:
             # Much that has waited is read in many turns of the loop, of which only the first came late.
             self.last_came, self.catch_up_until = self.moved - waited, self.moved + CATCH_UP
@@ -182,11 +182,11 @@
         if due is None or now < due or self.ended or self.closing or self.held_by_us():
             return False
         # After a stop of the process, or a long turn, this comes before the reading of what came meanwhile.
-        return may_close(CloseReason.REQUEST_OVERDUE, owing=False, unread=self.lies_unread())
+        return may_close(CloseReason.REQUEST_OVERDUE, owing=False, unread=self.has_unread_bytes())
 
     def held_by_us(self) -> bool:
         """Whether it is not read for now, so that its request can't become whole."""
-        return self.unreading
+        return self.reading_paused
 
     def end_request(self, reason: CloseReason = CloseReason.REQUEST_OVERDUE) -> None:
         """Its request was not whole in time: an error in its place behind the answers that are owed, and the close."""
@@ -209,7 +209,7 @@
         if self.ended:
             return
         self.moved = self.front.door.now()
-        self.pause(back)
+        self.hold_reading(back)
         self.catch_up_until = 0  # what comes after this has waited for us
         if back:
             self.held_since = self.moved
@@ -356,7 +356,7 @@
         if not self.ended:
             self.front.safety.closing(reason, self.owed_ids())
             self.ended = True
-            self.finish()
+            self.close_after_write()
 
     def abort(self, reason: CloseReason) -> None:
         """Ends the connection at once, with what is queued on it."""
@@ -385,7 +385,7 @@
         now = self.front.door.now()
         if self.queued:
             return self.untaken(now) > self.front.limits.stall_timeout
-        half = self.ended or (self.unreading and not self.machine.quiet())
+        half = self.ended or (self.reading_paused and not self.machine.quiet())
         return half and now - self.moved > self.front.limits.stall_timeout
 
     def untaken(self, now: int) -> int:
--- a/ternquay/net/eviction.py
+++ b/ternquay/net/eviction.py
@@ -36,7 +36,7 @@
     stopped = [one for one in front.unfinished if _stopped(one, now)]
     for client in sorted(stopped, key=lambda one: one.deadline.last):
         # The end of one may set off that of another.
-        if client in front.unfinished and not client.lies_unread():
+        if client in front.unfinished and not client.has_unread_bytes():
             client.end_request(CloseReason.STOPPED)
             yield client
 
--- a/ternquay/net/front.py
+++ b/ternquay/net/front.py
@@ -77,7 +77,7 @@
         self.unfinished.pop(client, None)
         self.busy(client)
         self.sockets.client_left()
-        if not client.released:
+        if not client.transport_closed:
             self.sockets.closing.add(client)
         self.queued -= client.owing
         self.kept -= client.kept
@@ -163,14 +163,14 @@
         for client in self.unproven:
             if client.made > before or len(old) >= most:
                 break
-            if may_close(CloseReason.NO_REQUEST, owing=False, unread=client.lies_unread()):
+            if may_close(CloseReason.NO_REQUEST, owing=False, unread=client.has_unread_bytes()):
                 old.append(client)
         for client in old:
             self.drop(client, CloseReason.NO_REQUEST)
         return len(old)
 
     def close_resting(self, client: ClientConnection) -> bool:
-        if not client.shut():
+        if not client.close_if_nothing_unread():
             return False
         idle = CloseReason.IDLE if client.answered else CloseReason.NO_REQUEST
         self.safety.closing(CloseReason.LEAVING if self.leaving else idle, client.owed_ids())
@@ -196,7 +196,7 @@
     def swept(self) -> None:
         """Closes clients that take up room and do not go on."""
         # After a stop of the process, or a long turn, this comes before the reading of what came meanwhile.
-        for client in [c for c in self.all if c.stalled() and (c.queued or not c.lies_unread())]:
+        for client in [c for c in self.all if c.stalled() and (c.queued or not c.has_unread_bytes())]:
             client.abort(CloseReason.ANSWERS_UNREAD if client.queued or client.ended else CloseReason.VALUE_BROKEN)
         if self.held_up:
             self.shed()
@@ -219,5 +219,5 @@
         """Closes what owes nothing and does not move: half a command, for one."""
         before = self.door.now() - self.limits.new_client_grace
         for client in [c for c in self.all if not c.owed and not c.queued and c.moved <= before]:
-            if may_close(CloseReason.LEAVING, owing=False, unread=client.lies_unread()):
+            if may_close(CloseReason.LEAVING, owing=False, unread=client.has_unread_bytes()):
                 client.abort(CloseReason.LEAVING)
--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -207,7 +207,7 @@
         """Whoever takes the value is behind, or goes on."""
         if not self.closing:
             self.moved = self.pool.door.now()
-            self.pause(back)
+            self.hold_reading(back)
 
     def silent(self) -> bool:
         """A large value has begun, and nothing more of it comes though nobody holds it back."""
@@ -228,7 +228,7 @@
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         if self.rested >= 0 and not self.closing:
             self.pool.idle_loss.told(self.rested, True)
-        self.closing = self.released = True
+        self.closing = self.transport_closed = True
         self.pool.lost(self)
         self.pool.sockets.closed(self)
         self.fail()
@@ -290,7 +290,7 @@
             self.closing = True
             self.pool.door.safety.closing_server(reason)
             self.pool.lost(self)
-            self.finish()
+            self.close_after_write()
 
     def fail(self) -> None:
         """All that is on it has ended: the command in the transport's hands and those behind it never ran."""
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -89,7 +89,11 @@
             connection = place.idle.pop()
             # What the cache host closed, or added to its answer, may lie here unread: the hop would be lost.
             rested = now - connection.idle_since
-            if rested < self.limits.host_idle_timeout and self.idle_loss.holds(rested, now) and connection.untouched():
+            if (
+                rested < self.limits.host_idle_timeout
+                and self.idle_loss.holds(rested, now)
+                and connection.nothing_unread()
+            ):
                 connection.rested = rested
                 return connection
             connection.retire(ServerCloseReason.UNFIT)
@@ -123,7 +127,7 @@
         if connection in place.all:
             del place.all[connection]
             self.sockets.host_closed()
-            if not connection.released:
+            if not connection.transport_closed:
                 self.sockets.closing.add(connection)
             self.kept -= connection.kept
             self._forget(place)
@@ -154,7 +158,7 @@
         for place in list(self.places.values()):
             while place.idle and place.idle[0].idle_since <= before:
                 place.idle[0].retire(ServerCloseReason.UNFIT)
-            for connection in [c for c in place.all if c.silent() and not c.lies_unread()]:
+            for connection in [c for c in place.all if c.silent() and not c.has_unread_bytes()]:
                 self.door.tell("WARNING", "{} breaks off a large value", place.address)
                 connection.drop(ServerCloseReason.VALUE_STOPPED)
             for connection in [c for c in place.all if c.takes_nothing()]:
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -18,7 +18,7 @@
 from ternquay.balance import MS, SECOND, Balancer
 from ternquay.facts import Names, read_start
 from ternquay.net.door import Door
-from ternquay.net.driver import LAST_DATA
+from ternquay.net.driver import TCP_INFO_LAST_DATA
 from ternquay.net.front import Front
 from ternquay.net.limits import derive_limits
 from ternquay.net.listing import read_list
@@ -207,7 +207,7 @@
         pass
 
     def getsockopt(self, level: int, name: int, size: int) -> bytes:
-        return LAST_DATA.pack(self.silent_ms)
+        return TCP_INFO_LAST_DATA.pack(self.silent_ms)
 
     def registerProducer(self, producer: Any, streaming: bool) -> None:
         self.producer = producer
