--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -42,13 +42,13 @@
     def room(self) -> int:
         return min(self.limits.sockets, self.lent.room(self.name))
 
-    def client_came(self) -> bool:
+    def client_opened(self) -> bool:
         self.lent.count(self.name, 1)
-        return super().client_came()
+        return super().client_opened()
 
-    def client_left(self) -> None:
+    def client_closed(self) -> None:
         self.lent.count(self.name, -1)
-        super().client_left()
+        super().client_closed()
 
     def host_opened(self) -> None:
         self.lent.count(self.name, 1)
@@ -58,8 +58,8 @@
         self.lent.count(self.name, -1)
         super().host_closed()
 
-    def may_open(self) -> bool:
-        return self.hosts < self.hosts_most and super().may_open()
+    def may_open_host(self) -> bool:
+        return self.hosts < self.hosts_most and super().may_open_host()
 
 
 class TenantClient(ClientConnection):
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -108,7 +108,7 @@
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.ended = self.transport_closed = True
         self.front.left(self)
-        self.front.sockets.closed(self)
+        self.front.sockets.descriptor_freed(self)
         owed, self.owed = self.owed, deque()
         for one in owed:
             if isinstance(one, Owed) and one.flow is not None:
--- a/ternquay/net/front.py
+++ b/ternquay/net/front.py
@@ -38,14 +38,14 @@
         self.gate: Callable[[bool], None] = lambda accept: None
         self.waiting: Callable[[], int] = lambda: 0  # how many clients wait to be accepted
         self.admission: Call | None = None  # the next look for places for those
-        sockets.shed_client, sockets.has_room = self.shed, self.has_room
+        sockets.close_idle_client, sockets.on_room = self.shed, self.has_room
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
         return ClientConnection(self)
 
     def came(self, client: ClientConnection) -> None:
         self.all.add(client)
-        client.crowded = not self.sockets.client_came()
+        client.crowded = not self.sockets.client_opened()
         client.moved, client.since = self.door.now(), self.turn.waits_since()
         client.made, client.turn = client.moved, self.turn.count
         self.unproven[client] = None
@@ -67,7 +67,7 @@
 
     def room(self) -> int:
         """How many clients may be accepted at once without passing the limit on sockets."""
-        return max(1, min(self.limits.accepts_per_turn, self.sockets.left()))
+        return max(1, min(self.limits.accepts_per_turn, self.sockets.remaining()))
 
     def left(self, client: ClientConnection) -> None:
         if client not in self.all:
@@ -76,7 +76,7 @@
         self.unproven.pop(client, None)
         self.unfinished.pop(client, None)
         self.busy(client)
-        self.sockets.client_left()
+        self.sockets.client_closed()
         if not client.transport_closed:
             self.sockets.closing.add(client)
         self.queued -= client.owing
--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -230,7 +230,7 @@
             self.pool.idle_loss.told(self.rested, True)
         self.closing = self.transport_closed = True
         self.pool.lost(self)
-        self.pool.sockets.closed(self)
+        self.pool.sockets.descriptor_freed(self)
         self.fail()
 
     # ---- from the pool ----
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -34,7 +34,7 @@
         self.places: dict[int, HostPlace] = {}
         self.kept = 0  # bytes of half-read answers on all connections
         self.idle_loss = IdleLoss(limits)
-        sockets.shed_host = self.shed
+        sockets.close_idle_host = self.shed
 
     # ---- for the door ----
 
@@ -97,7 +97,7 @@
                 connection.rested = rested
                 return connection
             connection.retire(ServerCloseReason.UNFIT)
-        if self.sockets.may_open():
+        if self.sockets.may_open_host():
             return self._dial(place)
         if not self.share or not share:
             return None
--- a/ternquay/net/replace.py
+++ b/ternquay/net/replace.py
@@ -54,7 +54,7 @@
             self._joined()
         else:
             logger.warning("two processes of this balancer are here already: this one waits until one has ended")
-            self.service.sockets.lower(0)
+            self.service.sockets.set_ceiling(0)
             self._later(self._again)
 
     def _again(self) -> None:
@@ -116,8 +116,10 @@
             if note is None and self.told:
                 ceiling = mine  # what the other had told holds: it only goes down
         else:
-            ceiling = self.ceilings.first(min(mine, self.ceilings.alone()), sockets.all(), not self.service.serves())
-        sockets.lower(ceiling)
+            ceiling = self.ceilings.first(
+                min(mine, self.ceilings.alone()), sockets.open_count(), not self.service.serves()
+            )
+        sockets.set_ceiling(ceiling)
 
     def _list(self, note: Note) -> None:
         """What the other knows of the list counts as known here, if it is newer."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -297,13 +297,13 @@
         client = net.client()
         client.feed(b"mn\r\n")
     opened = 0
-    while net.sockets.may_open() and opened < 200:
+    while net.sockets.may_open_host() and opened < 200:
         net.sockets.host_opened()
         opened += 1
     held = sum(not wire.lost for wire in net.wires) + opened
     assert held <= most, (held, most, opened)
     net.take()
-    assert not net.sockets.closing and net.sockets.may_open(), "there is room again once they are closed"
+    assert not net.sockets.closing and net.sockets.may_open_host(), "there is room again once they are closed"
 
 
 def test_on_loopback_idle_clients_may_fill_the_descriptors_while_discovery_is_down(tmp_path: Path) -> None:
