--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -1,9 +1,10 @@
 """One member of a fleet as it runs: the agreement's core with links, disk and tenants, and what it tells of itself.
 
-    fleet = Fleet(reactor, service, host, stored, life)
-    fleet.begin()                          # raises InvalidField where the members' port can't be bound
-    fleet.propose(commit)                  # -> a Deferred: the change is in force, or fails as Nowhere, Unknown, NotNow
-    fleet.wait(tenant)                     # nought, or how long a new tx of that tenant is told to wait
+    fleet = FleetMember(reactor, service, host, stored, life)
+    fleet.start()                          # raises InvalidField where the members' port can't be bound
+    fleet.propose(commit)                  # -> a Deferred: fires once the change is in force, or fails with
+                                           #    ChangeAborted, OutcomeUnknown or RetryLater
+    fleet.admission_delay(tenant)          # nought, or how long a new tx of that tenant is told to wait
 
 docs/agreement.md says why each may do what when. All times here are of CLOCK_BOOTTIME: no setting of the date moves it,
 and it goes on while the machine sleeps, so that who wakes up knows that its lease is over.
@@ -22,19 +23,19 @@
 from twisted.internet.defer import Deferred, fail, succeed
 from twisted.internet.error import CannotListenError
 
-from ternquay.consensus.core import Core, Figures, Outcome, Write
-from ternquay.consensus.fate import NotNow, Nowhere, Unknown
+from ternquay.consensus.core import Core, Outcome, Timing, Write
+from ternquay.consensus.errors import ChangeAborted, OutcomeUnknown, RetryLater
 from ternquay.consensus.founding import Founding
-from ternquay.consensus.messages import Member, Unfitness, decoded, encoded
+from ternquay.consensus.messages import Member, Rejection, decode_message, encode
 from ternquay.hosted.administration.api import Call, Reply, problem
 from ternquay.hosted.fleet.store import Applied, FleetStore, Forgot, Founded, Job, Life, carried_of
 from ternquay.hosted.service import Fellows
 from ternquay.hosted.store import Answered, Commit, Logged, Noted, StoreError, kept, unkept
 from ternquay.hosted.tenants.registry import Registry, TenantEntry
 from ternquay.hosted.tenants.tenant import InvalidField
-from ternquay.peers.frames import VERSION, Dropped, Frame, Marks, What, opened, sealed
+from ternquay.peers.frames import FRAME_VERSION, DurableState, Frame, FrameKind, FrameRejected, open_frame, seal
 from ternquay.peers.links import Links
-from ternquay.peers.members import Members
+from ternquay.peers.peer_table import PeerTable
 
 SECOND, MS = 1_000_000_000, 1_000_000
 PING, SUSPECT = 0.25, 1500 * MS
@@ -113,7 +114,7 @@
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
-class Fleet:
+class FleetMember:
     def __init__(
         self,
         reactor: Any,
@@ -126,10 +127,10 @@
     ) -> None:
         self.reactor, self.fellows, self.host, self.stored, self.store = reactor, fellows, host, stored, store
         self.clock, self.random = clock, Random()
-        self.figures = Figures.of(fellows.lease, fellows.go_on)
+        self.timing = Timing.for_lease(fellows.lease, fellows.go_on)
         self.patience = PATIENCE + 3 * fellows.lease / SECOND
         others = {name: place for name, place in fellows.places.items() if name != fellows.me}
-        self.members = Members(tuple(others), SUSPECT)
+        self.peer_table = PeerTable(tuple(others), SUSPECT)
         self.links = Links(
             reactor,
             (fellows.listen.host, fellows.listen.port),
@@ -140,11 +141,13 @@
         self.jobs: deque[Job] = deque()
         self.writing = self.reading = False
         self.trouble = ""
-        self.marks = Marks()
+        self.durable = DurableState()
         self.pings: dict[str, Ping] = {}
         self.held: frozenset[str] = frozenset()
         self.prepared: dict[int, tuple[str, Any]] = {}
-        self.agreed: Registry = host.registry  # what is in force; the host may be behind, and takes nothing then
+        self.agreed_registry: Registry = (
+            host.registry
+        )  # what is in force; the host may be behind, and takes nothing then
         self.unfit = ""  # why what is in force can't be had here
         self.unread = ""  # what of it can't be read here: for good, and all that follows waits for it
         self.waiters: dict[tuple[int, int], Deferred[None]] = {}
@@ -152,8 +155,8 @@
         self.passed: dict[int, tuple[str, Deferred[Reply]]] = {}  # to whom
         self.led = False  # as of the last look
         self.flushes: list[Deferred[None]] = []
-        self.carry_out: Callable[[Call], Deferred[Reply]] = lambda call: succeed(UNKNOWN)
-        self.news: Callable[[], None] = lambda: None
+        self.execute_call: Callable[[Call], Deferred[Reply]] = lambda call: succeed(UNKNOWN)
+        self.on_change: Callable[[], None] = lambda: None
         self.ended = False
         self.told_why = "not begun"
         self._live(life)
@@ -163,18 +166,20 @@
         self._unprepare()
         self.life, self.founded = life, life.founded
         self.me = Member(self.fellows.me, life.disk)
-        self.core = Core(self.me, life.kept, self.figures, self.random, life.boot, now)
-        self.marks = Marks(life.kept.term, bool(life.kept.voted), life.kept.log.last_term, life.kept.log.last)
-        empty = self.founded is None and not life.was_of_fleet and not self.core.log.last
-        self.founding = Founding(self.me, tuple(self.fellows.places), self.agreed.version) if empty else None
+        self.core = Core(self.me, life.kept, self.timing, self.random, life.boot, now)
+        self.durable = DurableState(
+            life.kept.term, bool(life.kept.voted_for), life.kept.log.last_term, life.kept.log.last_index
+        )
+        empty = self.founded is None and not life.was_of_fleet and not self.core.log.last_index
+        self.founding = Founding(self.me, tuple(self.fellows.places), self.agreed_registry.version) if empty else None
         self._hold()
 
     # ---- beginning and end ----
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Raises InvalidField."""
         try:
-            self.links.begin()
+            self.links.start()
         except CannotListenError as fault:
             raise InvalidField("peers.members", f"{self.fellows.me}: can't be bound: {fault.socketError}") from fault
         many = len(self.fellows.places)
@@ -184,22 +189,22 @@
         self._tick()
         self._ping()
 
-    def resign(self) -> None:
+    def step_down(self) -> None:
         """It is told to end: another one leads, while this one finishes what it has taken."""
-        self.core.resign(self.clock())
+        self.core.step_down(self.clock())
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.ended = True
-        self.links.end()
+        self.links.stop()
         self._flush()
         for waiting in list(self.waiters.values()):
-            waiting.errback(Unknown())
+            waiting.errback(OutcomeUnknown())
         for _, reply in list(self.passed.values()):
             reply.callback(UNKNOWN)
 
     def _tick(self) -> None:
         if not self.ended:
-            self.reactor.callLater(self.figures.every / 3 / SECOND, self._tick)
+            self.reactor.callLater(self.timing.heartbeat_interval / 3 / SECOND, self._tick)
             self.core.tick(self.clock())
             self._drive()
             self._tell()
@@ -211,13 +216,13 @@
             if why:
                 logger.bind(cause=why, clock=time.monotonic_ns()).warning("takes nothing")
             else:
-                logger.bind(version=self.agreed.version, clock=time.monotonic_ns()).info("takes what comes")
+                logger.bind(version=self.agreed_registry.version, clock=time.monotonic_ns()).info("takes what comes")
         self.told_why = why
 
     # ---- whether a tx may be taken ----
 
-    def wait(self, tenant: str) -> int:
-        if self.unread or self.unfit or not self.core.may(self.clock()):
+    def admission_delay(self, tenant: str) -> int:
+        if self.unread or self.unfit or not self.core.may_serve(self.clock()):
             return FENCED
         return HELD if tenant in self.held else 0
 
@@ -226,29 +231,29 @@
         if self.founding is not None:
             missing = ", ".join(self.founding.missing())
             return self.founding.conflict or f"the fleet isn't founded: {missing} not heard yet"
-        return self.unread or self.unfit or self.core.why_not(self.clock())
+        return self.unread or self.unfit or self.core.refusal_reason(self.clock())
 
     def _hold(self) -> None:
         names = set()
-        for at in self.core.held:
-            if self.core.log.base < at <= self.core.log.last:
+        for at in self.core.held_proposals:
+            if self.core.log.base_index < at <= self.core.log.last_index:
                 names.add(_change.decode(self.core.log.entry(at).body).tenant)
         self.held = frozenset(names)
 
     # ---- frames ----
 
-    def _frame(self, to: str, what: What, body: bytes) -> bytes:
+    def _frame(self, to: str, what: FrameKind, body: bytes) -> bytes:
         founded = self.founded.id if self.founded is not None else ""
-        return sealed(
+        return seal(
             Frame(
-                VERSION,
+                FRAME_VERSION,
                 self.fellows.fleet,
                 founded,
                 self.me.name,
-                self.me.disk,
+                self.me.disk_id,
                 self.life.boot,
                 to,
-                self.marks,
+                self.durable,
                 what,
                 body,
             ),
@@ -259,29 +264,31 @@
         """Whatever it is, it ends nothing here. Whether it came from a member."""
         founded = self.founded.id if self.founded is not None else ""
         try:
-            frame = opened(text, self.fellows.key, self.fellows.fleet, self.me.name, founded)
-            self.members.heard(frame, self.clock())
-        except Dropped as dropped:
-            self.links.dropped[str(dropped)] += 1
+            frame = open_frame(text, self.fellows.key, self.fellows.fleet, self.me.name, founded)
+            self.peer_table.record(frame, self.clock())
+        except FrameRejected as dropped:
+            self.links.drop_counts[str(dropped)] += 1
             if str(dropped) == "set back":
-                self.links.send(frame.sender, self._frame(frame.sender, What.SET_BACK, encoded_int(frame.boot)))
+                self.links.send(
+                    frame.sender, self._frame(frame.sender, FrameKind.DISK_ROLLED_BACK, encoded_int(frame.boot_id))
+                )
             return str(dropped) in ("set back", "start")
         try:
             self._heard(frame)
         except ValueError:  # of the decoders
-            self.links.dropped["form"] += 1
+            self.links.drop_counts["form"] += 1
         return True
 
     def _heard(self, frame: Frame) -> None:
-        now, sender = self.clock(), Member(frame.sender, frame.disk)
-        self.core.learners[sender.name] = sender.disk
-        if frame.what is What.AGREEMENT:
+        now, sender = self.clock(), Member(frame.sender, frame.disk_id)
+        self.core.learners[sender.name] = sender.disk_id
+        if frame.kind is FrameKind.CONSENSUS:
             if self.founding is None:
-                self.core.receive(sender, decoded(frame.body), now)
+                self.core.receive(sender, decode_message(frame.body), now)
                 self._drive()
-        elif frame.what is What.PING:
+        elif frame.kind is FrameKind.PING:
             self._pinged(sender, _ping.decode(frame.body))
-        elif frame.what is What.SET_BACK:
+        elif frame.kind is FrameKind.DISK_ROLLED_BACK:
             if msgspec.msgpack.decode(frame.body, type=int) == self.life.boot:
                 self._set_back()
         else:
@@ -292,24 +299,24 @@
             return
         self.reactor.callLater(PING, self._ping)
         body = msgspec.msgpack.encode(
-            Ping(self.agreed.version, self.founded, self.why_not(), self.trouble, self.core.leader)
+            Ping(self.agreed_registry.version, self.founded, self.why_not(), self.trouble, self.core.leader)
         )
-        for name in self.members.others:
-            self.links.ping(name, self._frame(name, What.PING, body))
+        for name in self.peer_table.peers:
+            self.links.ping(name, self._frame(name, FrameKind.PING, body))
 
     def _pinged(self, sender: Member, ping: Ping) -> None:
         self.pings[sender.name] = ping
         if self.founding is not None:
             if ping.founded is None:
-                self.founding.heard(sender.name, sender.disk, ping.version)
+                self.founding.heard(sender.name, sender.disk_id, ping.version)
                 self._found()
-            elif self.me in ping.founded.roster.members:
+            elif self.me in ping.founded.membership.members:
                 self._begin_as(ping.founded)
-            elif self.agreed.version:
+            elif self.agreed_registry.version:
                 self.founding.conflict = "has a registry of its own, and the fleet is there: begin with an empty store"
             else:
                 self.founding = None  # a fleet that is there takes it in
-        elif self.founded is None and ping.founded is not None and self.core.voter():
+        elif self.founded is None and ping.founded is not None and self.core.is_voter():
             self.founded = ping.founded
             self._carry(ping.founded)
 
@@ -323,8 +330,8 @@
     def _begin_as(self, founded: Founded) -> None:
         self.founded, self.founding = founded, None
         self.jobs.append(founded)  # goes to disk with what the core writes for it, or neither does
-        self.core.found(founded.roster, int(bool(founded.brings)), founded.brings == self.me.name, self.clock())
-        logger.bind(fleet=founded.id).info("the fleet is founded, of {}", ", ".join(founded.roster.names()))
+        self.core.bootstrap(founded.membership, int(bool(founded.brings)), founded.brings == self.me.name, self.clock())
+        logger.bind(fleet=founded.id).info("the fleet is founded, of {}", ", ".join(founded.membership.names()))
         self._drive()
 
     def _set_back(self) -> None:
@@ -352,8 +359,8 @@
 
     def _drive(self) -> None:
         core = self.core
-        if core.installed is not None:
-            one, core.installed = core.installed, None
+        if core.installed_snapshot is not None:
+            one, core.installed_snapshot = core.installed_snapshot, None
             if one.data:
                 self._installed(one.data)
         writes, core.writes = core.writes, []
@@ -362,29 +369,29 @@
         outcomes, core.outcomes = core.outcomes, []
         for outcome in outcomes:
             self._outcome(outcome)
-        judge, core.to_judge = core.to_judge, []
+        judge, core.to_validate = core.to_validate, []
         for at, body in judge:
-            core.judged(at, self._judge(at, body), self.clock())
+            core.validated(at, self._judge(at, body), self.clock())
         self._hold()
-        out, core.out = core.out, []
+        out, core.outbox = core.outbox, []
         for name, message in out:
-            self.links.send(name, self._frame(name, What.AGREEMENT, encoded(message)))
-        if core.wants_snapshot and not self.reading:
+            self.links.send(name, self._frame(name, FrameKind.CONSENSUS, encode(message)))
+        if core.snapshot_needed and not self.reading:
             self.reading = True
             self.stored.do(self.store.snapshot).addCallbacks(self._snapshot, self._no_snapshot)
-        if judge or core.writes or core.outcomes or core.to_judge:
+        if judge or core.writes or core.outcomes or core.to_validate:
             self._drive()
         self._overtaken()
 
     def _snapshot(self, found: tuple[int, bytes]) -> None:
         self.reading = False
-        self.core.provide(*found)
+        self.core.provide_snapshot(*found)
 
     def _no_snapshot(self, failure: Any) -> None:
-        self.reading = self.core.wants_snapshot = False
+        self.reading = self.core.snapshot_needed = False
         self._troubled(failure)
 
-    def _judge(self, at: int, body: bytes) -> Unfitness | None:
+    def _judge(self, at: int, body: bytes) -> Rejection | None:
         """Whether this machine can have it: its listeners are bound, and accept nothing yet."""
         try:
             commit = commit_of(_change.decode(body))
@@ -394,9 +401,9 @@
             self._unprepare()
             self.prepared[at] = name, self.host.prepare(self._after(commit), name)
         except InvalidField as fault:
-            return Unfitness("", fault.field, fault.reason)
+            return Rejection("", fault.field, fault.reason)
         except (StoreError, msgspec.DecodeError) as fault:
-            return Unfitness("", "change", f"can't be read here: {fault}")
+            return Rejection("", "change", f"can't be read here: {fault}")
         return None
 
     def _unprepare(self) -> None:
@@ -405,7 +412,7 @@
         self.prepared.clear()
 
     def _after(self, commit: Commit) -> Registry:
-        tenants = {name: entry for name, entry in self.agreed.tenants.items() if name != commit.logged.tenant}
+        tenants = {name: entry for name, entry in self.agreed_registry.tenants.items() if name != commit.logged.tenant}
         if commit.entry is not None:
             tenants[commit.logged.tenant] = commit.entry
         return Registry(MappingProxyType(tenants), commit.logged.version)
@@ -413,14 +420,14 @@
     def _outcome(self, one: Outcome) -> None:
         if self.unread:
             return
-        waiting = self.waiters.pop((one.term, one.about), None)
-        name, prepared = self.prepared.pop(one.about, ("", None))
+        waiting = self.waiters.pop((one.term, one.proposal_index), None)
+        name, prepared = self.prepared.pop(one.proposal_index, ("", None))
         if not one.decided:
             if prepared is not None:
                 prepared.drop()
             self._carry(Applied(one.index))
             if waiting is not None:
-                waiting.errback(Nowhere(one.unfit.member, one.unfit.field, one.unfit.why))
+                waiting.errback(ChangeAborted(one.rejection.member, one.rejection.field, one.rejection.reason))
             return
         try:
             commit = commit_of(_change.decode(one.body))
@@ -438,7 +445,7 @@
 
     def _in_force(self, commit: Commit, prepared: Any) -> None:
         logged = commit.logged
-        self.agreed = after = self._after(commit)
+        self.agreed_registry = after = self._after(commit)
         try:
             if self.unfit:
                 raise InvalidField("", self.unfit)
@@ -455,7 +462,7 @@
         logger.bind(
             tenant=logged.tenant, version=logged.version, who=logged.who, kind=logged.kind, clock=time.monotonic_ns()
         ).info("changed")
-        self.news()
+        self.on_change()
 
     def _cannot(self, name: str, fault: InvalidField) -> None:
         if not self.unfit:
@@ -464,22 +471,22 @@
         self.unfit = f"tenants.{name}.{fault.field}: {fault.reason}" if fault.field else fault.reason
 
     def _installed(self, data: bytes) -> None:
-        """What is in force came whole, as the log goes back no further."""
+        """FrameKind is in force came whole, as the log goes back no further."""
         try:
-            self.agreed = carried_of(data).registry()
+            self.agreed_registry = carried_of(data).registry()
         except StoreError as fault:
             logger.bind(cause=str(fault)).error("what is in force can't be read here")
             self.unread = "what is in force can't be read here"
             return
         self._unprepare()
         self._adopt()
-        self.news()
+        self.on_change()
 
     def _adopt(self) -> None:
         """Makes the host what is in force, tenant by tenant; tried again until it is."""
         if self.ended:
             return
-        self.unfit, there = "", self.agreed
+        self.unfit, there = "", self.agreed_registry
         for name in sorted({*there.tenants, *self.host.tenancies}):
             tenancy = self.host.tenancies.get(name)
             if there.tenants.get(name) == (tenancy.entry if tenancy is not None else None):
@@ -519,24 +526,28 @@
             if isinstance(job, Write):
                 number = job.number
                 if job.install is not None:
-                    self.marks = Marks(job.term, bool(job.voted), job.install.term, job.install.index)
+                    self.durable = DurableState(job.term, bool(job.voted_for), job.install.term, job.install.index)
                 elif job.entries:
-                    self.marks = Marks(job.term, bool(job.voted), job.entries[-1].term, job.cut + len(job.entries))
+                    self.durable = DurableState(
+                        job.term, bool(job.voted_for), job.entries[-1].term, job.truncate_after + len(job.entries)
+                    )
                 else:
-                    self.marks = Marks(job.term, bool(job.voted), self.marks.last_term, self.marks.last)
+                    self.durable = DurableState(
+                        job.term, bool(job.voted_for), self.durable.last_term, self.durable.last
+                    )
             elif isinstance(job, Applied):
                 if job.change is not None and job.change.answered is not None:
                     self.unsaved.pop((job.change.answered.who, job.change.answered.key), None)
-                if job.index - self.core.log.base >= self.fellows.log_kept * 5 // 4:
+                if job.index - self.core.log.base_index >= self.fellows.log_kept * 5 // 4:
                     self._forget(job.index - self.fellows.log_kept)
         if number:
-            self.core.saved(number, self.clock())
+            self.core.write_completed(number, self.clock())
             self._drive()
         if not self.writing:
             self._write()
         self._flush()
 
-    def flushed(self) -> "Deferred[None]":
+    def when_flushed(self) -> "Deferred[None]":
         """Once all that is in force here is on disk, or can't be."""
         if not self.jobs or self.trouble or len(self.flushes) >= PASSED_MOST:
             return succeed(None)
@@ -552,10 +563,10 @@
 
     def _forget(self, index: int) -> None:
         log = self.core.log
-        before = log.base
-        self.core.forget(index)
-        if log.base != before:
-            self._carry(Forgot(log.base, log.base_term, log.base_roster))
+        before = log.base_index
+        self.core.compact(index)
+        if log.base_index != before:
+            self._carry(Forgot(log.base_index, log.base_term, log.base_membership))
 
     def _unwritten(self, failure: Any) -> None:
         """It says so, tries again, and meanwhile says nothing that would have to be on disk."""
@@ -573,13 +584,13 @@
 
     # ---- changes ----
 
-    def leads(self) -> bool:
-        return self.core.leads()
+    def is_leader(self) -> bool:
+        return self.core.is_leader()
 
     def propose(self, commit: Commit) -> "Deferred[None]":
         try:
             at = self.core.propose(msgspec.msgpack.encode(change_of(commit)), self.clock())
-        except NotNow as fault:
+        except RetryLater as fault:
             return fail(fault)
         waiting: Deferred[None] = Deferred()
         key = self.core.term, at
@@ -598,23 +609,23 @@
 
     def _unknown(self, key: tuple[int, int]) -> None:
         if key in self.waiters:
-            self.waiters[key].errback(Unknown())
+            self.waiters[key].errback(OutcomeUnknown())
 
     def _overtaken(self) -> None:
         """A proposal in whose place another entry is committed is nowhere, and never will be in force."""
         for (term, at), waiting in list(self.waiters.items()):
-            if at <= self.core.commit and self.core.log.term(at) not in (term, -1):
-                waiting.errback(NotNow("another one leads by now", self.core.leader))
-        if self.led and not self.core.leads():
+            if at <= self.core.commit_index and self.core.log.term_at(at) not in (term, -1):
+                waiting.errback(RetryLater("another one leads by now", self.core.leader))
+        if self.led and not self.core.is_leader():
             # Whether the next leader carries it on is mostly known by then; else whoever asked asks again.
             for key in self.waiters:
                 self.reactor.callLater(self.fellows.lease / SECOND, self._unknown, key)
-        self.led = self.core.leads()
+        self.led = self.core.is_leader()
         for leader, reply in list(self.passed.values()):
             if self.core.leader not in ("", leader):
                 reply.callback(UNKNOWN)  # to that one nobody listens any more
 
-    def pass_on(self, call: Call) -> "Deferred[Reply]":
+    def forward_to_leader(self, call: Call) -> "Deferred[Reply]":
         """A change that was asked for here goes to who leads; its reply comes back the same way."""
         leader = self.core.leader
         if not leader or leader == self.me.name or len(self.passed) >= PASSED_MOST:
@@ -639,15 +650,15 @@
 
         reply.addCallback(over)
         text = Passed(id, (call.method, call.path, dict(call.query), dict(call.headers), call.body, call.peer))
-        self.links.send(leader, self._frame(leader, What.CALL, msgspec.msgpack.encode(text)))
+        self.links.send(leader, self._frame(leader, FrameKind.CALL, msgspec.msgpack.encode(text)))
         return reply
 
     def _passed_on(self, sender: str, told: Passed) -> None:
         if told.call is not None:
             call = Call(*told.call)
             done = (
-                self.carry_out(call)
-                if self.leads()
+                self.execute_call(call)
+                if self.is_leader()
                 else succeed(problem(503, f"{self.me.name} leads no more", headers={"retry-after": "1"}))
             )
             done.addCallback(self._reply, sender, told.id)
@@ -658,24 +669,24 @@
     def _reply(self, reply: Reply, to: str, id: int) -> None:
         body = orjson.dumps(reply.body) if reply.body is not None else b""
         text = msgspec.msgpack.encode(Passed(id, None, (reply.status, body, dict(reply.headers))))
-        self.links.send(to, self._frame(to, What.REPLY, text))
+        self.links.send(to, self._frame(to, FrameKind.REPLY, text))
 
-    def answered(self, who: str, key: bytes) -> Answered | None:
+    def pending_answer(self, who: str, key: bytes) -> Answered | None:
         return self.unsaved.get((who, key))
 
-    def leave(self, name: str) -> Reply:
+    def remove_member(self, name: str) -> Reply:
         """Takes a member out, for good; here, where the fleet is led."""
-        return self._members(self.core.leave, name, "leaving")
+        return self._members(self.core.remove_member, name, "leaving")
 
-    def join(self, name: str) -> Reply:
+    def readmit_member(self, name: str) -> Reply:
         """Lets one that was taken out come in again."""
-        return self._members(self.core.welcome, name, "welcome")
+        return self._members(self.core.readmit_member, name, "welcome")
 
     def _members(self, change: Callable[[str, int], None], name: str, word: str) -> Reply:
         try:
             change(name, self.clock())
-        except NotNow as fault:
-            return problem(503, fault.why, headers={"retry-after": "1"})
+        except RetryLater as fault:
+            return problem(503, fault.reason, headers={"retry-after": "1"})
         except ValueError as fault:
             return problem(422, str(fault), "member")
         self._drive()
@@ -684,9 +695,9 @@
     # ---- what is told ----
 
     def status(self) -> dict[str, Any]:
-        now, believed = self.clock(), self.members.believed(self.clock())
-        roster = self.core.roster()
-        disks = {one.name: one.disk for one in roster.members}
+        now, believed = self.clock(), self.peer_table.reachability(self.clock())
+        membership = self.core.membership()
+        disks = {one.name: one.disk_id for one in membership.members}
         rows = []
         for name in sorted({*self.fellows.places, *disks}):
             mine, ping = name == self.me.name, self.pings.get(name)
@@ -697,34 +708,34 @@
                     "member": name in disks,
                     "leads": name == self.core.leader,
                     "reach": "here" if mine else believed.get(name, "not in the file"),
-                    "version": self.agreed.version if mine else ping.version if ping else None,
+                    "version": self.agreed_registry.version if mine else ping.version if ping else None,
                     "fenced": bool(why),
                     "why": why,
                     "disk": self.trouble if mine else ping.trouble if ping else "",
                     "heard_ms": 0 if mine else self._age(name, now),
                 }
             )
-        open_at = self.core.log.undecided()
+        open_at = self.core.log.open_proposal()
         return {
             "fleet": self.fellows.fleet,
             "me": self.me.name,
             "leader": self.core.leader,
             "term": self.core.term,
-            "version": self.agreed.version,
-            "log": self.core.log.last,
-            "committed": self.core.commit,
+            "version": self.agreed_registry.version,
+            "log": self.core.log.last_index,
+            "committed": self.core.commit_index,
             "under_way": bool(open_at),
-            "waits_for": self.core.missing(now) if self.leads() else [],
+            "waits_for": self.core.waiting_for(now) if self.is_leader() else [],
             "alone": "go-on" if self.fellows.go_on else "stop",
             "lease_ms": self.fellows.lease // MS,
             "members": rows,
-            "out": list(roster.out),
-            "dropped": dict(sorted(self.links.dropped.items())),
+            "out": list(membership.removed),
+            "dropped": dict(sorted(self.links.drop_counts.items())),
         }
 
     def _age(self, name: str, now: int) -> int | None:
-        known = self.members.others.get(name)
-        return (now - known.heard) // MS if known is not None and known.heard else None
+        known = self.peer_table.peers.get(name)
+        return (now - known.heard_at) // MS if known is not None and known.heard_at else None
 
 
 def encoded_int(number: int) -> bytes:
