--- a/ternquay/hosted/tenants/documents.py
+++ b/ternquay/hosted/tenants/documents.py
@@ -1,8 +1,8 @@
 """Tenants as documents: what the administration API, the store and the operators' files hold, and how they are read.
 
-    tenant = read(TenantDocument, told)      # a decoded JSON or TOML object -> a document; raises Unfit with a path
-    fit_for = tenant_of(document)            # -> a Tenant, checked by itself; raises Unfit
-    document_of(tenant)                      # -> a document again
+    tenant = read(TenantDocument, told)  # a decoded JSON or TOML object -> a document; raises InvalidField with a path
+    fit_for = tenant_of(document)  # -> a Tenant, checked by itself; raises InvalidField
+    document_of(tenant)  # -> a document again
 
 Times are whole milliseconds here and whole nanoseconds in a Tenant. Keys are no part of a tenant's document.
 """
@@ -14,16 +14,16 @@
 
 from ternquay import model as m
 from ternquay.hosted.tenants.tenant import (
+    Endpoint,
     Guarantee,
+    InvalidField,
     NamedProfile,
-    Place,
     RuleFigures,
     Server,
     Share,
     State,
     Tenant,
     TenantLimits,
-    Unfit,
     fit,
 )
 
@@ -44,7 +44,7 @@
 Amount = Annotated[float, msgspec.Meta(gt=0.0, le=1e9)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=10**9)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=48, pattern="^[a-z](?:[a-z0-9-]{0,46}[a-z0-9])?$")]
-PlaceText = Annotated[str, msgspec.Meta(min_length=3, max_length=60, description="An address and a port.")]
+EndpointText = Annotated[str, msgspec.Meta(min_length=3, max_length=60, description="An address and a port.")]
 
 
 class Document(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -53,7 +53,7 @@
 
 class ServerDocument(Document, frozen=True):
     name: Name
-    place: PlaceText
+    place: EndpointText
     zone: Annotated[str, msgspec.Meta(max_length=64)] = ""
     weight: Amount = 1.0
     started_ms: Wall = 0  # wall-clock; 0 for long ago, that is warm
@@ -102,10 +102,10 @@
 
 class TenantDocument(Document, frozen=True):
     name: Name
-    listeners: tuple[PlaceText, ...]
+    listeners: tuple[EndpointText, ...]
     profiles: tuple[ProfileDocument, ...]
     servers: tuple[ServerDocument, ...] = ()
-    source: PlaceText | None = None
+    source: EndpointText | None = None
     rules: RulesDocument = RulesDocument()
     limits: LimitsDocument = LimitsDocument()
     shares: tuple[ShareDocument, ...] = ()
@@ -138,40 +138,45 @@
 
 
 def read(kind: type[Read], told: Any, within: str = "") -> Read:
-    """An object as that kind of document. Raises Unfit with the path to the field at fault."""
+    """An object as that kind of document. Raises InvalidField with the path to the field at fault."""
     try:
         return msgspec.convert(told, kind)
     except msgspec.ValidationError as fault:
         text, _, path = str(fault).partition(" - at `$")
         field = ".".join(part for part in (within, path.strip(".`")) if part)
-        raise Unfit(field or "the document", text) from fault
+        raise InvalidField(field or "the document", text) from fault
 
 
 def decoded(kind: type[Read], body: bytes) -> Read:
-    """The same, from the bytes of a JSON text. Raises Unfit."""
+    """The same, from the bytes of a JSON text. Raises InvalidField."""
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.ValidationError as fault:
         text, _, path = str(fault).partition(" - at `$")
-        raise Unfit(path.strip(".`") or "the document", text) from fault
+        raise InvalidField(path.strip(".`") or "the document", text) from fault
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise Unfit("the document", f"is no JSON that can be read: {str(fault) or 'nested too deep'}") from fault
+        raise InvalidField("the document", f"is no JSON that can be read: {str(fault) or 'nested too deep'}") from fault
 
 
-def place_of(text: str, field: str) -> Place:
+def parse_endpoint(text: str, field: str) -> Endpoint:
     found = WHERE.fullmatch(text)
     if found is None:
-        raise Unfit(field, f"an address and a port are wanted, not {text!r:.80}")
-    return Place(found[1] or found[2], int(found[3]))
+        raise InvalidField(field, f"an address and a port are wanted, not {text!r:.80}")
+    return Endpoint(found[1] or found[2], int(found[3]))
 
 
-def place_text(place: Place) -> str:
+def format_endpoint(place: Endpoint) -> str:
     return f"[{place.host}]:{place.port}" if ":" in place.host else f"{place.host}:{place.port}"
 
 
 def server_of(told: ServerDocument, field: str) -> Server:
     return Server(
-        told.name, place_of(told.place, f"{field}.place"), told.zone, told.weight, told.started_ms * MS, told.draining
+        told.name,
+        parse_endpoint(told.place, f"{field}.place"),
+        told.zone,
+        told.weight,
+        told.started_ms * MS,
+        told.draining,
     )
 
 
@@ -181,7 +186,7 @@
 
 def server_document(server: Server) -> ServerDocument:
     return ServerDocument(
-        server.name, place_text(server.place), server.zone, server.weight, server.started // MS, server.draining
+        server.name, format_endpoint(server.endpoint), server.zone, server.weight, server.started // MS, server.draining
     )
 
 
@@ -255,16 +260,16 @@
 
 
 def tenant_of(told: TenantDocument) -> Tenant:
-    """Raises Unfit at the first thing that is wrong with it by itself."""
+    """Raises InvalidField at the first thing that is wrong with it by itself."""
     tenant = Tenant(
         told.name,
-        tuple(place_of(one, f"listeners[{i}]") for i, one in enumerate(told.listeners)),
+        tuple(parse_endpoint(one, f"listeners[{i}]") for i, one in enumerate(told.listeners)),
         servers_of(told.servers),
         tuple(map(profile_of, told.profiles)),
         rules_of(told.rules),
         limits_of(told.limits),
         tuple(Share(one.name, one.txs_a_second) for one in told.shares),
-        source=place_of(told.source, "source") if told.source is not None else None,
+        source=parse_endpoint(told.source, "source") if told.source is not None else None,
     )
     fit(tenant)
     return tenant
@@ -273,10 +278,10 @@
 def document_of(tenant: Tenant) -> TenantDocument:
     return TenantDocument(
         tenant.name,
-        tuple(map(place_text, tenant.listeners)),
+        tuple(map(format_endpoint, tenant.listeners)),
         tuple(map(profile_document, tenant.profiles)),
         tuple(map(server_document, tenant.servers)),
-        place_text(tenant.source) if tenant.source else None,
+        format_endpoint(tenant.source) if tenant.source else None,
         rules_document(tenant.rules),
         limits_document(tenant.limits),
         tuple(ShareDocument(one.name, one.txs_a_second) for one in tenant.shares),
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -14,13 +14,13 @@
 from ternquay.hosted.shared.front import CROWDING, TenantFront, TenantListener, TenantSockets
 from ternquay.hosted.shared.loop import Loop
 from ternquay.hosted.tenants.ledger import Ledger, Named
-from ternquay.hosted.tenants.registry import Entry
-from ternquay.hosted.tenants.tenant import Place, Server, State, Tenant, Unfit
+from ternquay.hosted.tenants.registry import TenantEntry
+from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Server, State, Tenant
 from ternquay.net.closing import all_accepted
 from ternquay.net.discovery import Discovery
-from ternquay.net.door import Door, Outgoing
+from ternquay.net.dispatcher import Dispatcher, OutgoingHop
 from ternquay.net.host_connection import HostConnection
-from ternquay.net.limits import SECOND, Limits, fill
+from ternquay.net.limits import SECOND, Limits, derive_limits
 from ternquay.net.listing import Address, Member
 from ternquay.net.pool import Pool
 from ternquay.net.safety import CloseReason, ServerCloseReason
@@ -127,18 +127,18 @@
         ],
         "Invariants": {"MustAskIn": 10_000_000},
     }
-    whole = fill(facts, process.sockets, process.memory_mb)
+    whole = derive_limits(facts, process.sockets, process.memory_mb)
     memory = int(own.memory.most * process.memory_mb * (1 << 20))
     return replace(
         whole,
         sockets=max(4, int(own.sockets.most * process.sockets) - SPARE),
         spare=SPARE,
         clients=own.clients,
-        value=65536,
-        answer=1 << 20,
-        whole=1 << 20,  # kept whole, as a tenant's memory is counted
-        held=max(1 << 20, min(own.held, memory)),
-        resting=max(8, own.clients // 2),
+        value_bytes=65536,
+        answer_bytes=1 << 20,
+        stream_above_bytes=1 << 20,  # kept whole, as a tenant's memory is counted
+        buffered_bytes=max(1 << 20, min(own.held, memory)),
+        idle_clients=max(8, own.clients // 2),
     )
 
 
@@ -167,25 +167,25 @@
                 connection.drop(ServerCloseReason.REMOVED)
 
 
-class TenantDoor(Door):
+class TenantDispatcher(Dispatcher):
     """Its list goes by the ledger, and what its hops tell of machines that others name too."""
 
     told: Callable[[bool, tuple[Member, ...]], None]
-    machine_ended: Callable[[Place, m.HopOutcome], None]
+    machine_ended: Callable[[Endpoint, m.HopOutcome], None]
 
     def __init__(self, *terms: Any) -> None:
         super().__init__(*terms)
-        self.shared: dict[int, Place] = {}
+        self.shared: dict[int, Endpoint] = {}
 
     def list_told(self, whole: bool, members: tuple[Member, ...]) -> None:
         self.told(whole, members)
 
-    def settled(self, members: tuple[Member, ...], shared: Mapping[str, Place]) -> None:
+    def settled(self, members: tuple[Member, ...], shared: Mapping[str, Endpoint]) -> None:
         """The list as the decisions are to have it."""
         super().list_told(True, members)
         self.shared = {self.hosts[id]: place for id, place in shared.items() if id in self.hosts}
 
-    def _ended(self, hop: Outgoing, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
+    def _ended(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
         place = self.shared.get(hop.host) if self.shared else None
         super()._ended(hop, end, answer, note)
         if place is not None:
@@ -196,7 +196,7 @@
 class Prepared:
     """Listeners that a change needs, bound but not accepting yet."""
 
-    ports: dict[Place, Any] = field(default_factory=dict)
+    ports: dict[Endpoint, Any] = field(default_factory=dict)
 
     def drop(self) -> None:
         for port in self.ports.values():
@@ -218,8 +218,8 @@
         self.startReading()
 
 
-def bound(reactor: Any, places: tuple[Place, ...], own: str = "", backlog: int = 1024) -> Prepared:
-    """`own` stands for 0.0.0.0 here. Raises Unfit, with nothing left bound, if one of them can't be."""
+def bound(reactor: Any, places: tuple[Endpoint, ...], own: str = "", backlog: int = 1024) -> Prepared:
+    """`own` stands for 0.0.0.0 here. Raises InvalidField, with nothing left bound, if one of them can't be."""
     prepared = Prepared()
     for i, place in enumerate(places):
         host = own if own and place.host == "0.0.0.0" else place.host
@@ -228,34 +228,36 @@
             port.startListening()
         except CannotListenError as fault:
             prepared.drop()
-            raise Unfit(f"listeners[{i}]", f"can't be bound: {fault.socketError}") from fault
+            raise InvalidField(f"listeners[{i}]", f"can't be bound: {fault.socketError}") from fault
         prepared.ports[place] = port
     return prepared
 
 
 class Tenancy:
-    def __init__(self, common: Common, entry: Entry, turn: Turn) -> None:
+    def __init__(self, common: Common, entry: TenantEntry, turn: Turn) -> None:
         self.common, self.entry = common, entry
         self.id = f"{entry.tenant.name}.{entry.incarnation}"  # one made again under the name is another one
         tenant, reactor = entry.tenant, common.reactor
         self.limits = limits_of(common.process, tenant)
         self.zones, self.cells = Numbers(), Numbers()
         self.sockets = TenantSockets(self.limits, self.id, common.sockets, tenant.limits.host_connections)
-        self.door = TenantDoor(reactor, started_of(common.process, tenant), names_of(tenant, self.zones), self.limits)
-        self.door.told, self.door.machine_ended = self._told, self._machine_ended
-        self.pool = self.door.pool = TenantPool(
-            common.loop, self.id, reactor, self.door, self.limits, self.sockets, True
+        self.dispatcher = TenantDispatcher(
+            reactor, started_of(common.process, tenant), names_of(tenant, self.zones), self.limits
         )
-        self.turn = OwnTurn(turn, self.limits.turn)
-        self.door.stood_still = self.turn.stood_still
+        self.dispatcher.told, self.dispatcher.machine_ended = self._told, self._machine_ended
+        self.pool = self.dispatcher.pool = TenantPool(
+            common.loop, self.id, reactor, self.dispatcher, self.limits, self.sockets, True
+        )
+        self.turn = OwnTurn(turn, self.limits.turn_duration)
+        self.dispatcher.stood_still = self.turn.stood_still
         self.dues = Dues(tenant.limits.txs_a_second, tenant.limits.burst)
         self.front = TenantFront(
-            reactor, self.door, self.limits, self.sockets, self.turn, common.loop, self.id, self.dues
+            reactor, self.dispatcher, self.limits, self.sockets, self.turn, common.loop, self.id, self.dues
         )
         self.front.open_most = tenant.limits.open_txs
         self.front.gate = self._gate
         self.front.fenced = partial(common.wait, tenant.name) if common.wait is not None else None
-        self.ports: dict[Place, Any] = {}
+        self.ports: dict[Endpoint, Any] = {}
         self.members: dict[str, Member] = {}
         self.start_times = StartTimes(common.difference)
         self.discovery: Discovery | None = None
@@ -268,7 +270,7 @@
         self._sourced(self.entry.tenant)
         self._stand(self.entry.tenant.state)
 
-    def change(self, entry: Entry, prepared: Prepared) -> None:
+    def change(self, entry: TenantEntry, prepared: Prepared) -> None:
         """The tenant is this from now on; transactions that are open end by what they were taken with."""
         before, self.entry = self.entry, entry
         try:
@@ -282,7 +284,7 @@
             self._limited(new)
         if (old.profiles, old.rules, old.shares) != (new.profiles, new.rules, new.shares):
             start, names = started_of(self.common.process, new), names_of(new, self.zones)
-            self.door.refigured(start, names, self.limits)
+            self.dispatcher.refigured(start, names, self.limits)
         if old.listeners != new.listeners:
             for place in set(old.listeners) - set(new.listeners):
                 if place in self.ports:
@@ -295,9 +297,9 @@
 
     def _limited(self, tenant: Tenant) -> None:
         self.limits = limits_of(self.common.process, tenant)
-        self.door.limits = self.pool.limits = self.front.limits = self.sockets.limits = self.limits
+        self.dispatcher.limits = self.pool.limits = self.front.limits = self.sockets.limits = self.limits
         self.sockets.hosts_most = tenant.limits.host_connections
-        self.turn.most = self.limits.turn
+        self.turn.most = self.limits.turn_duration
         self.dues.change(tenant.limits.txs_a_second, tenant.limits.burst)
         self.front.open_most = tenant.limits.open_txs
 
@@ -311,9 +313,9 @@
             port.gate(accept)
 
     def _stand(self, state: State) -> None:
-        self.front.shut = 0 if state is State.ACTIVE else self.limits.come_again
+        self.front.shut = 0 if state is State.ACTIVE else self.limits.retry_after
         if state is State.ENDING and not self.ending_since:
-            self.ending_since = self.door.now()
+            self.ending_since = self.dispatcher.now()
             self.close_ports()
             self.front.leave()
 
@@ -325,7 +327,7 @@
             self.front.shed()
         return not self.ports
 
-    def _close_port(self, place: Place, waits: bool = False) -> None:
+    def _close_port(self, place: Endpoint, waits: bool = False) -> None:
         if all_accepted(self.ports[place], self.sockets) or not waits:
             self.ports.pop(place).stopListening()
 
@@ -334,8 +336,8 @@
         if not self.ending_since:
             return False
         longest = max(one.profile.hard_limit for one in self.entry.tenant.profiles)
-        waited = self.door.now() - self.ending_since
-        return (not self.front.all and not self.door.txs) or waited > longest + SECOND
+        waited = self.dispatcher.now() - self.ending_since
+        return (not self.front.all and not self.dispatcher.txs) or waited > longest + SECOND
 
     def end(self) -> None:
         """It is no more: nothing of it stays."""
@@ -345,11 +347,11 @@
         for client in list(self.front.all):
             self.front.drop(client, CloseReason.REMOVED)
         self.pool.end()
-        self.common.retell(self.common.ledger.left(self.door.now(), self.id))
+        self.common.retell(self.common.ledger.left(self.dispatcher.now(), self.id))
 
     # ---- its cache hosts ----
 
-    def _sourced(self, tenant: Tenant, before: Place | None = None) -> None:
+    def _sourced(self, tenant: Tenant, before: Endpoint | None = None) -> None:
         old = None
         if self.discovery is not None and tenant.source != before:
             # What it had written by now counts as told; where servers are listed by hand, the change itself does.
@@ -357,16 +359,16 @@
             (old.end if tenant.source is None else old.retire)()
         if tenant.source is not None and self.discovery is None:
             where = Address(tenant.source.host, tenant.source.port)
-            self.discovery = Discovery(self.common.reactor, self.door, self.limits, where, self.start_times, old)
-            self.door.watch = self.discovery.watch
+            self.discovery = Discovery(self.common.reactor, self.dispatcher, self.limits, where, self.start_times, old)
+            self.dispatcher.watch = self.discovery.watch
             self.discovery.watch()
         elif tenant.source is None:
             members = tuple(self._member(server) for server in tenant.servers)
-            self._told(True, self.start_times.dated(True, members, self.door.now()))
+            self._told(True, self.start_times.dated(True, members, self.dispatcher.now()))
 
     def _member(self, server: Server) -> Member:
         # The place stands for the host: it is the same by whatever name it goes.
-        where = Address(server.place.host, server.place.port)
+        where = Address(server.endpoint.host, server.endpoint.port)
         standing = m.HostStatus.DRAINING if server.draining else m.HostStatus.READY
         cell = self.cells.get(str(where))
         return Member(str(where), where, server.zone, "", cell, standing, server.weight, server.started)
@@ -386,24 +388,24 @@
         named = {id: Named(_place(member.where), member.standing, member.since) for id, member in self.members.items()}
         source = self.entry.tenant.source is not None
         told = self.common.ledger.told(
-            self.door.now(), self.id, named, [place for place in places if source and place not in taken]
+            self.dispatcher.now(), self.id, named, [place for place in places if source and place not in taken]
         )
         self.settle()
         self.common.retell(told - {self.id})
 
     def settle(self) -> None:
         """Its list as the ledger has it goes to the decisions."""
-        lines = self.common.ledger.lines(self.door.now(), self.id)
+        lines = self.common.ledger.lines(self.dispatcher.now(), self.id)
         members = tuple(
             replace(
                 member, standing=lines[id].standing, since=lines[id].since, part=lines[id].part, zone=member.zone or id
             )
             for id, member in self.members.items()
         )
-        self.door.settled(members, {id: line.place for id, line in lines.items() if line.shared})
+        self.dispatcher.settled(members, {id: line.place for id, line in lines.items() if line.shared})
 
-    def _machine_ended(self, place: Place, end: m.HopOutcome) -> None:
-        told = self.common.ledger.ended(self.door.now(), place, end)
+    def _machine_ended(self, place: Endpoint, end: m.HopOutcome) -> None:
+        told = self.common.ledger.ended(self.dispatcher.now(), place, end)
         if told:
             self.common.retell(told)
 
@@ -417,22 +419,22 @@
 
     def held(self) -> int:
         """Bytes that it has in memory of half-read and unanswered things."""
-        return self.door.held + self.front.kept + self.front.queued + self.pool.kept
+        return self.dispatcher.held + self.front.kept + self.front.queued + self.pool.kept
 
     def use(self) -> dict[str, Any]:
         part = self.common.loop.parts.get(self.id)
         return {
             "clients": self.sockets.clients,
             "host_connections": self.sockets.hosts,
-            "open": len(self.door.txs),
+            "open": len(self.dispatcher.txs),
             "held_bytes": self.held(),
             "cpu_s": round(part.spent / SECOND, 3) if part else 0.0,
             "servers": len(self.members),
         }
 
 
-def _place(where: Address) -> Place:
-    return Place(where.host, where.port)
+def _place(where: Address) -> Endpoint:
+    return Endpoint(where.host, where.port)
 
 
 class OwnTurn(Turn):
--- a/ternquay/net/eviction.py
+++ b/ternquay/net/eviction.py
@@ -29,14 +29,14 @@
 
 
 def _evicted(front: "Front") -> Iterator["ClientConnection"]:
-    now = front.door.now()
+    now = front.dispatcher.now()
     for client in [one for one in front.resting if one.answered or now - one.moved >= SILENT]:
         if client in front.resting and front.close_resting(client):
             yield client
     stopped = [one for one in front.unfinished if _stopped(one, now)]
     for client in sorted(stopped, key=lambda one: one.deadline.last):
         # The end of one may set off that of another.
-        if client in front.unfinished and not client.lies_unread():
+        if client in front.unfinished and not client.has_unread_bytes():
             client.end_request(CloseReason.STOPPED)
             yield client
 
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from ternquay import model as m
-from ternquay.net.door import Door, Outgoing
+from ternquay.net.dispatcher import Dispatcher, OutgoingHop
 from ternquay.net.host_connection import Dialer, HostConnection
 from ternquay.net.idle_loss import IdleLoss
 from ternquay.net.limits import SECOND, Limits
@@ -27,14 +27,14 @@
 
     connects = HostConnection  # what drives one connection
 
-    def __init__(self, reactor: Any, door: Door, limits: Limits, sockets: Sockets, share: bool) -> None:
-        self.reactor, self.door, self.limits, self.sockets = reactor, door, limits, sockets
+    def __init__(self, reactor: Any, dispatcher: Dispatcher, limits: Limits, sockets: Sockets, share: bool) -> None:
+        self.reactor, self.dispatcher, self.limits, self.sockets = reactor, dispatcher, limits, sockets
         # Where a transaction may not be out twice, a given-up hop may not stay behind on a shared connection.
         self.share = share
         self.places: dict[int, HostPlace] = {}
         self.kept = 0  # bytes of half-read answers on all connections
         self.idle_loss = IdleLoss(limits)
-        sockets.shed_host = self.shed
+        sockets.close_idle_host = self.shed
 
     # ---- for the door ----
 
@@ -63,7 +63,7 @@
         if place.gone and not place.all:
             self.places.pop(place.index, None)
 
-    def send(self, hop: Outgoing) -> None:
+    def send(self, hop: OutgoingHop) -> None:
         place = self.places.get(hop.host)
         # Not to one that drains, though the decisions should know: they may have failed on the list that said so.
         # Nor what is partly written elsewhere: those bytes are gone.
@@ -73,46 +73,50 @@
         )
         if connection is None:
             # Not the cache host's fault, and never sent.
-            self.door.hop_ended(hop, m.HopOutcome.SKIPPED)
+            self.dispatcher.hop_ended(hop, m.HopOutcome.SKIPPED)
         else:
             connection.take(hop)
 
-    def give_up(self, hop: Outgoing) -> None:
+    def give_up(self, hop: OutgoingHop) -> None:
         if hop.connection is not None:
             hop.connection.give_up(hop)
 
     # ---- connections ----
 
     def _connection(self, place: HostPlace, share: bool) -> HostConnection | None:
-        now = self.door.now()
+        now = self.dispatcher.now()
         while place.idle:
             connection = place.idle.pop()
             # What the cache host closed, or added to its answer, may lie here unread: the hop would be lost.
             rested = now - connection.idle_since
-            if rested < self.limits.idle and self.idle_loss.holds(rested, now) and connection.untouched():
+            if (
+                rested < self.limits.host_idle_timeout
+                and self.idle_loss.holds(rested, now)
+                and connection.nothing_unread()
+            ):
                 connection.rested = rested
                 return connection
             connection.retire(ServerCloseReason.UNFIT)
-        if self.sockets.may_open():
+        if self.sockets.may_open_host():
             return self._dial(place)
         if not self.share or not share:
             return None
         may = (c for c in place.all if c.current() and c.flow is None and not c.carries_large())
         least = min(may, key=HostConnection.load, default=None)
-        return least if least is not None and least.load() < self.limits.per_connection else None
+        return least if least is not None and least.load() < self.limits.per_host_connection else None
 
     def _dial(self, place: HostPlace) -> HostConnection:
         connection = self.connects(self, place)
         place.all[connection] = None
         self.sockets.host_opened()
         connection.connector = self.reactor.connectTCP(
-            place.address.host, place.address.port, Dialer(connection), timeout=self.limits.dial / SECOND
+            place.address.host, place.address.port, Dialer(connection), timeout=self.limits.connect_timeout / SECOND
         )
         return connection
 
     def idle(self, connection: HostConnection) -> None:
         # One that was taken up for a hop that was not begun has rested on.
-        connection.idle_since, connection.rested = self.door.now() - max(0, connection.rested), -1
+        connection.idle_since, connection.rested = self.dispatcher.now() - max(0, connection.rested), -1
         if not connection.current():
             connection.retire(ServerCloseReason.LEAVING)
         elif connection not in connection.host.idle:
@@ -123,7 +127,7 @@
         if connection in place.all:
             del place.all[connection]
             self.sockets.host_closed()
-            if not connection.released:
+            if not connection.transport_closed:
                 self.sockets.closing.add(connection)
             self.kept -= connection.kept
             self._forget(place)
@@ -145,18 +149,18 @@
 
     def sweep(self) -> None:
         # Made first, so that a fault in one look does not end them all.
-        self.reactor.callLater(self.limits.sweep / SECOND, self.sweep)
+        self.reactor.callLater(self.limits.sweep_interval / SECOND, self.sweep)
         self.swept()
 
     def swept(self) -> None:
         """Closes what stands idle before the cache host may: a write that crosses that is lost."""
-        before = self.door.now() - self.limits.idle
+        before = self.dispatcher.now() - self.limits.host_idle_timeout
         for place in list(self.places.values()):
             while place.idle and place.idle[0].idle_since <= before:
                 place.idle[0].retire(ServerCloseReason.UNFIT)
-            for connection in [c for c in place.all if c.silent() and not c.lies_unread()]:
-                self.door.tell("WARNING", "{} breaks off a large value", place.address)
+            for connection in [c for c in place.all if c.silent() and not c.has_unread_bytes()]:
+                self.dispatcher.tell("WARNING", "{} breaks off a large value", place.address)
                 connection.drop(ServerCloseReason.VALUE_STOPPED)
             for connection in [c for c in place.all if c.takes_nothing()]:
-                self.door.tell("WARNING", "{} takes no more of a large value", place.address)
+                self.dispatcher.tell("WARNING", "{} takes no more of a large value", place.address)
                 connection.drop(ServerCloseReason.VALUE_STOPPED)
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -15,9 +15,9 @@
 
 from ternquay.hosted.host import Host
 from ternquay.hosted.shared.front import TenantFront
-from ternquay.hosted.tenants.registry import Replace, SetState
+from ternquay.hosted.tenants.registry import ReplaceTenant, SetState
 from ternquay.hosted.tenants.tenancy import Prepared, Process
-from ternquay.hosted.tenants.tenant import Guarantee, Place, State
+from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, State
 from tests.helper import Net, Wire, member
 from tests.hosted_helper import Hosted
 from tests.test_endings import Ending, begun, drained, ready
@@ -47,7 +47,7 @@
         self.host.begin()
         self.tenancy = self.host.tenancies["sur"]
         self.limits, self.sockets = self.tenancy.limits, self.tenancy.sockets
-        self.door, self.pool = self.tenancy.door, self.tenancy.pool
+        self.dispatcher, self.pool = self.tenancy.dispatcher, self.tenancy.pool
         self.front: TenantFront = self.tenancy.front
 
     def turn_begins(self) -> None:
@@ -176,7 +176,7 @@
         self.closed = True
 
 
-PLACE = Place("127.0.0.1", 7001)
+PLACE = Endpoint("127.0.0.1", 7001)
 
 
 @pytest.mark.parametrize("way", ["process", "tenant", "listener"])
@@ -227,12 +227,12 @@
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     there = net.host.registry.tenants["sur"].tenant
-    net.host.change(Replace(replace(there, source=Place("127.0.0.1", 8500))))
+    net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8500))))
     agent.calls[0].callback(
         Ending(orjson.dumps({"revision": 1, "complete": True, "members": [member(1)]}), ResponseDone())
     )
     assert ready(net)
-    net.host.change(Replace(replace(there, source=Place("127.0.0.1", 8600))))
+    net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8600))))
     assert len(agent.calls) == 3, "the first list, the watch, and the new one's"
     net.run(after)
     agent.calls[1].callback(Ending(drained(5), ResponseDone()))
@@ -246,8 +246,8 @@
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     there = net.host.registry.tenants["sur"].tenant
-    net.host.change(Replace(replace(there, source=Place("127.0.0.1", 8500))))
-    net.host.change(Replace(tenant("sur")))
+    net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8500))))
+    net.host.change(ReplaceTenant(tenant("sur")))
     agent.calls[0].callback(Ending(drained(5), ResponseDone()))
     assert list(net.tenancy.members) == ["127.0.1.1:11211"] and ready(net)
 
