--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -75,7 +75,9 @@
         self.replacement: Any = None
         self.shut = False  # another process takes the clients
         self.dispatcher = Dispatcher(reactor, launch.start, launch.names, self.limits, decisions)
-        self.pool = self.dispatcher.pool = Pool(reactor, self.dispatcher, self.limits, sockets, launch.start.parallel)
+        self.pool = self.dispatcher.pool = Pool(
+            reactor, self.dispatcher, self.limits, sockets, launch.start.parallel_hops
+        )
         self.turn = Turn(self.limits.turn_duration)
         self.dispatcher.stood_still = self.turn.stood_still
         self.front = Front(reactor, self.dispatcher, self.limits, sockets, self.turn)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -28,7 +28,7 @@
 from tests.test_review_links import until
 from tests.test_upgrade import platform
 
-LISTED = Member("h1", Address("127.0.0.1", 9), "a", "k", 2, m.Standing.DRAINING, 1.5, 77)
+LISTED = Member("h1", Address("127.0.0.1", 9), "a", "k", 2, m.HostStatus.DRAINING, 1.5, 77)
 NOTE = Note(5, 100, True, "127.0.0.1:8500", 41, (LISTED,), {"usual": 1.5, "hosts": {}})
 
 
@@ -125,7 +125,7 @@
     told = learned_text(old.learned(), names)
     learned = learned_read(told | {"hosts": told["hosts"] | {"unheard": told["hosts"]["h1"]}}, {"h1": 7, "h2": 3})
     assert learned is not None and {h.host for h in learned.hosts} == {7, 3}
-    new = Balancer(replace(START, balancers=2))
+    new = Balancer(replace(START, balancer_count=2))
     new.decide(T0, m.ListChanged(True, (line(7), line(3))))
     new.decide(T0, learned)
     assert new.usual == old.usual > 0 and new.unit_rate == old.unit_rate / 2 and new.hits == old.hits > 0.5
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -111,7 +111,10 @@
     (SetKeys("sur", (Key("k", b"\5" * 32, Scope.READER, 5, 5),)), "keys[0].until"),
     (ReplaceTenant(tenant("sur", state=State.ENDING)), "state"),
     (ReplaceTenant(tenant("sur", profiles=())), "profiles"),
-    (ReplaceTenant(tenant("sur", profiles=(NamedProfile("m", replace(MARKED, memory=0)),))), "profiles[0].memory"),
+    (
+        ReplaceTenant(tenant("sur", profiles=(NamedProfile("m", replace(MARKED, dedup_window=0)),))),
+        "profiles[0].memory",
+    ),
     (
         ReplaceTenant(tenant("sur", profiles=(NamedProfile("r", replace(READ, hard_limit=1)),))),
         "profiles[0].hard_limit",
