--- a/ternquay/state.py
+++ b/ternquay/state.py
@@ -31,7 +31,7 @@
     hash: int
     is_origin: bool
     since: int
-    standing: m.Standing
+    standing: m.HostStatus
     zone: int = -1
     cell: int = 0
     weight: float = 1.0
@@ -156,7 +156,7 @@
 class Kept:
     """What one balancer keeps for as long as it runs."""
 
-    start: m.Started
+    start: m.Config
     near_counts: bool  # whether a crossing between zones costs enough to keep from it
     random: Random
     apart: int
