--- a/ternquay/balance.py
+++ b/ternquay/balance.py
@@ -14,7 +14,7 @@
 
 from ternquay import model as m
 from ternquay.figures import MASK, median, mix, text_hash
-from ternquay.state import CacheHost, Hop, Kept, Range, Tx
+from ternquay.state import BalancerState, CacheHost, Hop, Range, Tx
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
@@ -51,26 +51,30 @@
 ASK_FIRST, ASK_MOST, TICK, TICK_MOST = SECOND // 2, 4 * SECOND, SECOND // 4, 2 * SECOND
 
 
-class Balancer(Kept):
+class Balancer(BalancerState):
     def __init__(self, started: m.Config) -> None:
         super().__init__(GROUPS, WINDOW)
         self._figures(started)
-        self.random, self.apart = Random(started.seed), mix(started.seed ^ mix(started.balancer_index + 1))
-        self.margin, self.ask_wait, self.extra = started.clock_quantum + 2 * MS, ASK_FIRST, EXTRA_MOST
+        self.random, self.jitter_seed = Random(started.seed), mix(started.seed ^ mix(started.balancer_index + 1))
+        self.time_margin, self.list_retry_delay, self.extra_hop_tokens = (
+            started.clock_quantum + 2 * MS,
+            ASK_FIRST,
+            EXTRA_MOST,
+        )
         part = 1 / started.balancer_count
-        self.origin_limit, self.origin_least = ORIGIN_START * part, ORIGIN_LEAST * part
+        self.origin_limit, self.min_origin_limit = ORIGIN_START * part, ORIGIN_LEAST * part
         # How often a copy that we did not see is there all the same: the others of N brought it.
-        self.hit_part = 1 - part
+        self.unseen_hit_ratio = 1 - part
 
     def _figures(self, started: m.Config) -> None:
         # What is open keeps the profile that it was taken with; what was measured of machines stays.
-        self.start = started
+        self.config = started
         self.shortest_goal = min((p.service_goal for p in started.profiles), default=SECOND)
-        self.origin_late = self.shortest_goal * (ORIGIN_LATE if started.cache_aside else THROUGH_LATE)
-        self.near_counts = started.cross_zone_price >= CROSS_DEAR
+        self.slow_fetch_duration = self.shortest_goal * (ORIGIN_LATE if started.cache_aside else THROUGH_LATE)
+        self.prefer_own_zone = started.cross_zone_price >= CROSS_DEAR
         self.usual_ttl = [0] * len(started.profiles)
-        self.shares = [q / started.balancer_count for q in started.quotas]
-        self.share_left, self.share_at = [0.0] * len(self.shares), [0] * len(self.shares)
+        self.share_rates = [q / started.balancer_count for q in started.quotas]
+        self.share_tokens, self.share_refilled_at = [0.0] * len(self.share_rates), [0] * len(self.share_rates)
 
     def decide(self, now: int, event: m.Event) -> list[m.Action]:
         self.now, self.actions = now, []
@@ -82,14 +86,14 @@
 
     def _take(self, e: m.Learned) -> None:
         # The one that is replaced sends on for a moment, so each takes half of the rate and the origin.
-        self.usual, self.usual_at, self.estimates = e.usual, self.now, SAMPLE
-        self.rate, self.unit_rate, self.origin_took = e.rate, e.unit_rate / 2, e.origin_took
-        self.origin_limit = max(self.origin_least, e.origin_limit / 2)
+        self.mean_duration, self.mean_duration_at, self.duration_samples = e.usual, self.now, SAMPLE
+        self.arrival_rate, self.rate_per_weight, self.mean_fetch_duration = e.rate, e.unit_rate / 2, e.origin_took
+        self.origin_limit = max(self.min_origin_limit, e.origin_limit / 2)
         # What it brought to the cache hosts lies there, though we have seen none of it.
-        self.hit_part, self.hits = max(self.hit_part, e.hits), e.hits
+        self.unseen_hit_ratio, self.hit_ratio = max(self.unseen_hit_ratio, e.hits), e.hits
         for told in e.hosts:
-            if (host := self.hosts.get(told.host)) is not None and not host.seen:
-                host.take(told, self.now)
+            if (host := self.hosts.get(told.host)) is not None and not host.measured_at:
+                host.restore(told, self.now)
 
     # ---- the list ----
 
@@ -98,112 +102,120 @@
         lacks = [
             h
             for h in self.hosts.values()
-            if not h.unlisted
+            if not h.unlisted_since
             and (event.complete if h.index not in named else named[h.index].status is m.HostStatus.GONE)
         ]
         # Against a list that is wrong of hosts that serve, empty, shrunk or old: where gone is advice, one
         # that drops more of them at once than fail by themselves is not believed, and their answers decide.
         # A draining that was seen holds on. Harm: so many that went indeed cost hops that fail, until FORGET.
-        wrong = len(lacks) > OUT_PART * sum(1 for h in self.hosts.values() if not h.unlisted)
+        wrong = len(lacks) > OUT_PART * sum(1 for h in self.hosts.values() if not h.unlisted_since)
         for host in lacks:
-            if self.start.gone_is_advisory and (wrong or host.standing is m.HostStatus.DRAINING):
-                host.unlisted = self.now
+            if self.config.gone_is_advisory and (wrong or host.status is m.HostStatus.DRAINING):
+                host.unlisted_since = self.now
             else:
-                host.standing = m.HostStatus.GONE
+                host.status = m.HostStatus.GONE
         for line in event.entries:
             if line.status is not m.HostStatus.GONE:
                 self._listed(line)
         self._settle(told=True)
-        self.ask_wait = ASK_FIRST
-        if self.start.watch_list and not self.asked:
-            self.asked = True
+        self.list_retry_delay = ASK_FIRST
+        if self.config.watch_list and not self.list_requested:
+            self.list_requested = True
             self.actions.append(m.WatchList())
-        if not self.tick_at:
-            self.tick_at = self.now
-            self.wakes.add(self.now + TICK, -1)
+        if not self.last_tick_at:
+            self.last_tick_at = self.now
+            self.timers.add(self.now + TICK, -1)
 
     def _settle(self, told: bool = False) -> None:
         """What follows from the hosts as they stand."""
         for host in self.hosts.values():
-            if host.unlisted and self.now - host.unlisted > FORGET:
-                host.standing = m.HostStatus.GONE
-        gone = {i for i, host in self.hosts.items() if host.standing is m.HostStatus.GONE}
+            if host.unlisted_since and self.now - host.unlisted_since > FORGET:
+                host.status = m.HostStatus.GONE
+        gone = {i for i, host in self.hosts.items() if host.status is m.HostStatus.GONE}
         if gone:
             self.hosts = {i: host for i, host in self.hosts.items() if i not in gone}
-            for holders in self.held.values():
+            for holders in self.known_copies.values():
                 holders -= gone
-        up = [h for h in self.hosts.values() if h.standing is m.HostStatus.READY]
+        up = [h for h in self.hosts.values() if h.status is m.HostStatus.READY]
         self.ready = [h for h in up if not h.is_origin]
-        if told and self.ready and self.start.weight_mode is m.WeightMode.LIVE:
+        if told and self.ready and self.config.weight_mode is m.WeightMode.LIVE:
             self._learn()
         # A host less is passed over where it stands; only a new one, or a new weight, needs new orders.
         # By the record and not its index: under that one may come back that is another.
-        if not set(self.ready) <= set(self.ranked):
-            self.orders, self.ranked = {}, list(self.ready)
-            self.even = len({h.weight for h in self.ranked}) < 2
-        self.weights = sum(h.weight for h in self.ready) or 1.0
-        self.near_weights = sum(h.weight for h in self.ready if h.zone == self.start.zone) or 1.0
+        if not set(self.ready) <= set(self.ordered_hosts):
+            self.host_orders, self.ordered_hosts = {}, list(self.ready)
+            self.equal_weights = len({h.weight for h in self.ordered_hosts}) < 2
+        self.total_weight = sum(h.weight for h in self.ready) or 1.0
+        self.own_zone_weight = sum(h.weight for h in self.ready if h.zone == self.config.zone) or 1.0
         self.origin = next((h for h in up if h.is_origin), None)
 
     def _listed(self, line: m.ListedHost) -> None:
         host = self.hosts.get(line.host)
         standing = line.status
         if host is None:
-            is_origin = self.start.cache_aside and line.kind == self.start.origin_kind
+            is_origin = self.config.cache_aside and line.kind == self.config.origin_kind
             host = CacheHost(line.host, text_hash(line.address), is_origin, line.started_at, line.status)
             self.hosts[line.host] = host
-        elif self.start.gone_is_advisory and host.standing is m.HostStatus.DRAINING and line.started_at <= host.since:
+        elif (
+            self.config.gone_is_advisory and host.status is m.HostStatus.DRAINING and line.started_at <= host.started_at
+        ):
             standing = m.HostStatus.DRAINING  # an `up` from before that draining, of an old list: it binds on
-        elif line.started_at != host.since and line.status is m.HostStatus.READY:
-            host.since, host.fails, host.seen, host.took, host.crowd = line.started_at, 0, 0, 0.0, 0.0
-            host.out_until, host.out_for, host.trial, host.room = 0, 0, False, 1.0
-        host.zone, host.cell, host.standing, host.part = line.zone, line.cell, standing, line.cold_fraction
-        host.unlisted = 0
-        host.kind, host.hint, host.size = line.kind, line.weight, max(host.size, line.weight)
-        if self.start.weight_mode is m.WeightMode.STATIC:
+        elif line.started_at != host.started_at and line.status is m.HostStatus.READY:
+            host.started_at, host.failures, host.measured_at, host.mean_duration, host.mean_in_flight = (
+                line.started_at,
+                0,
+                0,
+                0.0,
+                0.0,
+            )
+            host.ejected_until, host.ejection_time, host.on_probation, host.range_fraction = 0, 0, False, 1.0
+        host.zone, host.cell, host.status, host.cold_fraction = line.zone, line.cell, standing, line.cold_fraction
+        host.unlisted_since = 0
+        host.kind, host.listed_weight, host.capacity = line.kind, line.weight, max(host.capacity, line.weight)
+        if self.config.weight_mode is m.WeightMode.STATIC:
             self._weigh(host, line.weight)
 
     def _weigh(self, host: CacheHost, weight: float) -> None:
         if weight != host.weight and weight > 0:
-            host.weight, self.ranked = weight, []
+            host.weight, self.ordered_hosts = weight, []
 
     def _learn(self) -> None:
         # Weights that fall with load stand at the size of a host that holds nothing: a kind's size is the
         # second highest that a host of it was listed with. Against keys that move with lists; absurd weights.
         kinds = {h.kind for h in self.ready}
-        sizes = {kind: sorted(h.size for h in self.ready if h.kind == kind)[-2:][0] for kind in kinds}
-        most = SIZE_SPAN * median(h.size for h in self.ready)
+        sizes = {kind: sorted(h.capacity for h in self.ready if h.kind == kind)[-2:][0] for kind in kinds}
+        most = SIZE_SPAN * median(h.capacity for h in self.ready)
         for host in self.ready:
             self._weigh(host, min(most, sizes[host.kind]))
         # A host that holds too much, by the time that takes, keeps less of its ranges, else more, in steps.
         # Against crowds that no one balancer sees, and all balancers running to the host that looked empty.
-        passed, self.learned_at = min(1.0, (self.now - self.learned_at) / SECOND), self.now
-        told = [h for h in self.ready if h.hint * HELD_MOST > h.weight]
-        load = {h.index: (h.weight / h.hint - 1) * h.service for h in told}
-        cap = HELD_FLOOR * median(h.service for h in self.ready)
+        passed, self.capacities_learned_at = min(1.0, (self.now - self.capacities_learned_at) / SECOND), self.now
+        told = [h for h in self.ready if h.listed_weight * HELD_MOST > h.weight]
+        load = {h.index: (h.weight / h.listed_weight - 1) * h.service_time for h in told}
+        cap = HELD_FLOOR * median(h.service_time for h in self.ready)
         cap += OVER_MULTIPLE * median(load.values()) if load else 0.0
         for host in self.ready:
             step = -ROOM_DOWN if load.get(host.index, 0.0) > cap else ROOM_UP
-            host.room = max(ROOM_LEAST, min(1.0, host.room + step * passed))
+            host.range_fraction = max(ROOM_LEAST, min(1.0, host.range_fraction + step * passed))
 
     def _list_lost(self, _: m.ListUnavailable) -> None:
         # Against a flood of calls on a discovery that is down: each failure waits longer, with a random part.
-        if self.start.watch_list:
+        if self.config.watch_list:
             # A call at least as often as the list that is held counts: each waits one to two such spans.
-            wait = min(self.ask_wait, self.start.list_max_age * 2 // 5)
-            self.wakes.add(self.now + wait // 2 + self._about(wait), -2)
-            self.ask_wait = min(ASK_MOST, self.ask_wait * 2)
+            wait = min(self.list_retry_delay, self.config.list_max_age * 2 // 5)
+            self.timers.add(self.now + wait // 2 + self._about(wait), -2)
+            self.list_retry_delay = min(ASK_MOST, self.list_retry_delay * 2)
 
     # ---- timers ----
 
     def _about(self, span: int) -> int:
         # From half to one and a half times so long, another each time: against instances, and clients of one,
         # that wait equally long and meet again. Not from `random`, as what is chosen must not hang on it.
-        self.drawn += 1
-        return span // 2 + mix(self.apart + self.drawn) * span // MASK
+        self.jitter_draws += 1
+        return span // 2 + mix(self.jitter_seed + self.jitter_draws) * span // MASK
 
     def _set_timer(self) -> None:
-        at = self.wakes.next(self.txs)
+        at = self.timers.next_time(self.txs)
         if at is not None and (not self.timer_at or at < self.timer_at):
             self.timer_at = max(at, self.now + 1)
             self.actions.append(m.SetTimer(self.timer_at))
@@ -211,7 +223,7 @@
     def _timer_fired(self, _: m.TimerFired) -> None:
         if self.now >= self.timer_at:
             self.timer_at = 0
-        while (what := self.wakes.due(self.now)) is not None:
+        while (what := self.timers.pop_due(self.now)) is not None:
             if what == -1:
                 self._tick()
             elif what == -2:
@@ -220,37 +232,42 @@
                 self._drain_origin()
             elif (tx := self.txs.get(what)) is not None and not tx.ended:
                 # With nothing out it would wait most of its time and be turned away then.
-                if not tx.out or (tx.whole and self.now >= tx.give_up):
+                if not tx.hops_in_flight or (tx.fully_received and self.now >= tx.deadline):
                     self._finish(tx)
-                elif tx.whole:
+                elif tx.fully_received:
                     self._hop_late(tx)
 
     def _tick(self) -> None:
-        passed = self.now - self.tick_at
-        self.tick_at = self.now
+        passed = self.now - self.last_tick_at
+        self.last_tick_at = self.now
         warm = sum(h.weight for h in self.ready if self._warmth(h) >= 1.0)
         # Measured on warm hosts alone: a mostly cold fleet must neither raise it nor keep it at nothing.
         step = min(0.5, 0.1 * passed / TICK)
         if warm > 0:
-            rate = self.warm_sent * SECOND / passed / warm
-            self.unit_rate += (rate - self.unit_rate) * (step if self.unit_rate else 1.0)
-        self.rate += (self.arrived * SECOND / passed - self.rate) * (step if self.rate else 1.0)
-        self.warm_sent = self.arrived = 0
+            rate = self.warm_hops_sent * SECOND / passed / warm
+            self.rate_per_weight += (rate - self.rate_per_weight) * (step if self.rate_per_weight else 1.0)
+        self.arrival_rate += (self.arrivals * SECOND / passed - self.arrival_rate) * (
+            step if self.arrival_rate else 1.0
+        )
+        self.warm_hops_sent = self.arrivals = 0
         # What a list that has fallen silent told last holds no longer than a host is remembered.
-        for host in self.ready if self.now - self.learned_at > FORGET else ():
-            host.room = min(1.0, host.room + ROOM_UP * passed / SECOND)
-        step = -NEAR_DOWN if self.strained else NEAR_UP
-        self.near_part, self.strained = max(0.0, min(1.0, self.near_part + step * passed / TICK)), False
-        if self.start.gone_is_advisory and any(h.unlisted for h in self.hosts.values()):
+        for host in self.ready if self.now - self.capacities_learned_at > FORGET else ():
+            host.range_fraction = min(1.0, host.range_fraction + ROOM_UP * passed / SECOND)
+        step = -NEAR_DOWN if self.capacity_short else NEAR_UP
+        self.own_zone_fraction, self.capacity_short = (
+            max(0.0, min(1.0, self.own_zone_fraction + step * passed / TICK)),
+            False,
+        )
+        if self.config.gone_is_advisory and any(h.unlisted_since for h in self.hosts.values()):
             self._settle()
         # Often enough for some ten transactions: more often costs CPU.
-        self.wakes.add(self.now + max(TICK, min(TICK_MOST, int(10 * SECOND / max(1.0, self.rate)))), -1)
+        self.timers.add(self.now + max(TICK, min(TICK_MOST, int(10 * SECOND / max(1.0, self.arrival_rate)))), -1)
 
     # ---- the table of ranges ----
 
     def _range_of(self, key: int) -> Range:
         number = key * RANGES >> 64
-        found = self.singles.get(key) or self.ranges.get(number)
+        found = self.hot_keys.get(key) or self.ranges.get(number)
         if found is None:
             drawn = mix(number + 1)
             found = self.ranges[number] = Range(drawn % GROUPS, drawn)
@@ -258,32 +275,32 @@
 
     def _count(self, key: int) -> Range:
         rng = self._range_of(key)
-        rng.count += 1
-        self.loads.change(rng.group, 1)
+        rng.accesses += 1
+        self.group_loads.add(rng.group, 1)
         self.key_counts[key] = self.key_counts.get(key, 0) + 1
-        self.changed[key] = None
+        self.changed_keys[key] = None
         self.window.append(key)
         if len(self.window) > WINDOW:
             self._forget(self.window.popleft())
-        self.counted += 1
-        if self.counted % REPLACE_EVERY == 0:
+        self.access_count += 1
+        if self.access_count % REPLACE_EVERY == 0:
             self._replace()
         return rng
 
     def _forget(self, key: int) -> None:
         rng = self._range_of(key)
-        rng.count -= 1
-        self.loads.change(rng.group, -1)
+        rng.accesses -= 1
+        self.group_loads.add(rng.group, -1)
         self.key_counts[key] -= 1
         if not self.key_counts[key]:
             del self.key_counts[key]
 
     def _replace(self) -> None:
         self._split_hot()
-        seen = {id(rng): rng for rng in map(self._range_of, self.changed)}
-        self.changed = {}
+        seen = {id(rng): rng for rng in map(self._range_of, self.changed_keys)}
+        self.changed_keys = {}
         # Copies that nothing has asked for over the window are not counted on, and not kept in mind.
-        self.held = {k: hosts for k, hosts in self.held.items() if k in self.key_counts}
+        self.known_copies = {k: hosts for k, hosts in self.known_copies.items() if k in self.key_counts}
         for rng in seen.values():
             self._place(rng)
 
@@ -291,56 +308,56 @@
         counts = self.key_counts
         ranked = sorted(((n, k) for k, n in counts.items() if n >= HOT_LEAST), reverse=True)
         hot = {k for _, k in ranked[: int(len(counts) * HOT_SHARE) + 1]}
-        for key in [k for k in self.singles if k not in hot]:
-            self._shift(key, self.singles.pop(key), self._range_of(key))
-        for key in [k for _, k in ranked if k in hot and k not in self.singles]:
+        for key in [k for k in self.hot_keys if k not in hot]:
+            self._shift(key, self.hot_keys.pop(key), self._range_of(key))
+        for key in [k for _, k in ranked if k in hot and k not in self.hot_keys]:
             parent = self._range_of(key)
-            self.singles[key] = Range(parent.group, key)
-            self._shift(key, parent, self.singles[key])
+            self.hot_keys[key] = Range(parent.group, key)
+            self._shift(key, parent, self.hot_keys[key])
 
     def _shift(self, key: int, old: Range, new: Range) -> None:
         count = self.key_counts.get(key, 0)
-        old.count, new.count = old.count - count, new.count + count
-        self.loads.change(old.group, -count)
-        self.loads.change(new.group, count)
+        old.accesses, new.accesses = old.accesses - count, new.accesses + count
+        self.group_loads.add(old.group, -count)
+        self.group_loads.add(new.group, count)
 
     def _gain(self, affinity: int, load: int) -> float:
         return BETA * affinity - (1 - BETA) * GAMMA * float(load ** (GAMMA - 1))
 
     def _place(self, rng: Range) -> None:
-        self.loads.change(rng.group, -rng.count)
-        if self._gain(0, self.loads.least) > self._gain(rng.count, self.loads[rng.group]):
-            rng.group = self.loads.lightest(rng.hash)
-        self.loads.change(rng.group, rng.count)
+        self.group_loads.add(rng.group, -rng.accesses)
+        if self._gain(0, self.group_loads.min_load) > self._gain(rng.accesses, self.group_loads[rng.group]):
+            rng.group = self.group_loads.lightest_group(rng.hash)
+        self.group_loads.add(rng.group, rng.accesses)
 
     # ---- from group to cache host ----
 
     def _order(self, group: int, near: bool = False) -> Iterator[CacheHost]:
-        order = self.orders.get((group, near))
+        order = self.host_orders.get((group, near))
         if order is None and near:
             self._order(group)
-            own = (i for i in self.orders[group, False] if self.ranked[i].zone == self.start.zone)
-            order = self.orders[group, near] = array("I", own)
+            own = (i for i in self.host_orders[group, False] if self.ordered_hosts[i].zone == self.config.zone)
+            order = self.host_orders[group, near] = array("I", own)
         elif order is None:
             # One product for each host and no call: with few transactions a second nearly each pays for one.
             salt = mix(group + 1) | 1
-            drawn: list[float] = [h.hash * salt & MASK for h in self.ranked]
-            if not self.even:
-                each = zip(self.ranked, drawn, strict=True)
+            drawn: list[float] = [h.hash * salt & MASK for h in self.ordered_hosts]
+            if not self.equal_weights:
+                each = zip(self.ordered_hosts, drawn, strict=True)
                 drawn = [h.weight / -log((d + 1) / (MASK + 2)) for h, d in each]
             ranked = sorted(range(len(drawn)), key=drawn.__getitem__, reverse=True)
-            order = self.orders[group, near] = array("I", ranked)
-        return map(self.ranked.__getitem__, order)
+            order = self.host_orders[group, near] = array("I", ranked)
+        return map(self.ordered_hosts.__getitem__, order)
 
     def _warmth(self, host: CacheHost) -> float:
-        age = self.now - host.since
-        if not host.since or age >= self.start.warm_up_time:
+        age = self.now - host.started_at
+        if not host.started_at or age >= self.config.warm_up_time:
             return 1.0
-        return self.start.cold_share + (1 - self.start.cold_share) * max(0, age) / self.start.warm_up_time
+        return self.config.cold_share + (1 - self.config.cold_share) * max(0, age) / self.config.warm_up_time
 
     def _usable(self, host: CacheHost) -> bool:
-        up = host.standing is m.HostStatus.READY and host.out_until <= self.now
-        return up and not (host.trial and host.inflight)
+        up = host.status is m.HostStatus.READY and host.ejected_until <= self.now
+        return up and not (host.on_probation and host.in_flight)
 
     def _servers(self, group: int, most: int, skip: list[Hop], near: bool = False) -> list[CacheHost]:
         found: list[CacheHost] = []
@@ -352,7 +369,7 @@
             # that they go and come back one by one, and all balancers have the rest at the next host.
             # A key with several places, and all that its budget has no room for, goes to who stood in for it.
             warmth = self._warmth(host)
-            part = min(warmth, host.room)
+            part = min(warmth, host.range_fraction)
             drawn = part >= 1.0 or mix(host.hash + mix(group + 7)) <= part * MASK
             if drawn and (warmth >= 1.0 or (most == 1 and self._cold_room(host))):
                 found.append(host)
@@ -361,87 +378,87 @@
         return found
 
     def _crowded(self, host: CacheHost) -> bool:
-        part = self.inflight * host.weight / self.weights
-        if self.near_counts and host.zone == self.start.zone:
-            part = max(part, self.near_part * self.inflight * host.weight / self.near_weights)
-        if host.inflight > OVER_MULTIPLE * part + OVER_FLOOR:
+        part = self.in_flight * host.weight / self.total_weight
+        if self.prefer_own_zone and host.zone == self.config.zone:
+            part = max(part, self.own_zone_fraction * self.in_flight * host.weight / self.own_zone_weight)
+        if host.in_flight > OVER_MULTIPLE * part + OVER_FLOOR:
             return True
         # Of many balancers each has next to nothing in flight, so a crowd shows in the times alone.
         rare = self._spacing() > FADE
-        return rare and host.seen > 0 and self._predicted(host) > OVER_MULTIPLE * self.usual
+        return rare and host.measured_at > 0 and self._predicted(host) > OVER_MULTIPLE * self.mean_duration
 
     def _choose(self, tx: Tx) -> CacheHost | None:
         rng = tx.range
         if rng is None:
             pool = [h for h in self.ready if self._usable(h) and not any(hop.host is h for hop in tx.hops)]
             draw = self.random.choice
-            return min(draw(pool), draw(pool), key=lambda h: h.inflight) if pool else None
+            return min(draw(pool), draw(pool), key=lambda h: h.in_flight) if pool else None
         # Against a hot key that always spills to one and the same place: it has a prefix of its ranking.
-        share = (rng.count - 1) / max(SAMPLE, len(self.window))
+        share = (rng.accesses - 1) / max(SAMPLE, len(self.window))
         places = 1 << int(share * len(self.ready) * SPREAD).bit_length()
-        if self.near_counts and rng.hash <= self.near_part * MASK:
+        if self.prefer_own_zone and rng.hash <= self.own_zone_fraction * MASK:
             for host in self._servers(rng.group, places, tx.hops, near=True):
                 if not self._crowded(host) and self._in_time(tx, host):
                     return host
-            self.strained = True
+            self.capacity_short = True
         near = self._servers(rng.group, places, tx.hops)
         # Of many balancers none sees a crowd, so each begins at its own; half keep it when places double.
-        first = (self.start.balancer_index + rng.group) % len(near) if near else 0
+        first = (self.config.balancer_index + rng.group) % len(near) if near else 0
         near = near[first:] + near[:first]
-        if tx.write and near and self._expected(near[0]) > WRITE_SOON * (tx.goal - self.now):
+        if tx.is_write and near and self._expected(near[0]) > WRITE_SOON * (tx.goal_at - self.now):
             # A write may go to any cache host, and many may run but once: not where it would come back late.
             near = sorted(self._servers(rng.group, len(self.ready), tx.hops), key=self._expected)[:1]
         for host in near:
             if not self._crowded(host):
                 return host if self._in_time(tx, host) else None
         for i in range(PLACES):
-            for host in self._servers(self.loads.lightest(rng.hash + i), 1, tx.hops):
+            for host in self._servers(self.group_loads.lightest_group(rng.hash + i), 1, tx.hops):
                 if not self._crowded(host) and self._in_time(tx, host):
                     return host
         return next((h for h in near if self._in_time(tx, h)), None)
 
     def _in_time(self, tx: Tx, host: CacheHost) -> bool:
         # With nothing of ours there the estimate is an old guess, and one more transaction is cheap.
-        most = (tx.goal - self.now) * (IN_TIME if host.inflight or tx.over else IN_TIME_IDLE)
-        return self._expected(host) <= most * (OVER_PART if tx.over else 1.0)
+        most = (tx.goal_at - self.now) * (IN_TIME if host.in_flight or tx.over_share else IN_TIME_IDLE)
+        return self._expected(host) <= most * (OVER_PART if tx.over_share else 1.0)
 
     def _expected(self, host: CacheHost) -> float:
-        return self._predicted(host) * (1 + host.inflight) / (1 + host.crowd)
+        return self._predicted(host) * (1 + host.in_flight) / (1 + host.mean_in_flight)
 
     def _predicted(self, host: CacheHost) -> float:
         # Against an estimate that keeps everything away and so never mends: a host's fades with its age to
         # what hosts usually take, and that to nothing. Where hops to a host are rare, it lasts longer.
-        usual = self.usual * min(1.0, FADE / max(1, self.now - self.usual_at))
+        usual = self.mean_duration * min(1.0, FADE / max(1, self.now - self.mean_duration_at))
         lasts = max(FADE, self._spacing())
-        return usual + (host.took - usual) * min(1.0, lasts / max(1, self.now - host.seen))
+        return usual + (host.mean_duration - usual) * min(1.0, lasts / max(1, self.now - host.measured_at))
 
     def _spacing(self) -> int:
         """The usual time between two of our hops to one host."""
-        return int(len(self.ready) * SECOND / max(0.1, self.rate)) if self.rate else 0
+        return int(len(self.ready) * SECOND / max(0.1, self.arrival_rate)) if self.arrival_rate else 0
 
     # ---- a transaction ----
 
     def _arrived(self, e: m.TxArrived) -> None:
-        profile = self.start.profiles[e.profile]
-        tx = self.txs[e.tx] = Tx(e.tx, profile, e.is_write, whole=e.fully_received, since=self.now)
-        end = self.now + e.ttl - self.margin
-        tx.goal = self.now + profile.service_goal - self._spent(e, profile) - self.margin
+        profile = self.config.profiles[e.profile]
+        tx = self.txs[e.tx] = Tx(e.tx, profile, e.is_write, fully_received=e.fully_received, arrived_at=self.now)
+        end = self.now + e.ttl - self.time_margin
+        tx.goal_at = self.now + profile.service_goal - self._spent(e, profile) - self.time_margin
         if profile.overdue_revenue > 0:
-            tx.goal = max(tx.goal, min(end, self.now + profile.service_goal // 2))
-            tx.give_up = end
+            tx.goal_at = max(tx.goal_at, min(end, self.now + profile.service_goal // 2))
+            tx.deadline = end
         else:
-            tx.give_up = min(tx.goal, end)
-        self.arrived += 1
-        self.extra = min(EXTRA_MOST, self.extra + EXTRA_RATE)
+            tx.deadline = min(tx.goal_at, end)
+        self.arrivals += 1
+        self.extra_hop_tokens = min(EXTRA_MOST, self.extra_hop_tokens + EXTRA_RATE)
         if e.key is not None:
             tx.key = text_hash(e.key)
             tx.range = self._count(tx.key)
-        if 0 <= e.share < len(self.shares):
+        if 0 <= e.share < len(self.share_rates):
             # What fails anywhere takes no other's place: it comes as beyond the share, and out of none of it.
-            tx.over, tx.share = self._bad(tx) or self._over_share(e.share), e.share
-        if tx.give_up <= self.now:
+            tx.over_share, tx.share = self._bad(tx) or self._over_share(e.share), e.share
+        if tx.deadline <= self.now:
             return self._finish(tx)
-        self.wakes.add(tx.give_up, tx.id)
+        self.timers.add(tx.deadline, tx.id)
         self._route(tx)
 
     def _gone(self, e: m.ClientGone) -> None:
@@ -453,13 +470,13 @@
         # Against a slow writer, or a large value, that makes its cache host look slow and holds a place at
         # the origin: what is still coming is chosen for, and nothing else of it counts before its last byte.
         tx = self.txs.get(e.tx)
-        if tx is None or tx.ended or tx.whole:
+        if tx is None or tx.ended or tx.fully_received:
             return
-        tx.whole, waited = True, self.now - tx.since
-        tx.goal, tx.give_up = tx.goal + waited, tx.give_up + waited
-        self.wakes.add(tx.give_up, tx.id)
+        tx.fully_received, waited = True, self.now - tx.arrived_at
+        tx.goal_at, tx.deadline = tx.goal_at + waited, tx.deadline + waited
+        self.timers.add(tx.deadline, tx.id)
         for hop in tx.hops:
-            if hop.out:
+            if hop.in_flight:
                 self._begin(tx, hop)
 
     def _spent(self, e: m.TxArrived, profile: m.Profile) -> int:
@@ -471,152 +488,155 @@
         return profile.hard_limit - e.ttl if e.ttl < usual - MS else 0
 
     def _over_share(self, share: int) -> bool:
-        rate = self.shares[share]
+        rate = self.share_rates[share]
         depth = max(SHARE_LEAST, SHARE_SPAN * rate)  # never under one whole transaction
-        left = min(depth, self.share_left[share] + rate * (self.now - self.share_at[share]) / SECOND)
-        self.share_at[share], self.share_left[share] = self.now, left if left < 1.0 else left - 1.0
+        left = min(depth, self.share_tokens[share] + rate * (self.now - self.share_refilled_at[share]) / SECOND)
+        self.share_refilled_at[share], self.share_tokens[share] = self.now, left if left < 1.0 else left - 1.0
         return left < 1.0
 
     def _route(self, tx: Tx) -> None:
-        if self.start.cache_aside and tx.write:
+        if self.config.cache_aside and tx.is_write:
             return self._ask_origin(tx)
         host = self._choose(tx)
         if host is not None and self._expects_fetch(tx, host):
-            tx.missed = host
+            tx.miss_host = host
             return self._ask_origin(tx)
         # What no cache host can answer in time the origin may, while it has room for more than the misses.
         if host is None and self._origin_spare(tx):
             return self._ask_origin(tx)
-        resting = tx.write and self.now < self.rest_until
+        resting = tx.is_write and self.now < self.origin_paused_until
         if host is None or resting or not self._send(tx, host):
             self._finish(tx)
 
     def _expects_fetch(self, tx: Tx, host: CacheHost) -> bool:
         # Where cache hosts fetch by themselves, a key not known to lie there passes the origin's gate first,
         # but not while most such are found: of many balancers each sees few of the copies that all brought.
-        return self.hit_part < HIT_ENOUGH and self._unknown(tx, host)
+        return self.unseen_hit_ratio < HIT_ENOUGH and self._unknown(tx, host)
 
     def _unknown(self, tx: Tx, host: CacheHost) -> bool:
-        known = self.start.cache_aside or tx.write or tx.range is None
-        return not known and host.index not in self.held.get(tx.key, ())
+        known = self.config.cache_aside or tx.is_write or tx.range is None
+        return not known and host.index not in self.known_copies.get(tx.key, ())
 
     def _overtaken(self, hop: Hop) -> bool:
         """Later ones came back, and it is out for a multiple of what they usually take: it is lost."""
-        if hop.fetches:
-            return self.fetch_newest > hop.sent and self.now - hop.sent > LOST * self.origin_took
-        return hop.host.newest > hop.sent and self.now - hop.sent > LOST * self._predicted(hop.host)
+        if hop.expects_fetch:
+            return self.newest_answered_fetch > hop.sent_at and self.now - hop.sent_at > LOST * self.mean_fetch_duration
+        return hop.host.newest_answered > hop.sent_at and self.now - hop.sent_at > LOST * self._predicted(hop.host)
 
     def _hop_late(self, tx: Tx) -> None:
         for hop in tx.hops:
-            if hop.out and not hop.judged and not hop.host.is_origin:
-                hop.judged = True
+            if hop.in_flight and not hop.late and not hop.host.is_origin:
+                hop.late = True
                 # A hop sent into a crowd is late by our doing; one that had room, or silence, tells of it.
-                if hop.crowd <= OVER_FLOOR or hop.host.heard < hop.sent:
+                if hop.host_in_flight <= OVER_FLOOR or hop.host.answered_at < hop.sent_at:
                     self._failed_once(hop)
         # A late hop alone is mostly a queue or a fetch, which a copy makes longer; not so if its host is out,
         # or if its answer is lost: then the copy goes where the key now lies. Where cache hosts do not fetch,
         # a read goes to the origin while half of its places are free: another host would answer 'miss'.
         last, host = tx.hops[-1], None
-        out, lost = last.host.out_until > self.now, self._overtaken(last)
-        full = last.fetches and not self._origin_room()
-        if not self.start.parallel_hops or tx.out > 1 or self.extra < 1 or full:
+        out, lost = last.host.ejected_until > self.now, self._overtaken(last)
+        full = last.expects_fetch and not self._origin_room()
+        if not self.config.parallel_hops or tx.hops_in_flight > 1 or self.extra_hop_tokens < 1 or full:
             return
         if self._origin_spare(tx) and not last.host.is_origin:
             host = self.origin
         elif out or lost:
             host = last.host if lost and self._usable(last.host) else self._choose(tx)
         if host is not None and self._send(tx, host):
-            self.extra -= 1
+            self.extra_hop_tokens -= 1
 
     def _hop_ended(self, e: m.HopEnded) -> None:
         tx = self.txs.get(e.tx)
-        if tx is None or e.hop >= len(tx.hops) or not tx.hops[e.hop].out:
+        if tx is None or e.hop >= len(tx.hops) or not tx.hops[e.hop].in_flight:
             return
         hop = tx.hops[e.hop]
-        hop.out, hop.may_have_run = False, e.outcome > m.HopOutcome.MISS
-        tx.out -= 1
-        if hop.begun:
-            hop.host.inflight -= 1
-            self.inflight -= not hop.host.is_origin
+        hop.in_flight, hop.may_have_run = False, e.outcome > m.HopOutcome.MISS
+        tx.hops_in_flight -= 1
+        if hop.started:
+            hop.host.in_flight -= 1
+            self.in_flight -= not hop.host.is_origin
         self._judge(tx, hop, e)
         if e.report is not None and e.report.service_time > 0:
-            hop.host.service = e.report.service_time
+            hop.host.service_time = e.report.service_time
         if e.tx_ended and not tx.ended:
             self._close(tx)
         elif not tx.ended:
             self._go_on(tx, hop, e.outcome)
-        elif not tx.out:
+        elif not tx.hops_in_flight:
             self.txs.pop(tx.id, None)
-        if hop.fetches:
-            self.fetch_out -= 1
+        if hop.expects_fetch:
+            self.fetches_in_flight -= 1
             self._drain_origin()
 
     def _go_on(self, tx: Tx, hop: Hop, end: m.HopOutcome) -> None:
-        if tx.out:
+        if tx.hops_in_flight:
             return
-        if self.now >= tx.give_up or (end is m.HopOutcome.ERROR and self._bad(tx)):
+        if self.now >= tx.deadline or (end is m.HopOutcome.ERROR and self._bad(tx)):
             self._finish(tx)
         elif end is m.HopOutcome.MISS and not hop.host.is_origin:
-            tx.missed = tx.missed or hop.host
+            tx.miss_host = tx.miss_host or hop.host
             self._ask_origin(tx)
-        elif hop.host.is_origin or self.extra < (cost := self._cost(hop, end)):
+        elif hop.host.is_origin or self.extra_hop_tokens < (cost := self._cost(hop, end)):
             self._finish(tx)
         else:
-            self.extra -= cost
+            self.extra_hop_tokens -= cost
             self._route(tx)
 
     def _cost(self, hop: Hop, end: m.HopOutcome) -> int:
         # Turned away, or broken off at once: that cost no work and hardly any time; other further hops count.
-        quick = self.now - hop.sent < QUICK * self.usual and end in (m.HopOutcome.UNREACHABLE, m.HopOutcome.RESET)
+        quick = self.now - hop.sent_at < QUICK * self.mean_duration and end in (
+            m.HopOutcome.UNREACHABLE,
+            m.HopOutcome.RESET,
+        )
         return 0 if quick or end is m.HopOutcome.FULL else 1
 
     # ---- the origin ----
 
     def _ask_origin(self, tx: Tx) -> None:
-        if self.now < self.rest_until:
+        if self.now < self.origin_paused_until:
             self._finish(tx)
         elif self._origin_room() and not self.origin_queue:
             self._send_fetch(tx)
         else:
             # A slow origin shows in a fetch that stays out long before it ends.
-            took = max(self.origin_took, self.now - self.fetch_at if self.fetch_out else 0)
+            took = max(self.mean_fetch_duration, self.now - self.last_fetch_at if self.fetches_in_flight else 0)
             wait = (len(self.origin_queue) / self.origin_limit + 1) * took
-            self.strained = True
-            if self.now + wait > tx.goal or (tx.over and not tx.write):
+            self.capacity_short = True
+            if self.now + wait > tx.goal_at or (tx.over_share and not tx.is_write):
                 self._finish(tx)
             else:
-                (self.origin_queue.appendleft if tx.write else self.origin_queue.append)(tx)
-                self.wakes.add((self.now + tx.goal) // 2, tx.id)
+                (self.origin_queue.appendleft if tx.is_write else self.origin_queue.append)(tx)
+                self.timers.add((self.now + tx.goal_at) // 2, tx.id)
                 self._drain_origin()
 
     def _send_fetch(self, tx: Tx) -> None:
-        host = self.origin if self.start.cache_aside else tx.missed
+        host = self.origin if self.config.cache_aside else tx.miss_host
         # What can't come in time is not fetched, but for one at a time, to find out if the origin is back.
-        late = self.now + self.origin_took > tx.goal and self.fetch_out > 0
+        late = self.now + self.mean_fetch_duration > tx.goal_at and self.fetches_in_flight > 0
         if host is None or late or not self._send(tx, host):
             self._finish(tx)
 
     def _origin_room(self) -> bool:
         # Under one place, as where many balancers share a small origin, a place has a pause after each fetch.
         if self.origin_limit < 1.0:
-            return not self.fetch_out and self.now >= self._fetch_next()
-        return self.fetch_out < self.origin_limit
+            return not self.fetches_in_flight and self.now >= self._fetch_next()
+        return self.fetches_in_flight < self.origin_limit
 
     def _origin_spare(self, tx: Tx) -> bool:
         # Half of the places are for misses.
-        free = not self.origin_queue and self.fetch_out < self.origin_limit / 2
-        return self.start.cache_aside and not (tx.write or tx.over) and free
+        free = not self.origin_queue and self.fetches_in_flight < self.origin_limit / 2
+        return self.config.cache_aside and not (tx.is_write or tx.over_share) and free
 
     def _fetch_next(self) -> int:
-        return self.fetch_at + int(self.origin_took / self.origin_limit)
+        return self.last_fetch_at + int(self.mean_fetch_duration / self.origin_limit)
 
     def _drain_origin(self) -> None:
         while self.origin_queue and self._origin_room():
             tx = self.origin_queue.popleft()
             if not tx.ended:
                 self._send_fetch(tx)
-        if self.origin_queue and not self.fetch_out:
-            self.wakes.add(max(self.now + MS, self._fetch_next()), -3)
+        if self.origin_queue and not self.fetches_in_flight:
+            self.timers.add(max(self.now + MS, self._fetch_next()), -3)
 
     def _judge_origin(self, hop: Hop, e: m.HopEnded) -> None:
         if e.outcome is m.HopOutcome.SKIPPED or (
@@ -625,68 +645,68 @@
             return
         # One long answer is a heavy transaction, not a tired origin: only the mean cuts the limit.
         # Few fetches of ours tell of a change late, so each counts by the time since the one before it.
-        step = min(0.5, max(0.1, (self.now - self.fetch_judged) / SECOND)) if self.fetch_judged else 1.0
-        self.fetch_judged = self.now
-        self.origin_took += (e.duration - self.origin_took) * step
-        self.fetch_fails = 0 if e.outcome is m.HopOutcome.DONE else self.fetch_fails + 1
-        if not self.fetch_fails:
-            self.rest = 0
-        elif self.fetch_fails >= ORIGIN_FAILS:
+        step = min(0.5, max(0.1, (self.now - self.fetch_measured_at) / SECOND)) if self.fetch_measured_at else 1.0
+        self.fetch_measured_at = self.now
+        self.mean_fetch_duration += (e.duration - self.mean_fetch_duration) * step
+        self.fetch_failures = 0 if e.outcome is m.HopOutcome.DONE else self.fetch_failures + 1
+        if not self.fetch_failures:
+            self.origin_pause = 0
+        elif self.fetch_failures >= ORIGIN_FAILS:
             # An origin that turns fetches away answers fast, so a limit on those in flight does not spare it.
-            self.rest = min(REST_MOST, max(REST_FIRST, self.rest * 2))
-            self.rest_until = self.now + self.rest
+            self.origin_pause = min(REST_MOST, max(REST_FIRST, self.origin_pause * 2))
+            self.origin_paused_until = self.now + self.origin_pause
         if (
             e.outcome in (m.HopOutcome.DONE, m.HopOutcome.TIMED_OUT, m.HopOutcome.CANCELLED)
-            and self.origin_took < self.origin_late
+            and self.mean_fetch_duration < self.slow_fetch_duration
         ):
-            if self.fetch_out > self.origin_limit / 2:
+            if self.fetches_in_flight > self.origin_limit / 2:
                 self.origin_limit += min(self.origin_limit, 1 / self.origin_limit)
-        elif hop.sent >= self.origin_cut:
-            self.origin_limit, self.origin_cut = max(self.origin_least, self.origin_limit * 0.8), self.now
+        elif hop.sent_at >= self.origin_limit_cut_at:
+            self.origin_limit, self.origin_limit_cut_at = max(self.min_origin_limit, self.origin_limit * 0.8), self.now
 
     # ---- health ----
 
     def _judge(self, tx: Tx, hop: Hop, e: m.HopEnded) -> None:
         host = hop.host
-        through = not self.start.cache_aside
+        through = not self.config.cache_aside
         # An answer lost on its way to us tells of its cache host, not of the origin behind it.
         overtaken = e.outcome is m.HopOutcome.TIMED_OUT and self._overtaken(hop)
         lost = e.outcome is m.HopOutcome.UNREACHABLE or (through and (e.outcome is m.HopOutcome.RESET or overtaken))
         erred = e.outcome is m.HopOutcome.ERROR and not host.is_origin
         anywhere = erred and self._fails_anywhere(tx, hop)
-        if not anywhere and ((hop.fetches and not lost) or (through and (e.cache_result > 1 or erred))):
+        if not anywhere and ((hop.expects_fetch and not lost) or (through and (e.cache_result > 1 or erred))):
             self._judge_origin(hop, e)
         if through:
             if e.cache_result:
-                self.hits += ((e.cache_result == 1) - self.hits) * HIT_STEP
+                self.hit_ratio += ((e.cache_result == 1) - self.hit_ratio) * HIT_STEP
             if e.cache_result and self._unknown(tx, host):
-                self.hit_part += ((e.cache_result == 1) - self.hit_part) * HIT_STEP
+                self.unseen_hit_ratio += ((e.cache_result == 1) - self.unseen_hit_ratio) * HIT_STEP
             self._remember(tx, host, e.outcome)
         if host.is_origin:
             return
         late = e.outcome is m.HopOutcome.TIMED_OUT and not overtaken
-        if (late or e.outcome is m.HopOutcome.DONE) and not hop.fetches and (e.cache_result < 2 or not through):
+        if (late or e.outcome is m.HopOutcome.DONE) and not hop.expects_fetch and (e.cache_result < 2 or not through):
             self._estimate(hop, e.duration)
         if e.outcome not in (m.HopOutcome.SKIPPED, m.HopOutcome.CANCELLED):
-            self.failing += ((hop.judged or e.outcome in FAILURES) - self.failing) * FAILING_STEP
+            self.failure_ratio += ((hop.late or e.outcome in FAILURES) - self.failure_ratio) * FAILING_STEP
         if e.outcome is m.HopOutcome.DONE:
-            host.heard, host.newest = self.now, max(host.newest, hop.sent)
-            self.fetch_newest = max(self.fetch_newest, hop.sent * hop.fetches)
-            host.out_for = host.out_for if hop.judged else 0
-            self.bad.pop(tx.key, None)
+            host.answered_at, host.newest_answered = self.now, max(host.newest_answered, hop.sent_at)
+            self.newest_answered_fetch = max(self.newest_answered_fetch, hop.sent_at * hop.expects_fetch)
+            host.ejection_time = host.ejection_time if hop.late else 0
+            self.failing_keys.pop(tx.key, None)
             for other in tx.hops:
-                if other.erred:  # it was not the tx: another cache host has answered it
-                    other.erred = False
+                if other.unattributed_error:  # it was not the tx: another cache host has answered it
+                    other.unattributed_error = False
                     self._failed_once(other, self._spacing() > FADE)
-        if e.outcome is m.HopOutcome.MISS or (e.outcome is m.HopOutcome.DONE and not hop.judged):
-            host.fails, host.trial = 0, False
+        if e.outcome is m.HopOutcome.MISS or (e.outcome is m.HopOutcome.DONE and not hop.late):
+            host.failures, host.on_probation = 0, False
         elif erred:
-            hop.erred = not anywhere
-        elif e.outcome in FAILURES and not hop.judged:
+            hop.unattributed_error = not anywhere
+        elif e.outcome in FAILURES and not hop.late:
             self._failed_once(hop, self._spacing() > FADE)
 
     def _bad(self, tx: Tx) -> bool:
-        return self.bad.get(tx.key, 0) > self.now
+        return self.failing_keys.get(tx.key, 0) > self.now
 
     def _fails_anywhere(self, tx: Tx, hop: Hop) -> bool:
         # Against a cache host, or the origin, blamed for what would have failed anywhere: an error counts
@@ -695,82 +715,84 @@
         # host that answers errors alone is out a hop later; one key of an origin that is down counts once.
         if not tx.range:
             return False
-        others = [h for h in tx.hops if h.erred and h.host is not hop.host]
+        others = [h for h in tx.hops if h.unattributed_error and h.host is not hop.host]
         if others or self._bad(tx):
             for other in others:
-                other.erred = False
-            if len(self.bad) >= BAD_MOST:
-                self.bad = {k: until for k, until in self.bad.items() if until > self.now}
-            if len(self.bad) < BAD_MOST:
-                self.bad[tx.key] = self.now + BAD_FOR
-            if tx.share >= 0 and not tx.over:
-                self.share_left[tx.share] += 1.0
-                tx.over = True
+                other.unattributed_error = False
+            if len(self.failing_keys) >= BAD_MOST:
+                self.failing_keys = {k: until for k, until in self.failing_keys.items() if until > self.now}
+            if len(self.failing_keys) < BAD_MOST:
+                self.failing_keys[tx.key] = self.now + BAD_FOR
+            if tx.share >= 0 and not tx.over_share:
+                self.share_tokens[tx.share] += 1.0
+                tx.over_share = True
             return True
         return False
 
     def _estimate(self, hop: Hop, took: int) -> None:
         # Time-outs count too, or a fleet too crowded to answer would be judged by its quickest answers.
         host = hop.host
-        if not host.seen:
-            host.took = self.usual or float(took)
+        if not host.measured_at:
+            host.mean_duration = self.mean_duration or float(took)
         # Against a crowd seen in ten answers by chance: where hops are many, as many more make up a mean.
-        pace = min(1.0, max(PACE_LEAST, 3 * self._spacing() / SECOND)) if self.rate else 1.0
-        step = 0.2 * pace if self.now - host.seen < FADE else 0.5
-        self.usual_at, self.estimates = self.now, self.estimates + 1
-        self.usual += (took - self.usual) * max(0.1 * pace, 1 / self.estimates)
-        host.took, host.seen = host.took + (took - host.took) * step, self.now
-        host.crowd += (hop.crowd - host.crowd) * step
+        pace = min(1.0, max(PACE_LEAST, 3 * self._spacing() / SECOND)) if self.arrival_rate else 1.0
+        step = 0.2 * pace if self.now - host.measured_at < FADE else 0.5
+        self.mean_duration_at, self.duration_samples = self.now, self.duration_samples + 1
+        self.mean_duration += (took - self.mean_duration) * max(0.1 * pace, 1 / self.duration_samples)
+        host.mean_duration, host.measured_at = host.mean_duration + (took - host.mean_duration) * step, self.now
+        host.mean_in_flight += (hop.host_in_flight - host.mean_in_flight) * step
 
     def _remember(self, tx: Tx, host: CacheHost, end: m.HopOutcome) -> None:
-        if tx.write:
-            self.held.pop(tx.key, None)
+        if tx.is_write:
+            self.known_copies.pop(tx.key, None)
         elif end is m.HopOutcome.DONE:
-            self.held.setdefault(tx.key, set()).add(host.index)
+            self.known_copies.setdefault(tx.key, set()).add(host.index)
         elif end in (m.HopOutcome.ERROR, m.HopOutcome.TIMED_OUT):
-            self.held.get(tx.key, set()).discard(host.index)
+            self.known_copies.get(tx.key, set()).discard(host.index)
 
     def _fails_due(self, trial: bool) -> int:
         # Against healthy hosts left out, as where hops are many two in a row fail by chance: as many are due
         # as come together at one host once in CHANCE, at the share of all hops that fail; half on trial.
-        run = log((self._spacing() or CHANCE) / CHANCE) / log(min(0.5, max(FAILING_LEAST, self.failing)))
+        run = log((self._spacing() or CHANCE) / CHANCE) / log(min(0.5, max(FAILING_LEAST, self.failure_ratio)))
         due = max(FAILS, min(FAILS_MOST, int(run) + 1))
         return due // 2 if trial else due
 
     def _failed_once(self, hop: Hop, sure: bool = False) -> None:
         # A fetch that fails tells of its host only while fetches through others succeed.
-        if hop.fetches and self.fetch_fails >= ORIGIN_FAILS:
+        if hop.expects_fetch and self.fetch_failures >= ORIGIN_FAILS:
             return
         host = hop.host
-        host.fails += 1
-        if host.fails < (1 if sure else self._fails_due(host.trial)) or host.out_until > self.now:
+        host.failures += 1
+        if host.failures < (1 if sure else self._fails_due(host.on_probation)) or host.ejected_until > self.now:
             return
-        out = sum(1 for h in self.ready if h.out_until > self.now or h.trial)  # many: not they
-        if not host.trial and out + 1 > OUT_PART * len(self.ready):
+        out = sum(1 for h in self.ready if h.ejected_until > self.now or h.on_probation)  # many: not they
+        if not host.on_probation and out + 1 > OUT_PART * len(self.ready):
             return
         # Out for less than the time between two of our hops there would be no different from in.
-        host.out_for = min(OUT_MOST, max(OUT_FIRST, self._spacing(), host.out_for * 2))
-        host.out_until, host.trial, host.fails = self.now + host.out_for, True, 0
+        host.ejection_time = min(OUT_MOST, max(OUT_FIRST, self._spacing(), host.ejection_time * 2))
+        host.ejected_until, host.on_probation, host.failures = self.now + host.ejection_time, True, 0
 
     # ---- the guard ----
 
     def _cold_room(self, host: CacheHost) -> bool:
-        warmth, sent, span = self._warmth(host), host.cold_sent, self.start.overload_window
+        warmth, sent, span = self._warmth(host), host.cold_hop_times, self.config.overload_window
         if warmth >= 1.0:
             return True
         while sent and sent[0] <= self.now - span:
             sent.popleft()
         # Rule 4: as many as a warm cache host takes of us, times its warmth; the others do so with theirs.
-        each, tip = host.weight * self.unit_rate * span / SECOND, self.start.overload_multiple
-        room = host.part * max(COLD_LEAST / self.start.balancer_count, min(COLD_MARGIN, tip / 2) * warmth * each)
+        each, tip = host.weight * self.rate_per_weight * span / SECOND, self.config.overload_multiple
+        room = host.cold_fraction * max(
+            COLD_LEAST / self.config.balancer_count, min(COLD_MARGIN, tip / 2) * warmth * each
+        )
         if room >= 1.0:
             return len(sent) < room
         # A part under one hop a window is one in several. Not from all that had none for long and want it in
         # one moment, as when others fail: each window of its age, the same for all, is dealt to evenly many,
         # so that a crowd of COLD_CROWD times the usual is borne. Harm: who is not dealt to sends elsewhere.
         dealt = COLD_DEALT * tip * warmth * each / min(1.0, COLD_CROWD * each) if each else room
-        turn = mix(host.hash + (self.now - host.since) // span) + self.start.balancer_index * SPACED & MASK
-        return turn < max(room, host.part * dealt) * MASK and self.now >= host.cold_from + int(span / room)
+        turn = mix(host.hash + (self.now - host.started_at) // span) + self.config.balancer_index * SPACED & MASK
+        return turn < max(room, host.cold_fraction * dealt) * MASK and self.now >= host.last_cold_hop + int(span / room)
 
     def _first_run(self, tx: Tx) -> Hop | None:
         return next((hop for hop in tx.hops if hop.may_have_run), None)
@@ -779,58 +801,58 @@
         first = self._first_run(tx)
         if first is None or tx.profile.semantics is m.Semantics.IDEMPOTENT:
             return True
-        memory, scope = tx.profile.dedup_window - self.margin, tx.profile.dedup_scope
-        if tx.profile.semantics is m.Semantics.NON_IDEMPOTENT or self.now - first.sent >= memory:
+        memory, scope = tx.profile.dedup_window - self.time_margin, tx.profile.dedup_scope
+        if tx.profile.semantics is m.Semantics.NON_IDEMPOTENT or self.now - first.sent_at >= memory:
             return False
         near = host.zone == first.host.zone if scope is m.DedupScope.ZONE else host.cell == first.host.cell
         return scope is m.DedupScope.ALL or near
 
     def _send(self, tx: Tx, host: CacheHost) -> bool:
         """Every hop passes here: rule 1 (nothing after the answer), 2, 3 and 4."""
-        if tx.ended or len(tx.hops) >= self.start.max_hops or self.now >= tx.give_up:
+        if tx.ended or len(tx.hops) >= self.config.max_hops or self.now >= tx.deadline:
             return False
-        if host.standing is not m.HostStatus.READY or (tx.out and not self.start.parallel_hops):
+        if host.status is not m.HostStatus.READY or (tx.hops_in_flight and not self.config.parallel_hops):
             return False
         cold = not host.is_origin and self._warmth(host) < 1.0
         if not self._may_repeat(tx, host) or (cold and not self._cold_room(host)):
             return False
         if cold:
-            host.cold_sent.append(self.now)
-            host.cold_from = self.now
-        self.warm_sent += not cold and not host.is_origin
+            host.cold_hop_times.append(self.now)
+            host.last_cold_hop = self.now
+        self.warm_hops_sent += not cold and not host.is_origin
         # A repeat that waits on its way out, for a connection say, is asked about again before it is begun.
         first = self._first_run(tx) if tx.profile.semantics is m.Semantics.JOURNALLED else None
-        by = first.sent + tx.profile.dedup_window - self.margin if first is not None else 0
-        hop = Hop(host, self.now, host.inflight)
+        by = first.sent_at + tx.profile.dedup_window - self.time_margin if first is not None else 0
+        hop = Hop(host, self.now, host.in_flight)
         tx.hops.append(hop)
-        tx.out += 1
-        if tx.whole:
+        tx.hops_in_flight += 1
+        if tx.fully_received:
             self._begin(tx, hop)
-        self.actions.append(m.SendHop(tx.id, host.index, tx.give_up, by))
+        self.actions.append(m.SendHop(tx.id, host.index, tx.deadline, by))
         return True
 
     def _begin(self, tx: Tx, hop: Hop) -> None:
         host = hop.host
-        hop.begun, hop.sent, hop.crowd = True, self.now, host.inflight
+        hop.started, hop.sent_at, hop.host_in_flight = True, self.now, host.in_flight
         if not host.is_origin:
-            self.inflight += 1
-            if self.start.parallel_hops:
-                self.wakes.add(self.now + int(PATIENCE * tx.profile.service_goal), tx.id)
-        if host.is_origin or (tx.write and not self.start.cache_aside) or self._expects_fetch(tx, host):
-            hop.fetches = True
-            self.fetch_out += 1
-            self.fetch_at = self.now
-        host.inflight += 1
+            self.in_flight += 1
+            if self.config.parallel_hops:
+                self.timers.add(self.now + int(PATIENCE * tx.profile.service_goal), tx.id)
+        if host.is_origin or (tx.is_write and not self.config.cache_aside) or self._expects_fetch(tx, host):
+            hop.expects_fetch = True
+            self.fetches_in_flight += 1
+            self.last_fetch_at = self.now
+        host.in_flight += 1
 
     def _finish(self, tx: Tx) -> None:
         """Every answer that is not a commit passes here: rule 1 (one, in time) and the promise in rule 2."""
         if tx.ended:
             return
         profile, first = tx.profile, self._first_run(tx)
-        wait = min(self._about(int(BACKOFF * profile.service_goal)), self.start.max_backoff)
+        wait = min(self._about(int(BACKOFF * profile.service_goal)), self.config.max_backoff)
         # A repeat of a journalled tx is harmless while it is known, so for no longer is it called so.
         known = profile.semantics is m.Semantics.JOURNALLED and profile.dedup_scope is m.DedupScope.ALL
-        if first is not None and self.now + wait - first.sent >= profile.dedup_window - self.margin:
+        if first is not None and self.now + wait - first.sent_at >= profile.dedup_window - self.time_margin:
             known = False
         if known or first is None or profile.semantics is m.Semantics.IDEMPOTENT:
             self.actions.append(m.RollBack(tx.id, wait))
@@ -840,9 +862,9 @@
 
     def _close(self, tx: Tx) -> None:
         tx.ended = True
-        if self.start.can_cancel:
-            self.actions += [m.CancelHop(tx.id, n) for n, hop in enumerate(tx.hops) if hop.out]
-        if not tx.out:
+        if self.config.can_cancel:
+            self.actions += [m.CancelHop(tx.id, n) for n, hop in enumerate(tx.hops) if hop.in_flight]
+        if not tx.hops_in_flight:
             self.txs.pop(tx.id, None)
 
 
--- a/ternquay/rig/baselines/bounded_load.py
+++ b/ternquay/rig/baselines/bounded_load.py
@@ -14,6 +14,6 @@
 
 class Balancer(Plain):
     def _pick(self, tx: Tx, pool: list[CacheHost]) -> CacheHost:
-        most = ceil((1 + EPSILON) * (self.inflight + 1) / max(1, len(self.ready)))
+        most = ceil((1 + EPSILON) * (self.in_flight + 1) / max(1, len(self.ready)))
         ranked = sorted(pool, key=lambda h: rank(tx.key, h), reverse=True)
-        return next((h for h in ranked if h.inflight < most), ranked[0])
+        return next((h for h in ranked if h.in_flight < most), ranked[0])
--- a/ternquay/rig/baselines/least_inflight.py
+++ b/ternquay/rig/baselines/least_inflight.py
@@ -6,4 +6,4 @@
 
 class Balancer(Plain):
     def _pick(self, tx: Tx, pool: list[CacheHost]) -> CacheHost:
-        return min(pool, key=lambda h: (h.inflight, self.random.random()))
+        return min(pool, key=lambda h: (h.in_flight, self.random.random()))
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -70,7 +70,7 @@
     play.list(*(line(h) for h in range(4)), whole=True)
     assert sent(play) == {0, 1, 3}
     play.list(line(2, since=play.now - SECOND))  # started again: another process than the one that drained
-    assert play.balancer.hosts[2].standing is m.HostStatus.READY
+    assert play.balancer.hosts[2].status is m.HostStatus.READY
 
 
 def test_where_gone_binds_an_up_after_a_draining_counts_at_once() -> None:
@@ -98,7 +98,7 @@
         tx = play.arrive(key=f"x{number}")
         for hop, host in enumerate(play.hops.get(tx, [])):
             play.end(tx, m.HopOutcome.UNREACHABLE if host == 5 else m.HopOutcome.DONE, hop)
-    assert play.balancer.hosts[5].out_until > play.now and sent(play) <= {0, 1, 2, 3, 4}
+    assert play.balancer.hosts[5].ejected_until > play.now and sent(play) <= {0, 1, 2, 3, 4}
 
 
 def test_no_host_is_remembered_for_longer_than_the_bound() -> None:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -37,13 +37,13 @@
         one = Balancer(replace(self.start, balancer_index=number, seed=number + 1))
         one.decide(T0, m.ListChanged(True, (line(WARM), line(COLD, since=T0))))
         # As measured at warm hosts, of which each has the same load.
-        one.rate = one.unit_rate = self.rates[number]
+        one.arrival_rate = one.rate_per_weight = self.rates[number]
         return one
 
     def restart(self, number: int, now: int) -> None:
         one = self.all[number] = Balancer(replace(self.start, balancer_index=number, seed=self.draw.getrandbits(32)))
         one.decide(now, m.ListChanged(True, (line(WARM), line(COLD, since=T0))))
-        one.rate = one.unit_rate = self.rates[number]
+        one.arrival_rate = one.rate_per_weight = self.rates[number]
 
     def wants(self, one: Balancer, now: int) -> None:
         """Sends a hop to the cold host if the decisions have room for it there; it is never answered."""
@@ -71,7 +71,7 @@
 
 
 def _tx(number: int, now: int) -> Tx:
-    return Tx(number, START.profiles[0], False, goal=now + SECOND, give_up=now + SECOND)
+    return Tx(number, START.profiles[0], False, goal_at=now + SECOND, deadline=now + SECOND)
 
 
 def allowed(fleet: Fleet, now: int) -> float:
@@ -114,7 +114,7 @@
         one = Balancer(replace(START, balancer_index=number, balancer_count=100))
         now = SECOND
         one.decide(now, m.ListChanged(True, (line(WARM), line(COLD, since=now))))
-        one.rate = one.unit_rate = 0.3
+        one.arrival_rate = one.rate_per_weight = 0.3
         one.now, one.actions = now, []
         tx = one.txs[1] = _tx(1, now)
         sent += one._send(tx, one.hosts[COLD])
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -36,9 +36,9 @@
     p = Play()
     b = p.balancer
     small, large = b._range_of(1), b._range_of(1 << 63)
-    small.group, small.count, large.group, large.count = 0, 1, 1, 300
-    for group in range(len(b.loads)):
-        b.loads.change(group, 10 if group == 7 else 1000)
+    small.group, small.accesses, large.group, large.accesses = 0, 1, 1, 300
+    for group in range(len(b.group_loads)):
+        b.group_loads.add(group, 10 if group == 7 else 1000)
     b._place(small)
     b._place(large)
     assert (small.group, large.group) == (7, 1)
@@ -49,13 +49,13 @@
     for n in range(600):
         p.end(p.arrive("hot" if n % 2 else f"k{n}"), m.HopOutcome.DONE)
     hot = text_hash("hot")
-    assert list(p.balancer.singles) == [hot]
+    assert list(p.balancer.hot_keys) == [hot]
     for n in range(5000):
         p.end(p.arrive(f"k{n}"), m.HopOutcome.DONE)
-    assert hot not in p.balancer.singles and sum(p.balancer.loads) == len(p.balancer.window)
+    assert hot not in p.balancer.hot_keys and sum(p.balancer.group_loads) == len(p.balancer.window)
     assert all(0 <= number < RANGES for number in p.balancer.ranges)
     # Kept, as a search for it at each of 512 placements held up everything for 20 ms.
-    assert p.balancer.loads.least == min(p.balancer.loads)
+    assert p.balancer.group_loads.min_load == min(p.balancer.group_loads)
 
 
 def test_a_crowded_host_spills_and_the_spill_stays_where_it_went() -> None:
@@ -83,7 +83,7 @@
     settle(p)
     for n in range(40):
         p.end(p.arrive(f"k{n}"), m.HopOutcome.RESET)
-    out = sum(h.out_until > p.now for h in p.balancer.ready)
+    out = sum(h.ejected_until > p.now for h in p.balancer.ready)
     assert out <= 1
 
 
@@ -231,7 +231,7 @@
     p = Play(4)
     p.list(*(line(h, since=p.now - 15_000_000_000) for h in (1, 2, 3)))
     settle(p, rounds=20)
-    assert p.balancer.unit_rate > 10
+    assert p.balancer.rate_per_weight > 10
 
 
 def test_time_outs_feed_the_estimate() -> None:
@@ -251,7 +251,7 @@
     """Against a draining host of which the list is silent for seconds."""
     p = Play(3)
     settle(p)
-    p.balancer.extra = 0.0
+    p.balancer.extra_hop_tokens = 0.0
     for _ in range(3):
         tx = p.arrive("k1")
         if p.hops[tx] == p.hops[tx - 1] or not p.trace[1:]:
@@ -299,7 +299,7 @@
     over = []
     for _ in range(12):
         tx = p.arrive("k1", share=0)
-        over.append(p.balancer.txs[tx].over)
+        over.append(p.balancer.txs[tx].over_share)
         p.end(tx, m.HopOutcome.DONE)
         p.run(4000)
     assert over.count(True) <= 2
@@ -312,7 +312,7 @@
     for n in range(6):
         p.end(p.arrive(f"w{n}", profile=2), m.HopOutcome.RESET)
     p.end(p.arrive("w6", profile=2), m.HopOutcome.DONE)
-    assert p.balancer.origin_limit >= ORIGIN_START / 2 and not p.balancer.rest_until
+    assert p.balancer.origin_limit >= ORIGIN_START / 2 and not p.balancer.origin_paused_until
     p.matches("origin_kept")
 
 
@@ -333,14 +333,14 @@
     p.end(p.tx, m.HopOutcome.DONE)
     for _ in range(3):
         lose("k1")
-    assert not any(h.out_until for h in p.balancer.ready)
+    assert not any(h.ejected_until for h in p.balancer.ready)
     p.end(p.arrive("k1"), m.HopOutcome.DONE)
     p.run(1)
     for tx in [p.arrive(f"k{n}") for n in range(40)]:
         if p.hops[tx] != [home]:
             p.end(tx, m.HopOutcome.DONE)
     p.run(400)
-    assert [h.index for h in p.balancer.ready if h.out_until] == [home]
+    assert [h.index for h in p.balancer.ready if h.ejected_until] == [home]
 
 
 def test_where_hops_are_many_ten_slow_answers_are_no_crowd() -> None:
@@ -350,15 +350,15 @@
         settle(p, pause=pause)
         for n in range(10):
             p.end(p.arrive(f"k{n}"), m.HopOutcome.DONE, took=60)
-    assert many.balancer.usual < 30 * MS < rare.balancer.usual
+    assert many.balancer.mean_duration < 30 * MS < rare.balancer.mean_duration
 
 
 def test_an_answer_that_later_ones_overtook_is_lost_and_asked_for_again_where_the_key_lies() -> None:
     """Against cache hosts that lose one answer in four: the others of theirs come back as fast as ever."""
     p = Play(4)
     settle(p)
-    p.balancer.hit_part = 0.5  # unknown keys are fetched
-    took, limit = p.balancer.usual, p.balancer.origin_limit
+    p.balancer.unseen_hit_ratio = 0.5  # unknown keys are fetched
+    took, limit = p.balancer.mean_duration, p.balancer.origin_limit
     late, fetch = p.arrive("k1"), p.arrive("x1")
     for n in range(100):
         p.run(4)
@@ -369,15 +369,15 @@
     p.run(1000)
     p.end(late, m.HopOutcome.TIMED_OUT, took=600)
     p.end(fetch, m.HopOutcome.TIMED_OUT, took=600)
-    assert p.balancer.usual == took and p.balancer.origin_limit >= limit
-    assert not any(h.out_until for h in p.balancer.ready)
+    assert p.balancer.mean_duration == took and p.balancer.origin_limit >= limit
+    assert not any(h.ejected_until for h in p.balancer.ready)
 
 
 def test_a_connection_that_breaks_at_once_costs_nothing_of_the_budget_for_further_hops() -> None:
     """Against cache hosts that reset one kept connection in six, on a day with room for every further hop."""
     p = Play(5)
     settle(p)
-    p.balancer.extra, p.balancer.usual = 0.0, 100.0 * MS
+    p.balancer.extra_hop_tokens, p.balancer.mean_duration = 0.0, 100.0 * MS
     for end, after in (
         (m.HopOutcome.RESET, 3),
         (m.HopOutcome.UNREACHABLE, 3),
@@ -387,7 +387,7 @@
         tx = p.arrive("k1")
         p.run(after)
         p.end(tx, end, took=after)
-        p.balancer.extra = 0.0
+        p.balancer.extra_hop_tokens = 0.0
     p.matches("broken_at_once")
 
 
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -181,14 +181,14 @@
     net.run(1200)  # a slow writer that goes on: far past its hard limit
     client.feed(text[-20:-10], cut=cut)
     net.run(1200)
-    assert not host.lost and not net.dispatcher.balancer.inflight
+    assert not host.lost and not net.dispatcher.balancer.in_flight
     client.feed(text[-10:], cut=cut)
     assert written(net, "host 1") == text
-    assert net.dispatcher.balancer.inflight > 0
+    assert net.dispatcher.balancer.in_flight > 0
     net.run(300)
     host.feed(b"HD O1 cabc\r\n")
     assert written(net, "client 0") == b"HD O1 cabc\r\n" and not net.dispatcher.txs
-    assert net.dispatcher.balancer.usual < 400_000_000  # what its writer took is not its cache host's
+    assert net.dispatcher.balancer.mean_duration < 400_000_000  # what its writer took is not its cache host's
 
 
 def test_a_large_write_that_is_not_answered_is_given_up_by_its_times_from_the_last_byte() -> None:
@@ -248,7 +248,7 @@
         client.end()
         assert host.lost and not net.dispatcher.txs
     [one] = net.dispatcher.balancer.hosts.values()
-    assert not one.fails and not one.inflight and not one.out_until and not net.sockets.hosts
+    assert not one.failures and not one.in_flight and not one.ejected_until and not net.sockets.hosts
 
 
 def test_a_large_write_that_has_no_end_where_it_should_is_cut_off_before_it_is_whole() -> None:
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -128,7 +128,7 @@
         waits = []
         for _ in range(12):
             balancer.decide(T0, m.ListUnavailable())
-            waits.append(max(at for at, _, what in balancer.wakes.heap if what == -2) - T0)
+            waits.append(max(at for at, _, what in balancer.timers.heap if what == -2) - T0)
         assert waits[0] <= SECOND and max(waits) <= min(must_ask * 4 // 5, 8 * SECOND), waits
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -128,9 +128,13 @@
     new = Balancer(replace(START, balancer_count=2))
     new.decide(T0, m.ListChanged(True, (line(7), line(3))))
     new.decide(T0, learned)
-    assert new.usual == old.usual > 0 and new.unit_rate == old.unit_rate / 2 and new.hits == old.hits > 0.5
-    assert new.origin_limit == max(new.origin_least, old.origin_limit / 2)
-    assert {h.took for h in new.hosts.values()} == {h.took for h in old.hosts.values()}
+    assert (
+        new.mean_duration == old.mean_duration > 0
+        and new.rate_per_weight == old.rate_per_weight / 2
+        and new.hit_ratio == old.hit_ratio > 0.5
+    )
+    assert new.origin_limit == max(new.min_origin_limit, old.origin_limit / 2)
+    assert {h.mean_duration for h in new.hosts.values()} == {h.mean_duration for h in old.hosts.values()}
     assert learned_read({"hosts": 3}, {}) is None and learned_read(told | {"more": 1}, {}) is None
 
 
@@ -147,11 +151,13 @@
     net = Net(hosts=1)
     net.list(member(2, since=1_000_000))
     net.dispatcher.beside(0.5)
-    assert [h.part for h in net.dispatcher.balancer.hosts.values()] == [0.5, 0.5]
+    assert [h.cold_fraction for h in net.dispatcher.balancer.hosts.values()] == [0.5, 0.5]
     net.list(member(3, since=1_000_000))
     net.list(member(1, "removed"))
     net.dispatcher.beside(1.0)
-    assert [h.part for h in net.dispatcher.balancer.hosts.values()] == [1.0, 1.0] and set(net.dispatcher.members) == {
+    assert [h.cold_fraction for h in net.dispatcher.balancer.hosts.values()] == [1.0, 1.0] and set(
+        net.dispatcher.members
+    ) == {
         "h2",
         "h3",
     }
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -583,7 +583,7 @@
 def test_tenants_that_share_a_cold_host_send_it_together_what_one_might() -> None:
     def sent(part: float) -> int:
         balancer = Balancer(replace(START, balancer_count=1, overload_window=10 * SECOND, warm_up_time=100 * SECOND))
-        balancer.unit_rate = 20.0
+        balancer.rate_per_weight = 20.0
         line = m.ListedHost(0, "a", 0, 0, 0, m.HostStatus.READY, 1.0, T0 - 1, part)
         balancer.decide(T0, m.ListChanged(True, (line,)))
         hops = 0
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -229,13 +229,12 @@
     agent.calls[0].callback(told(9, member(1), member(2)))
     agent.calls[1].callback(told(4, member(1, "draining"), complete=False))
     assert (
-        watch.revision == -1
-        and net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].standing is m.HostStatus.READY
+        watch.revision == -1 and net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].status is m.HostStatus.READY
     )
     until_asked(net, agent, 3)
     agent.calls[2].callback(told(4, member(1, "draining"), member(2)))
     assert watch.revision == 4
-    assert net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].standing is m.HostStatus.DRAINING
+    assert net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].status is m.HostStatus.DRAINING
 
 
 @pytest.mark.parametrize("stays", [True, False])
@@ -312,9 +311,9 @@
     for tx in out:
         play.end(tx, m.HopOutcome.DONE)
     balancer = play.balancer
-    assert not balancer.txs and balancer.inflight == 0 and all(h.inflight == 0 for h in balancer.hosts.values())
-    counts = sum(r.count for r in (*balancer.ranges.values(), *balancer.singles.values()))
-    assert counts == len(balancer.window) == sum(balancer.loads)
+    assert not balancer.txs and balancer.in_flight == 0 and all(h.in_flight == 0 for h in balancer.hosts.values())
+    counts = sum(r.accesses for r in (*balancer.ranges.values(), *balancer.hot_keys.values()))
+    assert counts == len(balancer.window) == sum(balancer.group_loads)
 
 
 def test_where_a_copy_lies_is_not_kept_for_hosts_that_are_gone() -> None:
@@ -324,7 +323,7 @@
         play.end(play.arrive("hot"), m.HopOutcome.DONE)
     for _ in range(600):  # past the next time that ranges are placed
         play.end(play.arrive("hot"), m.HopOutcome.DONE)
-    assert all(len(hosts) <= 2 for hosts in play.balancer.held.values())
+    assert all(len(hosts) <= 2 for hosts in play.balancer.known_copies.values())
 
 
 def test_read_list_names_what_it_can_not_use() -> None:
--- a/tests/test_review_step.py
+++ b/tests/test_review_step.py
@@ -198,5 +198,5 @@
     for number in range(MANY):
         balancer = Balancer(replace(START, balancer_index=number, balancer_count=MANY, watch_list=True))
         balancer.decide(T0, m.ListUnavailable())
-        wakes.append(min(at for at, _, what in balancer.wakes.heap if what == -2))
+        wakes.append(min(at for at, _, what in balancer.timers.heap if what == -2))
     assert max(Counter(at // BIN for at in wakes).values()) <= MANY // 2, wakes
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -68,12 +68,12 @@
     p.list(line(1, since=p.now))
     taken = []
     for second in range(20):
-        seen, rate = p.tx, p.balancer.unit_rate
+        seen, rate = p.tx, p.balancer.rate_per_weight
         for n in range(100):
             p.end(p.arrive(f"k{n}"), m.HopOutcome.DONE)
             p.run(10)
         taken.append(sum(1 in p.hops.get(tx, []) for tx in range(seen + 1, p.tx + 1)))
-        part = 1.5 * max(rate, p.balancer.unit_rate) * (0.2 + 0.8 * (second + 1) / 20)  # of a multiple of 3
+        part = 1.5 * max(rate, p.balancer.rate_per_weight) * (0.2 + 0.8 * (second + 1) / 20)  # of a multiple of 3
         assert taken[-1] <= part + 1
     p.trace = [f"warm: {before // 4} of 100 a second; from its start: {' '.join(map(str, taken))}"]
     p.matches("cold_budget")
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -80,7 +80,7 @@
     other.list(*lines)
     assert homes(other) == homes(p)
     assert [h.weight for h in other.balancer.ready] == [h.weight for h in p.balancer.ready]
-    assert other.balancer.weights == p.balancer.weights
+    assert other.balancer.total_weight == p.balancer.total_weight
 
 
 def test_a_host_told_to_hold_too_much_gives_up_ranges_and_takes_them_back() -> None:
@@ -94,7 +94,7 @@
     spilled, other = homes(one, 240), homes(two, 240)
     left = [n for n, home in enumerate(before) if home == crowd and spilled[n] != crowd]
     assert 0.3 < len(left) / before.count(crowd) < 0.9  # four steps of ROOM_DOWN
-    assert abs(one.balancer.hosts[crowd].room - (1 - 4 * ROOM_DOWN)) < 1e-9
+    assert abs(one.balancer.hosts[crowd].range_fraction - (1 - 4 * ROOM_DOWN)) < 1e-9
     # The same ranges, to the same places, at both balancers; and to several hosts, though one looked empty.
     assert spilled == other and len({spilled[n] for n in left}) > 2
     assert all(spilled[n] == home for n, home in enumerate(before) if home != crowd)
@@ -111,11 +111,11 @@
         p.run(1000)
         p.list(*live({0: 50.0}))
     kept = [n for n, home in enumerate(homes(p, 400)) if home == 0]
-    assert 0 < len(kept) < before.count(0) / 2 and p.balancer.hosts[0].room == pytest.approx(0.2)
+    assert 0 < len(kept) < before.count(0) / 2 and p.balancer.hosts[0].range_fraction == pytest.approx(0.2)
     for _ in range(60):
         p.run(1000)
         p.end(p.arrive("k1"), m.HopOutcome.DONE)
-    assert p.balancer.hosts[0].room == 1.0 and homes(p, 400) == before
+    assert p.balancer.hosts[0].range_fraction == 1.0 and homes(p, 400) == before
 
 
 def test_a_host_that_starts_anew_begins_with_all_its_room() -> None:
@@ -123,9 +123,9 @@
     for _ in range(5):
         p.run(1000)
         p.list(*live({0: 50.0}))
-    assert p.balancer.hosts[0].room < 0.5
+    assert p.balancer.hosts[0].range_fraction < 0.5
     p.list(*[replace(x, started_at=p.now if x.host == 0 else 0) for x in live({})])
-    assert p.balancer.hosts[0].room == 1.0
+    assert p.balancer.hosts[0].range_fraction == 1.0
 
 
 def test_a_fleet_that_is_full_gives_up_nothing() -> None:
@@ -145,7 +145,7 @@
         p.feed("", m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, report))
     p.run(1000)
     p.list(*live({h: 1.0 for h in range(6)}))
-    assert [h.index for h in p.balancer.ready if h.room < 1.0] == [3]
+    assert [h.index for h in p.balancer.ready if h.range_fraction < 1.0] == [3]
 
 
 # ---- reports at the door ----
@@ -194,7 +194,7 @@
         p.run(5)
     p.list(*live({}))
     assert homes(p) == before
-    assert not any(h.fails or h.out_until or h.trial for h in p.balancer.ready)
+    assert not any(h.failures or h.ejected_until or h.on_probation for h in p.balancer.ready)
     p.trace.clear()
     for n, row in enumerate(rows):
         tx = p.arrive(f"k{n}")
@@ -202,7 +202,7 @@
         p.feed(said, m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.report(row)))
         p.run(300)
     p.list(*live({2: 30.0}))
-    p.trace.append(f"rooms {[round(h.room, 2) for h in p.balancer.ready]}")
+    p.trace.append(f"rooms {[round(h.range_fraction, 2) for h in p.balancer.ready]}")
     p.matches("reports")
 
 
@@ -247,7 +247,7 @@
 def test_without_the_new_settings_all_is_as_before() -> None:
     start = read_start(1, FACTS)
     assert (start.weight_mode, start.zone, start.cross_zone_price) == (m.WeightMode.NONE, -1, 0.0)
-    assert not Balancer(start).near_counts
+    assert not Balancer(start).prefer_own_zone
 
 
 # ---- zones ----
@@ -263,12 +263,12 @@
         if near.hops.get(tx):
             near.end(tx, m.HopOutcome.DONE, took=2000 if near.hops[tx][0] % 2 else 20)
         near.run(50)
-    strained = near.balancer.near_part
+    strained = near.balancer.own_zone_fraction
     assert strained < 0.8
     for n in range(2000):
         near.end(near.arrive(f"k{n % 60}"), m.HopOutcome.DONE)
         near.run(20)
-    assert near.balancer.near_part == 1.0 and {home % 2 for home in homes(near)} == {1}
+    assert near.balancer.own_zone_fraction == 1.0 and {home % 2 for home in homes(near)} == {1}
 
 
 def test_the_own_zone_lost_its_ranges_are_served_by_the_others() -> None:
@@ -297,7 +297,7 @@
     p.arrive("k2", profile=1)  # a write is there already
     p.run(400)
     p.balancer.origin_limit = 2.0
-    p.balancer.fetch_out = 1
+    p.balancer.fetches_in_flight = 1
     p.arrive("k3")
     p.run(400)
     p.matches("late_read")
@@ -313,7 +313,7 @@
 
 def test_no_spare_place_no_copy_and_the_answer_comes_in_time() -> None:
     p = aside()
-    p.balancer.origin_limit, p.balancer.fetch_out = 2.0, 1
+    p.balancer.origin_limit, p.balancer.fetches_in_flight = 2.0, 1
     tx = p.arrive("k1")
     p.run(700)
     assert len(p.hops[tx]) == 1 and any("roll back" in said for said in p.trace)
@@ -370,5 +370,5 @@
     assert told is not None
     second.feed("", told)
     second.list(*live({h: 1.0 for h in range(6)}))
-    assert second.balancer.hosts[0].room == pytest.approx(1 - ROOM_DOWN)
+    assert second.balancer.hosts[0].range_fraction == pytest.approx(1 - ROOM_DOWN)
     assert homes(second) == before
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -126,4 +126,4 @@
     members = clocks.times.dated(False, read_list(told, 0)[2], net.dispatcher.now())
     net.dispatcher.list_told(False, members)
     host = net.dispatcher.balancer.hosts[net.dispatcher.hosts["h2"]]
-    assert 0 <= net.dispatcher.now() - host.since <= 2 * SECOND
+    assert 0 <= net.dispatcher.now() - host.started_at <= 2 * SECOND
