--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -200,7 +200,7 @@
                     asked.addCallback(self._asked, name)
         for id, due in self.lent.owed():
             if id in self.by_id:
-                self.by_id[id].front.give_back(due)
+                self.by_id[id].frontend.give_back(due)
         self._take_memory_back()
 
     def _asked(self, reply: Any, name: str) -> None:
@@ -213,10 +213,10 @@
         held = {tenancy: tenancy.held() for tenancy in self.tenancies.values()}
         while sum(held.values()) > self.memory:
             tenancy = max(held, key=lambda t: held[t] - t.entry.tenant.limits.memory.least * self.memory)
-            clients = [client for client in tenancy.front.all if client.kept or client.queued]
+            clients = [client for client in tenancy.frontend.all if client.kept or client.queued]
             if not clients:
                 break
-            tenancy.front.drop(max(clients, key=lambda client: client.kept + client.queued), CloseReason.MEMORY)
+            tenancy.frontend.drop(max(clients, key=lambda client: client.kept + client.queued), CloseReason.MEMORY)
             held[tenancy] = tenancy.held()
 
     def process(self) -> dict[str, Any]:
@@ -269,17 +269,17 @@
         return sum(not tx.answered for tenancy in self.tenancies.values() for tx in tenancy.dispatcher.txs.values())
 
     def _close(self) -> None:
-        closed = [tenancy.close_ports(not tenancy.front.leaving) for tenancy in self.tenancies.values()]
+        closed = [tenancy.close_ports(not tenancy.frontend.leaving) for tenancy in self.tenancies.values()]
         if not all(closed):
             self.reactor.callLater(0.01, self._close)
 
     def _leave(self) -> None:
         for tenancy in self.tenancies.values():
-            tenancy.front.leave()
+            tenancy.frontend.leave()
         self._wait()
 
     def _wait(self) -> None:
-        if any(tenancy.front.all for tenancy in self.tenancies.values()):
+        if any(tenancy.frontend.all for tenancy in self.tenancies.values()):
             self.reactor.callLater(0.01, self._wait)
         else:
             self._stop()
@@ -290,7 +290,7 @@
             once_paid(self.reactor, self._owes, self.flush, self._stopped)
 
     def _owes(self) -> bool:
-        return any(tenancy.front.owes() for tenancy in self.tenancies.values())
+        return any(tenancy.frontend.owes() for tenancy in self.tenancies.values())
 
     def _stopped(self) -> None:
         if self.reactor.running:
--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -14,7 +14,7 @@
 from ternquay.net import meta
 from ternquay.net.client import ClientConnection, Owed
 from ternquay.net.dispatcher import Dispatcher
-from ternquay.net.front import Front
+from ternquay.net.frontend import Frontend
 from ternquay.net.limits import Limits
 from ternquay.net.listener import Listener
 from ternquay.net.safety import CloseReason, RefuseReason
@@ -65,10 +65,10 @@
 class TenantClient(ClientConnection):
     """Reads at once while nobody waits; else it waits for its turn, and stops reading when it has much."""
 
-    front: "TenantFront"
+    frontend: "TenantFrontend"
 
-    def __init__(self, front: "TenantFront") -> None:
-        super().__init__(front)
+    def __init__(self, frontend: "TenantFrontend") -> None:
+        super().__init__(frontend)
         self.address = ""
         self.open = 0  # transactions
         self.waits = self.reading_paused = self.stuck = False
@@ -86,7 +86,7 @@
     def rawDataReceived(self, data: bytes) -> None:
         if self.ended or self.closing:
             return
-        front = self.front
+        front = self.frontend
         if not self.unread_since:
             self.unread_since = self.first_since() or front.turn.before
         self.arrived += len(data)
@@ -102,13 +102,13 @@
 
     def wait(self) -> None:
         self._await_turn()
-        self.front.busy(self)  # against closing it as one that rests, with a whole command in hand
+        self.frontend.busy(self)  # against closing it as one that rests, with a whole command in hand
         self.keep()
         self.hold_back()
-        self.front.loop.ready(self.front.name, self.address, self)
+        self.frontend.loop.ready(self.frontend.name, self.address, self)
 
     def _await_turn(self) -> None:
-        self.waits, self.waits_since = True, self.front.dispatcher.now()
+        self.waits, self.waits_since = True, self.frontend.dispatcher.now()
 
     def held_by_us(self) -> bool:
         return self.waits or self.stuck or super().held_by_us()
@@ -120,7 +120,7 @@
 
     def hold_back(self) -> None:
         if not self.reading_paused and not self.ended and (len(self.machine.buffer) > BACKLOG or self.stuck):
-            self.reading_paused, self.paused_at = True, self.front.dispatcher.now()
+            self.reading_paused, self.paused_at = True, self.frontend.dispatcher.now()
             self.transport.pauseProducing()
 
     def lay_unread(self, goes_on: bool) -> int:
@@ -131,15 +131,15 @@
         self.turn_wait = 0
         if self.waits:
             self.waits = False
-            self.turn_wait = self.front.dispatcher.now() - self.waits_since
+            self.turn_wait = self.frontend.dispatcher.now() - self.waits_since
             self.deadline.extend(self.turn_wait)
         if self.ended or self.closing:
             return False
-        clock = self.front.loop.clock
+        clock = self.frontend.loop.clock
         end = clock() + PIECE
         while True:
-            self.since, self.turn = self.unread_since, self.front.turn.count
-            self.front.busy(self)
+            self.since, self.turn = self.unread_since, self.frontend.turn.count
+            self.frontend.busy(self)
             items = self.machine.read(STEP, self.over)
             self.read(items)
             if self.ended or self.closing:
@@ -164,38 +164,38 @@
             self.transport.resumeProducing()
 
     def over(self) -> int:
-        return self.front.over(self)
+        return self.frontend.over(self)
 
     def flush(self) -> None:
         super().flush()
         if self.stuck and len(self.owed) < OWED_MOST // 2 and not self.ended:
             self.stuck = False
             self._await_turn()
-            self.front.loop.ready(self.front.name, self.address, self)
+            self.frontend.loop.ready(self.frontend.name, self.address, self)
 
     # ---- transactions ----
 
     def arrives(self, command: meta.Command, owed: Owed, unread: int) -> None:
-        if self.front.full(self):
-            self.front.safety.refuses(RefuseReason.SHARE, owed.id)
-            owed.roll_back(self.front.dispatcher.about(self.front.limits.retry_after))
+        if self.frontend.full(self):
+            self.frontend.safety.refuses(RefuseReason.SHARE, owed.id)
+            owed.roll_back(self.frontend.dispatcher.about(self.frontend.limits.retry_after))
             return
         owed.counted = True
         self.open += 1
-        self.front.opened(self)
+        self.frontend.opened(self)
         super().arrives(command, owed, unread)
 
     def share(self, command: meta.Command) -> str:
-        return CROWDING if self.front.crowds(self) else command.names.get("tenant", "")
+        return CROWDING if self.frontend.crowds(self) else command.names.get("tenant", "")
 
     def owes_less(self, owed: Owed) -> None:
         if owed.counted:
             owed.counted = False
             self.open -= 1
-            self.front.closed(self)
+            self.frontend.closed(self)
 
 
-class TenantFront(Front):
+class TenantFrontend(Frontend):
     """`shut`: nought, or how long what comes is told to wait, as the tenant takes nothing now."""
 
     def __init__(
@@ -323,26 +323,26 @@
 class TenantListener(Listener):
     """Accepts in its tenant's turns when others wait; up to as many as fit."""
 
-    front: TenantFront
+    frontend: TenantFrontend
     paused = False
 
     def room(self) -> int:
-        return min(STEP, self.front.room())
+        return min(STEP, self.frontend.room())
 
     def doRead(self) -> None:
-        if self.front.loop.at_once(self.front.name):
-            self.front.loop.timed(self.front.name, self.accept)
+        if self.frontend.loop.at_once(self.frontend.name):
+            self.frontend.loop.timed(self.frontend.name, self.accept)
         else:
             self.stopReading()
             if not self.paused:
                 self.paused = True
-                self.front.loop.ready(self.front.name, ACCEPTS, self)
+                self.frontend.loop.ready(self.frontend.name, ACCEPTS, self)
 
     def piece(self) -> bool:
         self.paused = False
         if self.connected and not self.disconnecting:
             self.accept()
-            if not self.front.held_up and self.pause is None:
+            if not self.frontend.held_up and self.pause is None:
                 self.startReading()
         return False
 
@@ -351,7 +351,7 @@
 
         The library can't look at who comes before it has made all that a connection has.
         """
-        while self.front.crowded() and not self.front.loop.late(PIECE):
+        while self.frontend.crowded() and not self.frontend.loop.late(PIECE):
             try:
                 client, address = self.socket.accept()
             except BlockingIOError:
@@ -360,7 +360,7 @@
                 if not self.goes_on_after(fault):
                     return
                 continue
-            if self.front.takes(address[0]):
+            if self.frontend.takes(address[0]):
                 self.take(client, address)
             else:
                 client.setsockopt(SOL_SOCKET, SO_LINGER, AT_ONCE)
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -11,7 +11,7 @@
 from ternquay import model as m
 from ternquay.facts import Names
 from ternquay.hosted.shared.fairness import Dues, Lent
-from ternquay.hosted.shared.front import CROWDING, TenantFront, TenantListener, TenantSockets
+from ternquay.hosted.shared.front import CROWDING, TenantFrontend, TenantListener, TenantSockets
 from ternquay.hosted.shared.loop import Loop
 from ternquay.hosted.tenants.ledger import Ledger, Named
 from ternquay.hosted.tenants.registry import TenantEntry
@@ -213,8 +213,8 @@
         if not self.held:
             super().startReading()
 
-    def open(self, front: TenantFront, accepted: Callable[[bool], None]) -> None:
-        self.front, self.factory, self.accepted, self.held = front, front, accepted, False
+    def open(self, frontend: TenantFrontend, accepted: Callable[[bool], None]) -> None:
+        self.frontend, self.factory, self.accepted, self.held = frontend, frontend, accepted, False
         self.startReading()
 
 
@@ -251,12 +251,12 @@
         self.turn = OwnTurn(turn, self.limits.turn_duration)
         self.dispatcher.stood_still = self.turn.stood_still
         self.dues = Dues(tenant.limits.txs_a_second, tenant.limits.burst)
-        self.front = TenantFront(
+        self.frontend = TenantFrontend(
             reactor, self.dispatcher, self.limits, self.sockets, self.turn, common.loop, self.id, self.dues
         )
-        self.front.open_most = tenant.limits.open_txs
-        self.front.gate = self._gate
-        self.front.fenced = partial(common.wait, tenant.name) if common.wait is not None else None
+        self.frontend.open_most = tenant.limits.open_txs
+        self.frontend.gate = self._gate
+        self.frontend.fenced = partial(common.wait, tenant.name) if common.wait is not None else None
         self.ports: dict[Endpoint, Any] = {}
         self.members: dict[str, Member] = {}
         self.start_times = StartTimes(common.difference)
@@ -297,15 +297,15 @@
 
     def _limited(self, tenant: Tenant) -> None:
         self.limits = limits_of(self.common.process, tenant)
-        self.dispatcher.limits = self.pool.limits = self.front.limits = self.sockets.limits = self.limits
+        self.dispatcher.limits = self.pool.limits = self.frontend.limits = self.sockets.limits = self.limits
         self.sockets.hosts_most = tenant.limits.host_connections
         self.turn.most = self.limits.turn_duration
         self.dues.change(tenant.limits.txs_a_second, tenant.limits.burst)
-        self.front.open_most = tenant.limits.open_txs
+        self.frontend.open_most = tenant.limits.open_txs
 
     def _open(self, prepared: Prepared) -> None:
         for place, port in prepared.ports.items():
-            port.open(self.front, self.turn.accepted)
+            port.open(self.frontend, self.turn.accepted)
             self.ports[place] = port
 
     def _gate(self, accept: bool) -> None:
@@ -313,18 +313,18 @@
             port.gate(accept)
 
     def _stand(self, state: State) -> None:
-        self.front.shut = 0 if state is State.ACTIVE else self.limits.retry_after
+        self.frontend.shut = 0 if state is State.ACTIVE else self.limits.retry_after
         if state is State.ENDING and not self.ending_since:
             self.ending_since = self.dispatcher.now()
             self.close_ports()
-            self.front.leave()
+            self.frontend.leave()
 
     def close_ports(self, waits: bool = False) -> bool:
         """With `waits` one stays while not all fit who wait at its door. Whether all are closed."""
         for place in list(self.ports):
             self._close_port(place, waits)
         if self.ports:
-            self.front.shed()
+            self.frontend.shed()
         return not self.ports
 
     def _close_port(self, place: Endpoint, waits: bool = False) -> None:
@@ -337,15 +337,15 @@
             return False
         longest = max(one.profile.hard_limit for one in self.entry.tenant.profiles)
         waited = self.dispatcher.now() - self.ending_since
-        return (not self.front.all and not self.dispatcher.txs) or waited > longest + SECOND
+        return (not self.frontend.all and not self.dispatcher.txs) or waited > longest + SECOND
 
     def end(self) -> None:
         """It is no more: nothing of it stays."""
         self.close_ports()
         if self.discovery is not None:
             self.discovery.end()
-        for client in list(self.front.all):
-            self.front.drop(client, CloseReason.REMOVED)
+        for client in list(self.frontend.all):
+            self.frontend.drop(client, CloseReason.REMOVED)
         self.pool.end()
         self.common.retell(self.common.ledger.left(self.dispatcher.now(), self.id))
 
@@ -414,12 +414,12 @@
     def swept(self) -> None:
         if self.sockets.hosts:
             self.pool.swept()
-        if self.front.all:
-            self.front.swept()
+        if self.frontend.all:
+            self.frontend.swept()
 
     def held(self) -> int:
         """Bytes that it has in memory of half-read and unanswered things."""
-        return self.dispatcher.held + self.front.kept + self.front.queued + self.pool.kept
+        return self.dispatcher.held + self.frontend.kept + self.frontend.queued + self.pool.kept
 
     def use(self) -> dict[str, Any]:
         part = self.common.loop.parts.get(self.id)
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -17,7 +17,7 @@
 from ternquay.net.safety import CloseReason, RefuseReason, may_close
 
 if TYPE_CHECKING:
-    from ternquay.net.front import Front
+    from ternquay.net.frontend import Frontend
 
 OVERDUE = b"CLIENT_ERROR request was not whole in time"
 UNREAD_NOTICED = 100 * MS  # bytes that waited no longer than this to be read count as read when they came
@@ -32,7 +32,7 @@
     __slots__ = ("client", "command", "counted", "dispatcher", "flow", "text", "tx")
 
     def __init__(self, client: "ClientConnection", command: meta.Command) -> None:
-        self.client, self.command, self.dispatcher = client, command, client.front.dispatcher
+        self.client, self.command, self.dispatcher = client, command, client.frontend.dispatcher
         self.text: bytes | None = None
         self.flow: Flow | None = None  # the value that is its answer, as it comes
         self.tx = -1
@@ -59,7 +59,7 @@
         return self.client.ended or self.client.peer_closed()
 
     def put(self, text: bytes) -> None:
-        if not self.client.front.safety.answering(self.text is not None, self.id):
+        if not self.client.frontend.safety.answering(self.text is not None, self.id):
             return
         self.text = text
         self.client.owes_less(self)
@@ -73,12 +73,12 @@
 class ClientConnection(Driver):
     """Thin driver of one client connection. As its transport's pull producer it learns when all is out."""
 
-    front: "Front"
+    frontend: "Frontend"
 
-    def __init__(self, front: "Front") -> None:
-        self.front = front
+    def __init__(self, frontend: "Frontend") -> None:
+        self.frontend = frontend
         self.machine = meta.ClientSide(
-            front.limits.line_bytes, front.limits.value_bytes, front.limits.stream_above_bytes
+            frontend.limits.line_bytes, frontend.limits.value_bytes, frontend.limits.stream_above_bytes
         )
         self.owed: deque[Owed | bytes] = deque()  # bytes: an answer that needed no transaction
         self.crowded = self.closing = self.ended = self.reading = self.answered = False
@@ -103,12 +103,12 @@
     def connectionMade(self) -> None:
         super().connectionMade()
         self.transport.registerProducer(self, False)
-        self.front.came(self)
+        self.frontend.came(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.ended = self.transport_closed = True
-        self.front.left(self)
-        self.front.sockets.descriptor_freed(self)
+        self.frontend.left(self)
+        self.frontend.sockets.descriptor_freed(self)
         owed, self.owed = self.owed, deque()
         for one in owed:
             if isinstance(one, Owed) and one.flow is not None:
@@ -120,19 +120,19 @@
         if self.ended or self.closing:
             return
         self.arrived += len(data)
-        self.front.busy(self)
+        self.frontend.busy(self)
         self.read(self.machine.feed(data))
 
     def read(self, items: "list[meta.Item]") -> None:
         """Takes what was read, and writes what is answered by then."""
         self.reading = True
         if items or not self.machine.unproven():
-            self.front.unproven.pop(self, None)
+            self.frontend.unproven.pop(self, None)
         for item in items:
             if isinstance(item, meta.Command):
                 self.taken(item)
             elif isinstance(item, meta.Hello):
-                self.owed.append(self.front.hello)
+                self.owed.append(self.frontend.hello)
             elif isinstance(item, meta.Piece):
                 if self.coming is not None:
                     self.coming.offer(item.data)
@@ -143,7 +143,7 @@
             else:
                 self.bad(item)
         self.reading = False
-        self.moved = self.front.dispatcher.now()
+        self.moved = self.frontend.dispatcher.now()
         self.keep()
         self.expect_more()
         self.since = 0
@@ -159,7 +159,7 @@
         if self.moved < self.catch_up_until and arrived >= BLOCKED:
             # The system may have had no room for more: whoever was kept from writing is given a moment to go on.
             self.deadline.spare(self.moved + GO_ON)
-        self.front.waits_for(self)
+        self.frontend.waits_for(self)
 
     def lay_unread(self, goes_on: bool) -> int:
         """How long the last of what was read now had waited for that: before it was accepted, or in a process that was
@@ -169,7 +169,7 @@
         if self.moved < self.catch_up_until:
             most = self.moved - self.last_came
             return most if goes_on else min(most, self.receive_idle_ns())
-        most = self.front.turn.unread(self.moved, self.first_since())
+        most = self.frontend.turn.unread(self.moved, self.first_since())
         waited = min(most, self.receive_idle_ns()) if most > UNREAD_NOTICED else 0
         if waited > UNREAD_NOTICED:
             # Much that has waited is read in many turns of the loop, of which only the first came late.
@@ -208,7 +208,7 @@
         """The cache host takes a large value more slowly than it comes, or goes on."""
         if self.ended:
             return
-        self.moved = self.front.dispatcher.now()
+        self.moved = self.frontend.dispatcher.now()
         self.hold_reading(back)
         self.catch_up_until = 0  # what comes after this has waited for us
         if back:
@@ -232,25 +232,27 @@
 
     def keep(self) -> None:
         """Counts what is kept unread."""
-        self.front.kept += len(self.machine.buffer) - self.kept
+        self.frontend.kept += len(self.machine.buffer) - self.kept
         self.kept = len(self.machine.buffer)
-        if self.front.kept > self.front.limits.buffered_bytes:
-            self.front.shed_kept(self)
+        if self.frontend.kept > self.frontend.limits.buffered_bytes:
+            self.frontend.shed_kept(self)
 
     def taken(self, command: meta.Command) -> None:
         owed = Owed(self, command)
         self.owed.append(owed)
         if command.length:
-            self.pours, self.coming = owed, Flow(command.length, self.front.limits.chunk_bytes, self.hold)
-        now, turn = self.front.dispatcher.now(), self.front.turn
+            self.pours, self.coming = owed, Flow(command.length, self.frontend.limits.chunk_bytes, self.hold)
+        now, turn = self.frontend.dispatcher.now(), self.frontend.turn
         # Against more than there is time for: all that is taken makes all else late, past its hard limit too.
         late = turn.over(now)
         if late:
-            self.front.dispatcher.tell("WARNING", "short of CPU: what comes late in a turn of the loop is rolled back")
+            self.frontend.dispatcher.tell(
+                "WARNING", "short of CPU: what comes late in a turn of the loop is rolled back"
+            )
         why = self.no_room(late)
         if why is not None:
-            self.front.safety.refuses(why, owed.id)
-            owed.roll_back(self.front.dispatcher.about(self.front.limits.retry_after))
+            self.frontend.safety.refuses(why, owed.id)
+            owed.roll_back(self.frontend.dispatcher.about(self.frontend.limits.retry_after))
             return
         self.arrives(command, owed, turn.unread(now, self.first_since()))
 
@@ -258,7 +260,7 @@
         """Why a request is refused before the decisions are asked."""
         if self.crowded:
             return RefuseReason.CROWDED
-        if len(self.owed) > self.front.limits.pipelined:
+        if len(self.owed) > self.frontend.limits.pipelined:
             return RefuseReason.PIPELINED
         return RefuseReason.LATE_TURN if late else None
 
@@ -275,14 +277,14 @@
             self.coming,
             unread,
         )
-        owed.tx = self.front.dispatcher.arrived(arrival, owed)
+        owed.tx = self.frontend.dispatcher.arrived(arrival, owed)
         if owed.tx < 0:
             owed.put(b"CLIENT_ERROR unknown profile\r\n")
 
     def first_since(self) -> int:
         """Since when its first bytes may have waited, 0 for no longer than any others."""
         # What came before it was accepted is readable at the very next poll: a client that writes later has not waited.
-        return self.since if self.front.turn.count <= self.turn + 1 else 0
+        return self.since if self.frontend.turn.count <= self.turn + 1 else 0
 
     def share(self, command: meta.Command) -> str:
         """The name of the share of whoever asks."""
@@ -309,7 +311,7 @@
             if self.closing:
                 self.close(self.closes_for)
             else:
-                self.front.idle(self)
+                self.frontend.idle(self)
 
     def pass_on(self, owed: Owed, flow: Flow) -> bool:
         """Writes what has come of a large value, once the system has taken the last of it; whether that is all."""
@@ -332,17 +334,17 @@
 
     def queue(self, data: bytes) -> None:
         self.queued += len(data)
-        self.moved = self.front.dispatcher.now()
+        self.moved = self.frontend.dispatcher.now()
         self.transport.write(data)
 
     def write(self, text: bytes) -> None:
         self.queued += len(text)
         self.owing += len(text)
-        self.front.queued += len(text)
-        self.moved = self.front.dispatcher.now()
-        if self.queued > self.front.limits.queued_bytes:
+        self.frontend.queued += len(text)
+        self.moved = self.frontend.dispatcher.now()
+        if self.queued > self.frontend.limits.queued_bytes:
             self.abort(CloseReason.ANSWERS_UNREAD)
-        elif self.front.queued > self.front.limits.buffered_bytes:
+        elif self.frontend.queued > self.frontend.limits.buffered_bytes:
             self.abort(CloseReason.MEMORY)
         else:
             self.transport.write(text)
@@ -354,43 +356,43 @@
     def close(self, reason: CloseReason) -> None:
         """Ends the connection once what is written has been taken."""
         if not self.ended:
-            self.front.safety.closing(reason, self.owed_ids())
+            self.frontend.safety.closing(reason, self.owed_ids())
             self.ended = True
             self.close_after_write()
 
     def abort(self, reason: CloseReason) -> None:
         """Ends the connection at once, with what is queued on it."""
         if not self.ended:
-            self.front.safety.closing(reason, self.owed_ids())
+            self.frontend.safety.closing(reason, self.owed_ids())
         self.ended = True
         self.transport.abortConnection()
 
     def resumeProducing(self) -> None:
         """The system has taken all answers written so far."""
         if self.queued:
-            self.front.queued -= self.owing
+            self.frontend.queued -= self.owing
             self.queued = self.owing = self.untaken_since = 0
-            self.moved = self.front.dispatcher.now()
+            self.moved = self.frontend.dispatcher.now()
             first = self.owed[0] if self.owed else None
             if isinstance(first, Owed) and first.flow is not None:
                 self.flush()
             else:
-                self.front.idle(self)
+                self.frontend.idle(self)
 
     def stopProducing(self) -> None:
         pass
 
     def stalled(self) -> bool:
         """It takes none of its answers, or is held back from a request that gets nowhere."""
-        now = self.front.dispatcher.now()
+        now = self.frontend.dispatcher.now()
         if self.queued:
-            return self.untaken(now) > self.front.limits.stall_timeout
+            return self.untaken(now) > self.frontend.limits.stall_timeout
         half = self.ended or (self.reading_paused and not self.machine.quiet())
-        return half and now - self.moved > self.front.limits.stall_timeout
+        return half and now - self.moved > self.frontend.limits.stall_timeout
 
     def untaken(self, now: int) -> int:
         """For how long the system has taken none of what is queued. What is read or queued meanwhile is no progress."""
         taken = self.transport.taken
-        if not self.untaken_since or taken != self.taken_before or self.front.turn.stood_still(now):
+        if not self.untaken_since or taken != self.taken_before or self.frontend.turn.stood_still(now):
             self.untaken_since, self.taken_before = now, taken
         return now - self.untaken_since
--- a/ternquay/net/eviction.py
+++ b/ternquay/net/eviction.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from ternquay.net.client import ClientConnection
-    from ternquay.net.front import Front
+    from ternquay.net.frontend import Frontend
 
 INTERVAL = 50 * MS  # between two looks while all places are taken
 # Who waits may have a few hundred milliseconds left, so the least of these is no more than a part of that.
@@ -23,20 +23,20 @@
 STOPPED = 100 * MS  # without another byte of a request that has begun
 
 
-def evict(front: "Front", most: int) -> int:
+def evict(frontend: "Frontend", most: int) -> int:
     """Ends so many clients at most; how many it was."""
-    return sum(1 for _ in islice(_evicted(front), most))
+    return sum(1 for _ in islice(_evicted(frontend), most))
 
 
-def _evicted(front: "Front") -> Iterator["ClientConnection"]:
-    now = front.dispatcher.now()
-    for client in [one for one in front.resting if one.answered or now - one.moved >= SILENT]:
-        if client in front.resting and front.close_resting(client):
+def _evicted(frontend: "Frontend") -> Iterator["ClientConnection"]:
+    now = frontend.dispatcher.now()
+    for client in [one for one in frontend.resting if one.answered or now - one.moved >= SILENT]:
+        if client in frontend.resting and frontend.close_resting(client):
             yield client
-    stopped = [one for one in front.unfinished if _stopped(one, now)]
+    stopped = [one for one in frontend.unfinished if _stopped(one, now)]
     for client in sorted(stopped, key=lambda one: one.deadline.last):
         # The end of one may set off that of another.
-        if client in front.unfinished and not client.has_unread_bytes():
+        if client in frontend.unfinished and not client.has_unread_bytes():
             client.end_request(CloseReason.STOPPED)
             yield client
 
--- a/ternquay/net/front.py
+++ b/ternquay/net/frontend.py
@@ -18,7 +18,7 @@
 SETTLE = 20 * MS  # between an answer and the close of a connection that is one too many
 
 
-class Front(Factory):
+class Frontend(Factory):
     noisy = False
 
     def __init__(self, reactor: Any, dispatcher: Dispatcher, limits: Limits, sockets: Sockets, turn: Turn) -> None:
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -21,7 +21,7 @@
 from ternquay.net.closing import all_accepted, once_paid
 from ternquay.net.discovery import Discovery
 from ternquay.net.dispatcher import Dispatcher, cancel_call
-from ternquay.net.front import Front
+from ternquay.net.frontend import Frontend
 from ternquay.net.inherited import adopt, inherited
 from ternquay.net.launch import Launch, LaunchError, read_launch
 from ternquay.net.limits import SECOND
@@ -78,7 +78,7 @@
         self.pool = self.dispatcher.pool = Pool(reactor, self.dispatcher, self.limits, sockets, launch.start.parallel)
         self.turn = Turn(self.limits.turn_duration)
         self.dispatcher.stood_still = self.turn.stood_still
-        self.front = Front(reactor, self.dispatcher, self.limits, sockets, self.turn)
+        self.frontend = Frontend(reactor, self.dispatcher, self.limits, sockets, self.turn)
         self.discovery = self._discovery(launch.discovery)
         self.port: Any = None
         self.listen_until = reactor.seconds() + LISTEN_WITHIN
@@ -101,9 +101,9 @@
         if self.management is not None and self.launch.management is not None:
             self.management.begin(self.launch.management)
         self.pool.sweep()
-        self.front.sweep()
+        self.frontend.sweep()
         if held is not None:
-            self._beside(lambda: self._open(adopt(self.reactor, Listener, held, self.front)))
+            self._beside(lambda: self._open(adopt(self.reactor, Listener, held, self.frontend)))
             return
         # Once the loop runs: what the system accepts while a start still takes its time is ours, and waits unread.
         if self.launch.start.watch_list:
@@ -119,7 +119,7 @@
         if self.ending or self.port is not None:
             return
         try:
-            self._open(self.reactor.listenTCP(where.port, self.front, self.limits.backlog, where.host))
+            self._open(self.reactor.listenTCP(where.port, self.frontend, self.limits.backlog, where.host))
         except (CannotListenError, OSError) as fault:
             self._not_listening(fault.socketError if isinstance(fault, CannotListenError) else fault)
 
@@ -137,10 +137,10 @@
             port.stopListening()
             return
         self.port = port
-        port.room, port.accepted, port.failed = self.front.room, self.turn.accepted, self.front.shed
-        self.front.gate = lambda accept: port.gate(accept and not self.shut)
+        port.room, port.accepted, port.failed = self.frontend.room, self.turn.accepted, self.frontend.shed
+        self.frontend.gate = lambda accept: port.gate(accept and not self.shut)
         if isinstance(port, Listener):
-            self.front.waiting = port.waiting
+            self.frontend.waiting = port.waiting
         logger.info("{} serves on {}", self.launch.name, self.launch.listen)
 
     def _beside(self, then: Callable[[], None]) -> None:
@@ -165,8 +165,8 @@
         shut = self.replacement.other_serves and (self.drained or self.ending)
         if shut != self.shut and self.port is not None:
             self.shut = shut
-            self.front.gate(not self.front.held_up)
-        self.front.has_room()  # as the ceiling may have risen
+            self.frontend.gate(not self.frontend.held_up)
+        self.frontend.has_room()  # as the ceiling may have risen
 
     def reload(self) -> None:
         """SIGHUP: the file is read again; where it can't be used, all stays as it is."""
@@ -203,12 +203,12 @@
     def out_of_service(self) -> str:
         """Drains: an `mn` is told at once, clients are served for a moment, then each is closed after its answer."""
         if not self.drained:
-            self.drained, self.front.hello = True, meta.OUT_OF_SERVICE
+            self.drained, self.frontend.hello = True, meta.OUT_OF_SERVICE
             self.leaves = [
                 self.reactor.callLater(at / SECOND, step)
                 for at, step in (
-                    (self.limits.accept_grace, lambda: self.front.leave(self.limits.new_client_grace)),
-                    (self.limits.drain_cutoff_after, self.front.cut_off),
+                    (self.limits.accept_grace, lambda: self.frontend.leave(self.limits.new_client_grace)),
+                    (self.limits.drain_cutoff_after, self.frontend.cut_off),
                 )
             ]
             logger.info("out of service, {} transactions open", len(self.dispatcher.txs))
@@ -219,7 +219,7 @@
             return "ending"
         if self.drained:
             self._undrained()
-            self.front.leaving, self.front.hello = False, meta.HELLO
+            self.frontend.leaving, self.frontend.hello = False, meta.HELLO
             logger.info("in service")
         return ""
 
@@ -250,7 +250,7 @@
         if self.replacement is not None and self.replacement.other_serves:
             # What comes now is the other process's, and so is who has its answer.
             self._close_door()
-            self.front.leave(self.limits.new_client_grace)
+            self.frontend.leave(self.limits.new_client_grace)
             self._wait()
         self.dispatcher.ends_at = self.dispatcher.now() + self.limits.last_answer_after
         self.reactor.callLater(self.limits.accept_grace / SECOND, self._close_door)
@@ -258,13 +258,13 @@
         self.reactor.callLater(self.limits.stop_after / SECOND, self._stop)
 
     def _close_door(self) -> None:
-        self.front.gate = lambda accept: None
-        self.front.waiting = lambda: 0
+        self.frontend.gate = lambda accept: None
+        self.frontend.waiting = lambda: 0
         port = self.port
         # The other process, if there may be one, has the same queue.
         ours = self.replacement is None and isinstance(port, Listener)
-        if isinstance(port, Listener) and ours and not all_accepted(port, self.sockets) and not self.front.leaving:
-            self.front.shed()
+        if isinstance(port, Listener) and ours and not all_accepted(port, self.sockets) and not self.frontend.leaving:
+            self.frontend.shed()
             self.reactor.callLater(0.01, self._close_door)
             return
         self.port = None
@@ -272,11 +272,11 @@
             port.stopListening()
 
     def _leave(self) -> None:
-        self.front.leave()
+        self.frontend.leave()
         self._wait()
 
     def _wait(self) -> None:
-        if self.front.all:
+        if self.frontend.all:
             self.reactor.callLater(0.01, self._wait)
         else:
             self._stop()
@@ -284,7 +284,7 @@
     def _stop(self) -> None:
         if not self.stopping:
             self.stopping = True
-            once_paid(self.reactor, self.front.owes, self.limits.flush_timeout, self._stopped)
+            once_paid(self.reactor, self.frontend.owes, self.limits.flush_timeout, self._stopped)
 
     def _stopped(self) -> None:
         if self.reactor.running:
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -19,7 +19,7 @@
 from ternquay.facts import Names, read_start
 from ternquay.net.dispatcher import Dispatcher
 from ternquay.net.driver import TCP_INFO_LAST_DATA
-from ternquay.net.front import Front
+from ternquay.net.frontend import Frontend
 from ternquay.net.limits import derive_limits
 from ternquay.net.listing import read_list
 from ternquay.net.pool import Pool
@@ -298,10 +298,10 @@
             self.reactor, self.dispatcher, self.limits, self.sockets, start.parallel
         )
         self.turn = Turn(self.limits.turn_duration)
-        self.front = Front(self.reactor, self.dispatcher, self.limits, self.sockets, self.turn)
+        self.frontend = Frontend(self.reactor, self.dispatcher, self.limits, self.sockets, self.turn)
         self.dispatcher.watch = lambda: self.say("the list is asked for")
         self.pool.sweep()
-        self.front.sweep()
+        self.frontend.sweep()
         self.list(*(member(h) for h in range(1, hosts + 1)), whole=True)
 
     def say(self, text: str) -> None:
@@ -313,7 +313,7 @@
 
     def client(self) -> Wire:
         count = sum(w.name.startswith("client") for w in self.wires)
-        self.wires.append(Wire(self, f"client {count}", self.front.buildProtocol(None)))
+        self.wires.append(Wire(self, f"client {count}", self.frontend.buildProtocol(None)))
         return self.wires[-1]
 
     def accept(self) -> Wire:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -418,7 +418,7 @@
         one.feed(b"mg k v O1 Pc=re")
     client.unread = b"a"
     stopped(net, 1.5)
-    net.front.cut_off()
+    net.frontend.cut_off()
     assert silent.lost and not client.lost
 
 
@@ -468,7 +468,7 @@
     path.write_bytes(orjson.dumps(TOLD))
     net = Net()
     service = Service(net.reactor, read_launch(str(path), {}))
-    net.front, net.dispatcher, net.pool = service.front, service.dispatcher, service.pool
+    net.frontend, net.dispatcher, net.pool = service.frontend, service.dispatcher, service.pool
     service.begin()
     net.reactor.running = True
     net.reactor.tcpClients.clear()
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -14,7 +14,7 @@
 from twisted.web.client import ResponseDone
 
 from ternquay.hosted.host import Host
-from ternquay.hosted.shared.front import TenantFront
+from ternquay.hosted.shared.front import TenantFrontend
 from ternquay.hosted.tenants.registry import ReplaceTenant, SetState
 from ternquay.hosted.tenants.tenancy import Prepared, Process
 from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, State
@@ -48,7 +48,7 @@
         self.tenancy = self.host.tenancies["sur"]
         self.limits, self.sockets = self.tenancy.limits, self.tenancy.sockets
         self.dispatcher, self.pool = self.tenancy.dispatcher, self.tenancy.pool
-        self.front: TenantFront = self.tenancy.front
+        self.frontend: TenantFrontend = self.tenancy.frontend
 
     def turn_begins(self) -> None:
         """What comes from here on is read at once; else it waits for its turn."""
@@ -56,7 +56,7 @@
 
     def client(self, address: str = "127.0.0.1") -> Wire:
         count = sum(w.name.startswith("client") for w in self.wires)
-        self.wires.append(Wire(self, f"client {count}", self.front.buildProtocol(SimpleNamespace(host=address))))
+        self.wires.append(Wire(self, f"client {count}", self.frontend.buildProtocol(SimpleNamespace(host=address))))
         return self.wires[-1]
 
     def rests(self, address: str = "127.0.0.1") -> Wire:
@@ -101,10 +101,10 @@
     net = HostedNet()
     writes, silent = net.rests(), net.rests()
     writes.unread = b"m"
-    net.front.give_back(1)
+    net.frontend.give_back(1)
     net.run(1)
     assert silent.lost and not writes.lost
-    net.front.give_back(1)
+    net.frontend.give_back(1)
     net.run(1)
     assert not writes.lost
 
@@ -118,13 +118,13 @@
     waits.feed(mg(1))
     assert not begun(net) and not net.reactor.tcpClients, "it waits for its turn"
     if way == "given back":
-        net.front.give_back(1)
+        net.frontend.give_back(1)
     elif way == "leave":
-        net.front.leave()
+        net.frontend.leave()
     elif way == "shed":
-        net.front.shed()
-        net.front.shed()
-        net.front.shed()
+        net.frontend.shed()
+        net.frontend.shed()
+        net.frontend.shed()
     else:
         net.turn_begins()
         net.client("127.0.0.9")
@@ -287,7 +287,7 @@
     net.tenancy.common.loop.due.cancel()  # its turn does not come for 6 s
     for _ in range(6):
         net.reactor.advance(1.0)
-        net.front.swept()
+        net.frontend.swept()
         net.take()
     assert half.lost and not waits.lost, net.trace
     assert not waits.protocol.piece()
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -176,8 +176,8 @@
     written.feed(b"mn\r\n")
     first, second = net.accept(), net.accept()
     written.unread = b"m"  # it has written, and that was not read yet
-    net.front.hello = meta.OUT_OF_SERVICE
-    net.front.leave(net.limits.new_client_grace)
+    net.frontend.hello = meta.OUT_OF_SERVICE
+    net.frontend.leave(net.limits.new_client_grace)
     net.take()
     assert idle.lost and not busy.lost and not written.lost
     written.unread = None
@@ -194,7 +194,7 @@
     [w for w in net.wires if w.name.startswith("host") and not w.lost][-1].feed(va(3))
     assert late.lost
     net.run(1000)
-    assert silent.lost and not net.front.all
+    assert silent.lost and not net.frontend.all
     net.matches("net_out_of_service")
 
 
@@ -206,10 +206,10 @@
     net.accept()
     net.run(150)
     moving = net.client()
-    net.front.leave(net.limits.new_client_grace)
+    net.frontend.leave(net.limits.new_client_grace)
     net.run(80)
     moving.feed(b"mg k")
-    net.front.cut_off()
+    net.frontend.cut_off()
     assert half.lost and not busy.lost and not moving.lost
 
 
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -124,7 +124,7 @@
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     path.write_bytes(orjson.dumps(TOLD))
     service = Service(net.reactor, read_launch(str(path), {}))
-    net.front, net.dispatcher = service.front, service.dispatcher
+    net.frontend, net.dispatcher = service.frontend, service.dispatcher
     service.begin()
     return service, agent
 
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -511,7 +511,7 @@
     assert not client.lost and not client.closing
 
 
-@pytest.mark.parametrize("owner", ["front", "pool"])
+@pytest.mark.parametrize("owner", ["frontend", "pool"])
 def test_a_fault_in_one_sweep_does_not_end_the_sweeps(owner: str, monkeypatch: pytest.MonkeyPatch) -> None:
     net = Net()
     part = getattr(net, owner)
@@ -537,9 +537,9 @@
 
     def ends_both(client: Any) -> None:
         real(client)
-        net.front.drop(second.protocol, CloseReason.MEMORY)
+        net.frontend.drop(second.protocol, CloseReason.MEMORY)
 
     monkeypatch.setattr(type(first.protocol), "end_request", ends_both)
     net.run(2700)
-    assert first.lost and second.lost and not net.front.unfinished
+    assert first.lost and second.lost and not net.frontend.unfinished
     assert net.dispatcher.safety.closes == {CloseReason.REQUEST_OVERDUE: 1, CloseReason.MEMORY: 1}
