--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -32,9 +32,9 @@
 from ternquay.net import library_log
 from ternquay.net.closing import once_paid
 from ternquay.net.limits import MS, SECOND
+from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.safety import CloseReason
 from ternquay.net.serve import MonotonicReactor
-from ternquay.net.turn import Turn
 
 SWEEP = 250 * MS
 REMOVE_AGAIN = 1.0  # seconds
@@ -47,8 +47,8 @@
 
     def __init__(self, reactor: Any, service: Service, registry: Registry) -> None:
         self.reactor, self.service, self.registry = reactor, service, registry
-        self.turn = Turn(SECOND)
-        self.loop = Loop(reactor, lambda: int(reactor.seconds() * SECOND), self.turn)
+        self.loop_timing = LoopTiming(SECOND)
+        self.loop = Loop(reactor, lambda: int(reactor.seconds() * SECOND), self.loop_timing)
         self.lent = Lent(max(16, service.process.sockets - OWN_DESCRIPTORS))
         self.memory = service.process.memory_mb << 20
         self.own = service.fellows.address if service.fellows is not None else ""
@@ -90,7 +90,7 @@
         self._sweep()
 
     def _made(self, name: str) -> Tenancy:
-        tenancy = Tenancy(self.common, self.registry.tenants[name], self.turn)
+        tenancy = Tenancy(self.common, self.registry.tenants[name], self.loop_timing)
         self.tenancies[name] = self.by_id[tenancy.id] = tenancy
         return tenancy
 
@@ -430,7 +430,7 @@
     running = Running(reactor, service)
     try:
         running.begin()
-        reactor.mark_turns(running.host.turn)
+        reactor.mark_turns(running.host.loop_timing)
         # What is there now stays: to look through it again and again held all transactions up for 50 to 80 ms.
         gc.collect()
         gc.freeze()
--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -17,9 +17,9 @@
 from ternquay.net.frontend import Frontend
 from ternquay.net.limits import Limits
 from ternquay.net.listener import Listener
+from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.safety import CloseReason, RefuseReason
 from ternquay.net.sockets import Sockets
-from ternquay.net.turn import Turn
 
 STEP = 4  # commands, or connections accepted, between two looks at the clock
 BACKLOG = 16 << 10  # bytes that wait unread on one connection before no more are read from it
@@ -88,7 +88,7 @@
             return
         front = self.frontend
         if not self.unread_since:
-            self.unread_since = self.first_since() or front.turn.before
+            self.unread_since = self.first_since() or front.loop_timing.before
         self.arrived += len(data)
         self.machine.add(data)
         if self.waits or self.stuck:
@@ -138,7 +138,7 @@
         clock = self.frontend.loop.clock
         end = clock() + PIECE
         while True:
-            self.since, self.turn = self.unread_since, self.frontend.turn.count
+            self.since, self.turn = self.unread_since, self.frontend.loop_timing.count
             self.frontend.busy(self)
             items = self.machine.read(STEP, self.over)
             self.read(items)
@@ -204,12 +204,12 @@
         dispatcher: Dispatcher,
         limits: Limits,
         sockets: Sockets,
-        turn: Turn,
+        loop_timing: LoopTiming,
         loop: Loop,
         name: str,
         dues: Dues,
     ) -> None:
-        super().__init__(reactor, dispatcher, limits, sockets, turn)
+        super().__init__(reactor, dispatcher, limits, sockets, loop_timing)
         self.loop, self.name, self.dues = loop, name, dues
         self.by_address: dict[str, dict[TenantClient, None]] = {}
         self.shut = self.open_most = self.busy_clients = 0
--- a/ternquay/hosted/shared/loop.py
+++ b/ternquay/hosted/shared/loop.py
@@ -11,7 +11,7 @@
 
 from ternquay.hosted.shared.fairness import Ceiling, Turns
 from ternquay.net.limits import MS, SECOND
-from ternquay.net.turn import Turn
+from ternquay.net.loop_timing import LoopTiming
 
 QUANTUM, CLIENT_QUANTUM = MS, MS // 2
 SLICE = 3 * MS // 2  # of one turn of the reactor; others' answers and timers come after it
@@ -71,10 +71,10 @@
 
 
 class Loop:
-    """Times are whole nanoseconds on `clock`; `turn` knows when this turn of the reactor began."""
+    """Times are whole nanoseconds on `clock`; `loop_timing` knows when this turn of the reactor began."""
 
-    def __init__(self, reactor: Any, clock: Callable[[], int], turn: Turn) -> None:
-        self.reactor, self.clock, self.turn = reactor, clock, turn
+    def __init__(self, reactor: Any, clock: Callable[[], int], loop_timing: LoopTiming) -> None:
+        self.reactor, self.clock, self.loop_timing = reactor, clock, loop_timing
         self.turns = Turns(QUANTUM)
         self.parts: dict[str, Part] = {}
         self.held: set[str] = set()  # over their ceilings
@@ -98,11 +98,11 @@
         if self.turns.waiting or name in self.held or part is None:
             return False
         now = self.clock()
-        return now - self.turn.began < SLICE and not part.ceiling.wait(now)
+        return now - self.loop_timing.began < SLICE and not part.ceiling.wait(now)
 
     def late(self, more: int) -> bool:
         """Whether this turn of the reactor has lasted a slice and so much more."""
-        return self.clock() - self.turn.began > SLICE + more
+        return self.clock() - self.loop_timing.began > SLICE + more
 
     def ready(self, name: str, who: str, work: Work) -> None:
         """It waits until its turn comes."""
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -22,10 +22,10 @@
 from ternquay.net.host_connection import HostConnection
 from ternquay.net.limits import SECOND, Limits, derive_limits
 from ternquay.net.listing import Address, Member
+from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.pool import Pool
 from ternquay.net.safety import CloseReason, ServerCloseReason
 from ternquay.net.start_times import StartTimes
-from ternquay.net.turn import Turn
 
 MOST_HOPS, BACKOFF_MOST, SPARE = 4, SECOND, 8
 NUMBERS_MOST = 10_000
@@ -234,7 +234,7 @@
 
 
 class Tenancy:
-    def __init__(self, common: Common, entry: TenantEntry, turn: Turn) -> None:
+    def __init__(self, common: Common, entry: TenantEntry, loop_timing: LoopTiming) -> None:
         self.common, self.entry = common, entry
         self.id = f"{entry.tenant.name}.{entry.incarnation}"  # one made again under the name is another one
         tenant, reactor = entry.tenant, common.reactor
@@ -248,11 +248,11 @@
         self.pool = self.dispatcher.pool = TenantPool(
             common.loop, self.id, reactor, self.dispatcher, self.limits, self.sockets, True
         )
-        self.turn = OwnTurn(turn, self.limits.turn_duration)
-        self.dispatcher.stood_still = self.turn.stood_still
+        self.loop_timing = TenantLoopTiming(loop_timing, self.limits.turn_duration)
+        self.dispatcher.stood_still = self.loop_timing.stood_still
         self.dues = Dues(tenant.limits.txs_a_second, tenant.limits.burst)
         self.frontend = TenantFrontend(
-            reactor, self.dispatcher, self.limits, self.sockets, self.turn, common.loop, self.id, self.dues
+            reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing, common.loop, self.id, self.dues
         )
         self.frontend.open_most = tenant.limits.open_txs
         self.frontend.gate = self._gate
@@ -299,13 +299,13 @@
         self.limits = limits_of(self.common.process, tenant)
         self.dispatcher.limits = self.pool.limits = self.frontend.limits = self.sockets.limits = self.limits
         self.sockets.hosts_most = tenant.limits.host_connections
-        self.turn.most = self.limits.turn_duration
+        self.loop_timing.most = self.limits.turn_duration
         self.dues.change(tenant.limits.txs_a_second, tenant.limits.burst)
         self.frontend.open_most = tenant.limits.open_txs
 
     def _open(self, prepared: Prepared) -> None:
         for place, port in prepared.ports.items():
-            port.open(self.frontend, self.turn.accepted)
+            port.open(self.frontend, self.loop_timing.accepted)
             self.ports[place] = port
 
     def _gate(self, accept: bool) -> None:
@@ -437,10 +437,10 @@
     return Endpoint(where.host, where.port)
 
 
-class OwnTurn(Turn):
+class TenantLoopTiming(LoopTiming):
     """One tenant's view of the reactor's turns: when they began is the same for all, what is too long is not."""
 
-    def __init__(self, whole: Turn, most: int) -> None:
+    def __init__(self, whole: LoopTiming, most: int) -> None:
         self.whole, self.most, self.behind = whole, most, 0
 
     @property
--- a/ternquay/net/frontend.py
+++ b/ternquay/net/frontend.py
@@ -10,9 +10,9 @@
 from ternquay.net.dispatcher import DelayedCall, Dispatcher, cancel_call
 from ternquay.net.eviction import INTERVAL, evict
 from ternquay.net.limits import MS, SECOND, Limits
+from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.safety import CloseReason, may_close
 from ternquay.net.sockets import Sockets
-from ternquay.net.turn import Turn
 
 LOOK_AGAIN = 50 * MS  # between two looks for requests that are overdue, at least
 SETTLE = 20 * MS  # between an answer and the close of a connection that is one too many
@@ -21,8 +21,16 @@
 class Frontend(Factory):
     noisy = False
 
-    def __init__(self, reactor: Any, dispatcher: Dispatcher, limits: Limits, sockets: Sockets, turn: Turn) -> None:
-        self.reactor, self.dispatcher, self.limits, self.sockets, self.turn = reactor, dispatcher, limits, sockets, turn
+    def __init__(
+        self, reactor: Any, dispatcher: Dispatcher, limits: Limits, sockets: Sockets, loop_timing: LoopTiming
+    ) -> None:
+        self.reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing = (
+            reactor,
+            dispatcher,
+            limits,
+            sockets,
+            loop_timing,
+        )
         self.all: set[ClientConnection] = set()
         self.queued = self.kept = 0  # bytes of all clients
         self.resting: dict[ClientConnection, None] = {}  # idle ones, the longest first
@@ -46,8 +54,8 @@
     def came(self, client: ClientConnection) -> None:
         self.all.add(client)
         client.crowded = not self.sockets.client_opened()
-        client.moved, client.since = self.dispatcher.now(), self.turn.waits_since()
-        client.made, client.turn = client.moved, self.turn.count
+        client.moved, client.since = self.dispatcher.now(), self.loop_timing.waits_since()
+        client.made, client.turn = client.moved, self.loop_timing.count
         self.unproven[client] = None
         self.idle(client)
         if self.sockets.full():
--- a/ternquay/net/turn.py
+++ b/ternquay/net/loop_timing.py
@@ -12,7 +12,7 @@
 STOOD = 100_000_000  # a poll that comes back so late, or a turn that lasts so long: the process stood still
 
 
-class Turn:
+class LoopTiming:
     """Times are whole nanoseconds on the clock of whoever calls. Without a poller it stands still."""
 
     def __init__(self, most: int) -> None:
@@ -63,7 +63,7 @@
         return self.began > 0 and now - self.began > self.most
 
 
-class MarkedPoll:
+class TimedPoller:
     """An epoll object that tells when it was asked, and for how long at most, as it returns."""
 
     def __init__(self, poller: Any, now: Callable[[], int], told: Callable[[int, int, int, bool], None]) -> None:
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -27,13 +27,13 @@
 from ternquay.net.limits import SECOND
 from ternquay.net.listener import Listener
 from ternquay.net.listing import Address
+from ternquay.net.loop_timing import LoopTiming, TimedPoller
 from ternquay.net.management import ManagementPort
 from ternquay.net.poller import RetryingPoller
 from ternquay.net.pool import Pool
 from ternquay.net.sockets import Sockets
 from ternquay.net.start_times import StartTimes
 from ternquay.net.transports import PatientConnector
-from ternquay.net.turn import MarkedPoll, Turn
 
 FIRST_LOOK = 0.001  # seconds: the loop has run once
 # An address that is taken, or can't be ours, is a fault of the configuration; anything else may pass.
@@ -50,9 +50,9 @@
         super().__init__()
         self._poller = RetryingPoller(self._poller)
 
-    def mark_turns(self, turn: Turn) -> None:
+    def mark_turns(self, loop_timing: LoopTiming) -> None:
         """Has the begin of each turn told; the library has no place for it but its poller."""
-        self._poller = MarkedPoll(self._poller, time.monotonic_ns, turn.begins)
+        self._poller = TimedPoller(self._poller, time.monotonic_ns, loop_timing.begins)
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Listener:
         listener = Listener(port, factory, backlog, interface, self)
@@ -76,9 +76,9 @@
         self.shut = False  # another process takes the clients
         self.dispatcher = Dispatcher(reactor, launch.start, launch.names, self.limits, decisions)
         self.pool = self.dispatcher.pool = Pool(reactor, self.dispatcher, self.limits, sockets, launch.start.parallel)
-        self.turn = Turn(self.limits.turn_duration)
-        self.dispatcher.stood_still = self.turn.stood_still
-        self.frontend = Frontend(reactor, self.dispatcher, self.limits, sockets, self.turn)
+        self.loop_timing = LoopTiming(self.limits.turn_duration)
+        self.dispatcher.stood_still = self.loop_timing.stood_still
+        self.frontend = Frontend(reactor, self.dispatcher, self.limits, sockets, self.loop_timing)
         self.discovery = self._discovery(launch.discovery)
         self.port: Any = None
         self.listen_until = reactor.seconds() + LISTEN_WITHIN
@@ -137,7 +137,7 @@
             port.stopListening()
             return
         self.port = port
-        port.room, port.accepted, port.failed = self.frontend.room, self.turn.accepted, self.frontend.shed
+        port.room, port.accepted, port.failed = self.frontend.room, self.loop_timing.accepted, self.frontend.shed
         self.frontend.gate = lambda accept: port.gate(accept and not self.shut)
         if isinstance(port, Listener):
             self.frontend.waiting = port.waiting
@@ -309,7 +309,7 @@
     installReactor(reactor)
     service = Service(reactor, launch, decisions)
     service.begin()
-    reactor.mark_turns(service.turn)
+    reactor.mark_turns(service.loop_timing)
     # What is there now stays. Against a look through all of it while it serves: that took 30 ms, of a whole core, in
     # which every answer is late and no client's end is seen.
     gc.freeze()
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -22,9 +22,9 @@
 from ternquay.net.frontend import Frontend
 from ternquay.net.limits import derive_limits
 from ternquay.net.listing import read_list
+from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.pool import Pool
 from ternquay.net.sockets import Sockets
-from ternquay.net.turn import Turn
 
 READ = m.Profile(m.Kind.IDEMPOTENT, m.Scope.ALL, 0, 600 * MS, 1500 * MS, 0.0)
 MARKED = replace(READ, kind=m.Kind.JOURNALLED, memory=300 * MS)
@@ -297,8 +297,8 @@
         self.pool = self.dispatcher.pool = Pool(
             self.reactor, self.dispatcher, self.limits, self.sockets, start.parallel
         )
-        self.turn = Turn(self.limits.turn_duration)
-        self.frontend = Frontend(self.reactor, self.dispatcher, self.limits, self.sockets, self.turn)
+        self.loop_timing = LoopTiming(self.limits.turn_duration)
+        self.frontend = Frontend(self.reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing)
         self.dispatcher.watch = lambda: self.say("the list is asked for")
         self.pool.sweep()
         self.frontend.sweep()
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -20,7 +20,7 @@
 from ternquay.hosted.tenants.ledger import FAILS, GONE_KEPT, Ledger, Named
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, InvalidField, Key, Scope
-from ternquay.net.turn import Turn
+from ternquay.net.loop_timing import LoopTiming
 from tests.helper import START, T0
 from tests.hosted_helper import document
 from tests.test_registry import LIMITS, made, tenant
@@ -441,7 +441,7 @@
     def __init__(self) -> None:
         self.at = 0
         self.calls: list[tuple[int, Any, tuple[Any, ...]]] = []
-        self.turn = Turn(SECOND)
+        self.turn = LoopTiming(SECOND)
         self.loop = Loop(self, self.now, self.turn)
         self.had: dict[str, int] = {}
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,9 +18,9 @@
 from ternquay.net.discovery import Discovery
 from ternquay.net.launch import LaunchError, read_launch
 from ternquay.net.listing import Address, ToldWrong
+from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.serve import Service
 from ternquay.net.start_times import StartTimes
-from ternquay.net.turn import Turn
 from tests.helper import FACTS, Net, Wire, member
 
 
@@ -572,25 +572,25 @@
     # Before, a balancer with twice the load that it can carry answered a third of it, much past the hard limit.
     net = Net()
     start = net.dispatcher.now()
-    net.turn.begins(start)
+    net.loop_timing.begins(start)
     client = net.client()
     client.feed(mg(1))
     host = net.accept()
     host.feed(va(1))
-    net.turn.begins(start + 300_000_000)
+    net.loop_timing.begins(start + 300_000_000)
     net.reactor.advance(0.3)
     client.feed(mg(2, ttl=600))  # may have come just after the poll before
     host.feed(va(2))
     net.reactor.advance(net.limits.turn_duration / 1e9 + 0.001)
     client.feed(mg(3))
-    net.turn.begins(net.dispatcher.now())
+    net.loop_timing.begins(net.dispatcher.now())
     client.feed(mg(4))
     host.feed(va(4))
     net.matches("net_long_turn")
 
 
 def test_a_client_that_waited_to_be_accepted_has_waited_since_the_last_look_at_all() -> None:
-    turn = Turn(10)
+    turn = LoopTiming(10)
     turn.begins(100)
     assert (turn.unread(105, 0), turn.waits_since()) == (5, 100)
     turn.begins(200)
@@ -604,7 +604,7 @@
 
 
 def test_what_comes_while_the_loop_stands_idle_has_not_waited() -> None:
-    turn = Turn(1_000_000)
+    turn = LoopTiming(1_000_000)
     turn.begins(1_000_000_000)
     # The poll had nothing to tell for 250 ms, and came back at once when there was something.
     turn.begins(1_250_000_000, asked=1_000_200_000)
--- a/tests/test_stood_still.py
+++ b/tests/test_stood_still.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from ternquay.net.turn import STOOD, Turn
+from ternquay.net.loop_timing import STOOD, LoopTiming
 from tests.helper import FACTS, Listening, Net, member
 from tests.hosted_helper import ROOT
 from tests.test_endings import TurnsAway, begun
@@ -24,7 +24,7 @@
 
 
 def test_a_poll_that_comes_back_late_tells_of_what_came_while_the_process_stood_still() -> None:
-    turn, now = Turn(60 * MS), SECOND
+    turn, now = LoopTiming(60 * MS), SECOND
     turn.begins(now, now - 50 * MS, 250 * MS)
     assert not turn.stood_still(now)
     turn.begins(now + 2 * SECOND, now + MS, 250 * MS)
@@ -36,7 +36,7 @@
 
 def test_a_poll_that_comes_back_late_with_nothing_leaves_it_to_the_next_one() -> None:
     """As one does that a stop has interrupted, and whose time is over by then."""
-    turn, now = Turn(60 * MS), SECOND
+    turn, now = LoopTiming(60 * MS), SECOND
     turn.begins(now, now, 250 * MS)
     turn.begins(now + 2 * SECOND, now + MS, 250 * MS, False)
     turn.begins(now + 2 * SECOND + 2 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
@@ -47,7 +47,7 @@
 
 
 def test_nothing_is_owed_by_a_poll_that_had_to_wait_again() -> None:
-    turn, now = Turn(60 * MS), SECOND
+    turn, now = LoopTiming(60 * MS), SECOND
     turn.begins(now, now, 250 * MS)
     turn.begins(now + 2 * SECOND, now + MS, 250 * MS, False)
     turn.begins(now + 2 * SECOND + 50 * MS, now + 2 * SECOND + MS, 250 * MS)
@@ -55,7 +55,7 @@
 
 
 def test_a_turn_that_lasts_is_one_in_which_the_process_stood_still_and_so_is_the_next() -> None:
-    turn, now = Turn(60 * MS), SECOND
+    turn, now = LoopTiming(60 * MS), SECOND
     turn.begins(now, now, 250 * MS)
     assert not turn.stood_still(now + STOOD) and turn.stood_still(now + STOOD + 1)
     turn.begins(now + STOOD + 2 * MS, now + STOOD + MS, 250 * MS)
@@ -63,7 +63,7 @@
 
 
 def test_a_poll_that_waits_for_ever_is_never_late() -> None:
-    turn = Turn(60 * MS)
+    turn = LoopTiming(60 * MS)
     turn.begins(100 * SECOND, SECOND, -1)
     assert not turn.stood_still(100 * SECOND) and turn.unread(100 * SECOND, 0) == 0
 
