--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -30,7 +30,7 @@
 from ternquay.hosted.tenants.tenancy import Common, Prepared, Tenancy, bound
 from ternquay.hosted.tenants.tenant import Guarantee, InvalidField, State, Tenant
 from ternquay.net import library_log
-from ternquay.net.closing import once_paid
+from ternquay.net.closing import after_answers_sent
 from ternquay.net.limits import MS, SECOND
 from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.safety import CloseReason
@@ -287,7 +287,7 @@
     def _stop(self) -> None:
         if not self.stopping:
             self.stopping = True
-            once_paid(self.reactor, self._owes, self.flush, self._stopped)
+            after_answers_sent(self.reactor, self._owes, self.flush, self._stopped)
 
     def _owes(self) -> bool:
         return any(tenancy.frontend.owes() for tenancy in self.tenancies.values())
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -16,7 +16,7 @@
 from ternquay.hosted.tenants.ledger import Ledger, Named
 from ternquay.hosted.tenants.registry import TenantEntry
 from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Server, State, Tenant
-from ternquay.net.closing import all_accepted
+from ternquay.net.closing import accept_all_waiting
 from ternquay.net.discovery import Discovery
 from ternquay.net.dispatcher import Dispatcher, OutgoingHop
 from ternquay.net.host_connection import HostConnection
@@ -328,7 +328,7 @@
         return not self.ports
 
     def _close_port(self, place: Endpoint, waits: bool = False) -> None:
-        if all_accepted(self.ports[place], self.sockets) or not waits:
+        if accept_all_waiting(self.ports[place], self.sockets) or not waits:
             self.ports.pop(place).stopListening()
 
     def over(self) -> bool:
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -246,7 +246,7 @@
         # Against more than there is time for: all that is taken makes all else late, past its hard limit too.
         late = loop_timing.over(now)
         if late:
-            self.frontend.dispatcher.tell(
+            self.frontend.dispatcher.log(
                 "WARNING", "short of CPU: what comes late in a turn of the loop is rolled back"
             )
         why = self.no_room(late)
--- a/ternquay/net/closing.py
+++ b/ternquay/net/closing.py
@@ -17,7 +17,7 @@
     def accept(self) -> None: ...
 
 
-def all_accepted(port: Accepting, sockets: Sockets) -> bool:
+def accept_all_waiting(port: Accepting, sockets: Sockets) -> bool:
     """Whether nobody waits at the door: who was let in by the system only would be reset, with what it wrote."""
     while not sockets.full():
         before = port.sessionno
@@ -27,7 +27,7 @@
     return False
 
 
-def once_paid(reactor: Any, owes: Callable[[], bool], most: int, then: Callable[[], None]) -> None:
+def after_answers_sent(reactor: Any, owes: Callable[[], bool], most: int, then: Callable[[], None]) -> None:
     """Calls `then` once nothing is owed, or after so long.
 
     What is answered in this very turn, by a loop that is behind, is written in the next one.
--- a/ternquay/net/discovery.py
+++ b/ternquay/net/discovery.py
@@ -240,7 +240,7 @@
         if how is CallFailure.CORRUPT:
             # What it told is lost, so that only the whole list says how things stand; it is taken at any revision.
             self.revision = -1
-        self.dispatcher.tell("WARNING", "discovery: {}", why)
+        self.dispatcher.log("WARNING", "discovery: {}", why)
         self._ended_once()
         self._next(self.schedule.failed(self.dispatcher.now(), how))
 
--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -15,10 +15,10 @@
 from ternquay import model as m
 from ternquay.balance import FORGET, Balancer
 from ternquay.facts import Names
-from ternquay.net.flood import Flood
 from ternquay.net.flow import Flow
 from ternquay.net.limits import SECOND, Limits
 from ternquay.net.listing import Address, Member
+from ternquay.net.log_limiter import LogRateLimiter
 from ternquay.net.safety import Attempt, RefuseReason, Safety
 
 
@@ -125,8 +125,8 @@
     ) -> None:
         self.clock, self.names, self.limits = clock, names, limits
         self.start = start
-        self.tell = Flood(clock.seconds, limits.warning_interval).tell
-        self.safety = Safety(self.now, self.tell)
+        self.log = LogRateLimiter(clock.seconds, limits.warning_interval).log
+        self.safety = Safety(self.now, self.log)
         self.balancer = decisions(start)
         self.timer: DelayedCall | None = None  # the decisions' one
         self.draw = Random(f"{start.seed}.{start.number}")
@@ -174,7 +174,7 @@
         try:
             actions = self.balancer.decide(self.now(), event)
         except Exception:
-            self.tell("ERROR", "the decisions failed on {}", type(event).__name__, trace=True)
+            self.log("ERROR", "the decisions failed on {}", type(event).__name__, trace=True)
             # What they had decided by then they count on: a hop that is not heard of again would be out for ever.
             actions, failed = self.balancer.actions if self.balancer.actions is not before else [], True
         for action in actions:
@@ -182,7 +182,7 @@
                 self._act(action)
             except Exception:
                 # One that fails takes no others with it: another's answer, or the timer of all.
-                self.tell("ERROR", "{} failed", type(action).__name__, trace=True)
+                self.log("ERROR", "{} failed", type(action).__name__, trace=True)
                 if isinstance(action, m.SendHop):
                     self._failed(action)
         if failed and isinstance(event, m.TxArrived):
@@ -283,7 +283,7 @@
 
     def _overdue(self, tx: OpenTx) -> None:
         if not tx.answered:
-            self.tell("ERROR", "a transaction was not answered by its hard limit")
+            self.log("ERROR", "a transaction was not answered by its hard limit")
             self._abandon(tx.id)
             self.happened(m.TxGone(tx.id))
 
--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -158,7 +158,7 @@
             if self.pool.kept > self.pool.limits.buffered_bytes:
                 self.machine.fault = "more than there is room for"
         if self.machine.fault and not self.closing:
-            self.pool.dispatcher.tell("WARNING", "{} answered badly: {}", self.host.address, self.machine.fault)
+            self.pool.dispatcher.log("WARNING", "{} answered badly: {}", self.host.address, self.machine.fault)
             self.drop(ServerCloseReason.BAD_ANSWER)
 
     def answered(self, answer: Answer) -> None:
--- a/ternquay/net/flood.py
+++ b/ternquay/net/log_limiter.py
@@ -8,12 +8,12 @@
 from ternquay.net.limits import SECOND
 
 
-class Flood:
+class LogRateLimiter:
     def __init__(self, seconds: Callable[[], float], every: int) -> None:
         self.seconds, self.every = seconds, every / SECOND
         self.kinds: dict[str, tuple[float, int]] = {}  # when last told, and how many were held back since
 
-    def tell(self, level: str, text: str, *args: Any, trace: bool = False) -> None:
+    def log(self, level: str, text: str, *args: Any, trace: bool = False) -> None:
         now = self.seconds()
         last, held = self.kinds.get(text, (now - self.every, 0))
         if now - last < self.every:
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -159,8 +159,8 @@
             while place.idle and place.idle[0].idle_since <= before:
                 place.idle[0].retire(ServerCloseReason.UNFIT)
             for connection in [c for c in place.all if c.silent() and not c.has_unread_bytes()]:
-                self.dispatcher.tell("WARNING", "{} breaks off a large value", place.address)
+                self.dispatcher.log("WARNING", "{} breaks off a large value", place.address)
                 connection.drop(ServerCloseReason.VALUE_STOPPED)
             for connection in [c for c in place.all if c.takes_nothing()]:
-                self.dispatcher.tell("WARNING", "{} takes no more of a large value", place.address)
+                self.dispatcher.log("WARNING", "{} takes no more of a large value", place.address)
                 connection.drop(ServerCloseReason.VALUE_STOPPED)
--- a/ternquay/net/safety.py
+++ b/ternquay/net/safety.py
@@ -132,8 +132,8 @@
     Requests are named by a function that tells their id, as most of the time nobody wants to know it.
     """
 
-    def __init__(self, now: Callable[[], int], tell: Callable[..., None]) -> None:
-        self.now, self.tell = now, tell
+    def __init__(self, now: Callable[[], int], log: Callable[..., None]) -> None:
+        self.now, self.log = now, log
         self.closes: Counter[CloseReason] = Counter()
         self.server_closes: Counter[ServerCloseReason] = Counter()
         self.refusals: Counter[Refusal] = Counter()
@@ -165,7 +165,7 @@
             self._violated(Violation.CLOSED_OWING, owed[0])
         if reason not in ROUTINE:
             self._keep("client closed", reason, owed[0] if owed else "")
-            self.tell("INFO", f"a client was closed: {reason.value}")
+            self.log("INFO", f"a client was closed: {reason.value}")
 
     def closing_server(self, reason: ServerCloseReason) -> None:
         """A connection to a cache host is ended."""
@@ -213,7 +213,7 @@
     def _violated(self, rule: Violation, request: str) -> None:
         self.violations[rule] += 1
         self._keep("violation", rule, request)
-        self.tell("ERROR", f"violation: {rule.value}, request {{}}", request)
+        self.log("ERROR", f"violation: {rule.value}, request {{}}", request)
 
     def _keep(self, what: str, reason: str, request: str) -> None:
         self.events.append(Event(self.now(), what, reason, request))
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -18,7 +18,7 @@
 
 from ternquay.balance import Balancer
 from ternquay.net import library_log, meta
-from ternquay.net.closing import all_accepted, once_paid
+from ternquay.net.closing import accept_all_waiting, after_answers_sent
 from ternquay.net.discovery import Discovery
 from ternquay.net.dispatcher import Dispatcher, cancel_call
 from ternquay.net.frontend import Frontend
@@ -129,7 +129,7 @@
             self.fault = LaunchError(f"listen: {self.launch.listen}: {fault}")
             self.reactor.stop()
             return
-        self.dispatcher.tell("WARNING", "can't listen yet: {}", fault.strerror)
+        self.dispatcher.log("WARNING", "can't listen yet: {}", fault.strerror)
         self.reactor.callLater(LISTEN_AGAIN, self._listen)
 
     def _open(self, port: Any) -> None:
@@ -263,7 +263,12 @@
         port = self.port
         # The other process, if there may be one, has the same queue.
         ours = self.replacement is None and isinstance(port, Listener)
-        if isinstance(port, Listener) and ours and not all_accepted(port, self.sockets) and not self.frontend.leaving:
+        if (
+            isinstance(port, Listener)
+            and ours
+            and not accept_all_waiting(port, self.sockets)
+            and not self.frontend.leaving
+        ):
             self.frontend.shed()
             self.reactor.callLater(0.01, self._close_door)
             return
@@ -284,7 +289,7 @@
     def _stop(self) -> None:
         if not self.stopping:
             self.stopping = True
-            once_paid(self.reactor, self.frontend.owes, self.limits.flush_timeout, self._stopped)
+            after_answers_sent(self.reactor, self.frontend.owes, self.limits.flush_timeout, self._stopped)
 
     def _stopped(self) -> None:
         if self.reactor.running:
