--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -72,28 +72,28 @@
         return self[name]
 
 
-def started_of(process: Process, tenant: Tenant) -> m.Started:
+def started_of(process: Process, tenant: Tenant) -> m.Config:
     """What the tenant's decisions are told. Its last share is of those who crowd others: beyond it from the first."""
     rules = tenant.rules
-    return m.Started(
+    return m.Config(
         seed=process.seed,
-        balancers=process.balancers,
-        number=process.number,
+        balancer_count=process.balancers,
+        balancer_index=process.number,
         profiles=tuple(one.profile for one in tenant.profiles),
         quotas=(*(share.txs_a_second for share in tenant.shares), 0.0),
-        aside=False,
+        cache_aside=False,
         origin_kind=-1,
         watch_list=False,
-        cancel=True,
-        parallel=True,
-        most_hops=MOST_HOPS,
-        weights=m.Weights.SIZES,
+        can_cancel=True,
+        parallel_hops=True,
+        max_hops=MOST_HOPS,
+        weight_mode=m.WeightMode.STATIC,
         max_backoff=BACKOFF_MOST,
-        quantum=0,
+        clock_quantum=0,
         cold_share=rules.cold_share,
-        warm_within=rules.warm_within,
-        tip_multiple=rules.tip_multiple,
-        tip_window=rules.tip_window,
+        warm_up_time=rules.warm_within,
+        overload_multiple=rules.tip_multiple,
+        overload_window=rules.tip_window,
     )
 
 
@@ -171,7 +171,7 @@
     """Its list goes by the ledger, and what its hops tell of machines that others name too."""
 
     told: Callable[[bool, tuple[Member, ...]], None]
-    machine_ended: Callable[[Endpoint, m.End], None]
+    machine_ended: Callable[[Endpoint, m.HopOutcome], None]
 
     def __init__(self, *terms: Any) -> None:
         super().__init__(*terms)
@@ -185,7 +185,7 @@
         super().list_told(True, members)
         self.shared = {self.hosts[id]: place for id, place in shared.items() if id in self.hosts}
 
-    def _ended(self, hop: OutgoingHop, end: m.End, answer: Any = None, note: int = 0) -> None:
+    def _ended(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
         place = self.shared.get(hop.host) if self.shared else None
         super()._ended(hop, end, answer, note)
         if place is not None:
@@ -369,7 +369,7 @@
     def _member(self, server: Server) -> Member:
         # The place stands for the host: it is the same by whatever name it goes.
         where = Address(server.endpoint.host, server.endpoint.port)
-        standing = m.Standing.DRAINING if server.draining else m.Standing.READY
+        standing = m.HostStatus.DRAINING if server.draining else m.HostStatus.READY
         cell = self.cells.get(str(where))
         return Member(str(where), where, server.zone, "", cell, standing, server.weight, server.started)
 
@@ -378,7 +378,7 @@
         old = self.members
         kept = {} if whole else dict(old)
         kept.update({member.id: member for member in members})
-        gone = {id for id, member in kept.items() if member.standing is m.Standing.GONE}
+        gone = {id for id, member in kept.items() if member.standing is m.HostStatus.GONE}
         if self.entry.tenant.source is not None and whole:
             gone |= old.keys() - kept.keys()
         places = [_place((old.get(id) or kept[id]).where) for id in gone]
@@ -404,7 +404,7 @@
         )
         self.dispatcher.settled(members, {id: line.place for id, line in lines.items() if line.shared})
 
-    def _machine_ended(self, place: Endpoint, end: m.End) -> None:
+    def _machine_ended(self, place: Endpoint, end: m.HopOutcome) -> None:
         told = self.common.ledger.ended(self.dispatcher.now(), place, end)
         if told:
             self.common.retell(told)
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -73,7 +73,7 @@
         )
         if connection is None:
             # Not the cache host's fault, and never sent.
-            self.dispatcher.hop_ended(hop, m.End.SKIPPED)
+            self.dispatcher.hop_ended(hop, m.HopOutcome.SKIPPED)
         else:
             connection.take(hop)
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -646,7 +646,7 @@
 
 def held(dispatcher, event):
     happened(dispatcher, event)
-    if isinstance(event, m.HopEnded) and event.end is m.End.FULL:
+    if isinstance(event, m.HopEnded) and event.end is m.HopOutcome.FULL:
         time.sleep(0.3)
 
 Dispatcher.happened = held
