--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -78,9 +78,9 @@
         self.pool = self.dispatcher.pool = Pool(
             reactor, self.dispatcher, self.limits, sockets, launch.start.parallel_hops
         )
-        self.turn = Turn(self.limits.turn_duration)
-        self.dispatcher.stood_still = self.turn.stood_still
-        self.front = Front(reactor, self.dispatcher, self.limits, sockets, self.turn)
+        self.loop_timing = LoopTiming(self.limits.turn_duration)
+        self.dispatcher.stood_still = self.loop_timing.stood_still
+        self.frontend = Frontend(reactor, self.dispatcher, self.limits, sockets, self.loop_timing)
         self.discovery = self._discovery(launch.discovery)
         self.port: Any = None
         self.listen_until = reactor.seconds() + LISTEN_WITHIN
