--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -30,11 +30,11 @@
 from ternquay.hosted.tenants.tenancy import Common, Prepared, Tenancy, bound
 from ternquay.hosted.tenants.tenant import Guarantee, InvalidField, State, Tenant
 from ternquay.net import library_log
-from ternquay.net.closing import once_paid
+from ternquay.net.closing import after_answers_sent
 from ternquay.net.limits import MS, SECOND
+from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.safety import CloseReason
 from ternquay.net.serve import MonotonicReactor
-from ternquay.net.turn import Turn
 
 SWEEP = 250 * MS
 REMOVE_AGAIN = 1.0  # seconds
@@ -47,8 +47,8 @@
 
     def __init__(self, reactor: Any, service: Service, registry: Registry) -> None:
         self.reactor, self.service, self.registry = reactor, service, registry
-        self.turn = Turn(SECOND)
-        self.loop = Loop(reactor, lambda: int(reactor.seconds() * SECOND), self.turn)
+        self.loop_timing = LoopTiming(SECOND)
+        self.loop = Loop(reactor, lambda: int(reactor.seconds() * SECOND), self.loop_timing)
         self.lent = Lent(max(16, service.process.sockets - OWN_DESCRIPTORS))
         self.memory = service.process.memory_mb << 20
         self.own = service.fellows.address if service.fellows is not None else ""
@@ -90,7 +90,7 @@
         self._sweep()
 
     def _made(self, name: str) -> Tenancy:
-        tenancy = Tenancy(self.common, self.registry.tenants[name], self.turn)
+        tenancy = Tenancy(self.common, self.registry.tenants[name], self.loop_timing)
         self.tenancies[name] = self.by_id[tenancy.id] = tenancy
         return tenancy
 
@@ -200,7 +200,7 @@
                     asked.addCallback(self._asked, name)
         for id, due in self.lent.owed():
             if id in self.by_id:
-                self.by_id[id].front.give_back(due)
+                self.by_id[id].frontend.give_back(due)
         self._take_memory_back()
 
     def _asked(self, reply: Any, name: str) -> None:
@@ -213,10 +213,10 @@
         held = {tenancy: tenancy.held() for tenancy in self.tenancies.values()}
         while sum(held.values()) > self.memory:
             tenancy = max(held, key=lambda t: held[t] - t.entry.tenant.limits.memory.least * self.memory)
-            clients = [client for client in tenancy.front.all if client.kept or client.queued]
+            clients = [client for client in tenancy.frontend.all if client.kept or client.queued]
             if not clients:
                 break
-            tenancy.front.drop(max(clients, key=lambda client: client.kept + client.queued), CloseReason.MEMORY)
+            tenancy.frontend.drop(max(clients, key=lambda client: client.kept + client.queued), CloseReason.MEMORY)
             held[tenancy] = tenancy.held()
 
     def process(self) -> dict[str, Any]:
@@ -269,17 +269,17 @@
         return sum(not tx.answered for tenancy in self.tenancies.values() for tx in tenancy.dispatcher.txs.values())
 
     def _close(self) -> None:
-        closed = [tenancy.close_ports(not tenancy.front.leaving) for tenancy in self.tenancies.values()]
+        closed = [tenancy.close_ports(not tenancy.frontend.leaving) for tenancy in self.tenancies.values()]
         if not all(closed):
             self.reactor.callLater(0.01, self._close)
 
     def _leave(self) -> None:
         for tenancy in self.tenancies.values():
-            tenancy.front.leave()
+            tenancy.frontend.leave()
         self._wait()
 
     def _wait(self) -> None:
-        if any(tenancy.front.all for tenancy in self.tenancies.values()):
+        if any(tenancy.frontend.all for tenancy in self.tenancies.values()):
             self.reactor.callLater(0.01, self._wait)
         else:
             self._stop()
@@ -287,10 +287,10 @@
     def _stop(self) -> None:
         if not self.stopping:
             self.stopping = True
-            once_paid(self.reactor, self._owes, self.flush, self._stopped)
+            after_answers_sent(self.reactor, self._owes, self.flush, self._stopped)
 
     def _owes(self) -> bool:
-        return any(tenancy.front.owes() for tenancy in self.tenancies.values())
+        return any(tenancy.frontend.owes() for tenancy in self.tenancies.values())
 
     def _stopped(self) -> None:
         if self.reactor.running:
@@ -430,7 +430,7 @@
     running = Running(reactor, service)
     try:
         running.begin()
-        reactor.mark_turns(running.host.turn)
+        reactor.mark_turns(running.host.loop_timing)
         # What is there now stays: to look through it again and again held all transactions up for 50 to 80 ms.
         gc.collect()
         gc.freeze()
