--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from ternquay import model as m
-from ternquay.balance import FORGET, Balancer
+from ternquay.balance import FORGET_HOST_AFTER_NS, Balancer
 from ternquay.facts import Names
 from ternquay.net.flow import Flow
 from ternquay.net.limits import SECOND, Limits
@@ -435,7 +435,7 @@
         for name in named:
             self.doubted.pop(name, None)
         if lacks and not self.doubted:
-            self.later(self.now() + FORGET + SECOND, self._forget)
+            self.later(self.now() + FORGET_HOST_AFTER_NS + SECOND, self._forget)
         for name in lacks:
             self.doubted.setdefault(name, self.now())
         lines = tuple(replace(self._line(self.members[name]), status=m.HostStatus.GONE) for name in sorted(lacks))
@@ -443,12 +443,12 @@
 
     def _forget(self) -> None:
         """Hosts that the list has lacked for so long that the decisions have forgotten them."""
-        before = self.now() - FORGET - SECOND
+        before = self.now() - FORGET_HOST_AFTER_NS - SECOND
         for name in [name for name, since in self.doubted.items() if since <= before]:
             del self.doubted[name], self.members[name]
             self.pool.unlisted(self.hosts.pop(name))
         if self.doubted:
-            self.later(min(self.doubted.values()) + FORGET + SECOND, self._forget)
+            self.later(min(self.doubted.values()) + FORGET_HOST_AFTER_NS + SECOND, self._forget)
 
     def beside(self, part: float) -> None:
         """Another process of this balancer sends to the same cache hosts, or does no more."""
--- a/ternquay/rig/baselines/plain.py
+++ b/ternquay/rig/baselines/plain.py
@@ -8,8 +8,8 @@
     def _pick(self, tx: Tx, pool: list[CacheHost]) -> CacheHost:
         raise NotImplementedError
 
-    def _choose(self, tx: Tx) -> CacheHost | None:
+    def _choose_host(self, tx: Tx) -> CacheHost | None:
         tried = {id(hop.host) for hop in tx.hops}
-        pool = [h for h in self.ready if self._usable(h) and id(h) not in tried and self._cold_room(h)]
+        pool = [h for h in self.ready if self._usable(h) and id(h) not in tried and self._has_cold_budget(h)]
         host = self._pick(tx, pool) if pool else None
-        return host if host is not None and self._in_time(tx, host) else None
+        return host if host is not None and self._meets_goal(tx, host) else None
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ternquay import model as m
-from ternquay.balance import FORGET, SECOND
+from ternquay.balance import FORGET_HOST_AFTER_NS, SECOND
 from ternquay.facts import read_start
 from ternquay.net.launch import LaunchError, read_launch
 from tests.helper import FACTS, Net, Play, line, member
@@ -104,7 +104,7 @@
 def test_no_host_is_remembered_for_longer_than_the_bound() -> None:
     play = Play(4, **ADVICE)
     play.list(line(0), line(1), whole=True)
-    play.run(FORGET // 1_000_000 - 1000)
+    play.run(FORGET_HOST_AFTER_NS // 1_000_000 - 1000)
     assert len(play.balancer.hosts) == 4
     play.run(3500)
     assert set(play.balancer.hosts) == {0, 1} and sent(play) == {0, 1}
@@ -120,7 +120,7 @@
     net.list(whole=True)
     client.feed(mg(2))
     [w for w in net.wires if w.name == "host 1" and not w.lost][-1].feed(va(2))
-    net.run(FORGET // 1_000_000 + 3000)
+    net.run(FORGET_HOST_AFTER_NS // 1_000_000 + 3000)
     assert (
         not net.dispatcher.hosts and not net.dispatcher.members and not net.dispatcher.doubted and not net.pool.places
     )
--- a/tests/test_anywhere.py
+++ b/tests/test_anywhere.py
@@ -1,7 +1,7 @@
 """Transactions that fail wherever they go: no cache host is blamed, nor the origin, and they cost few hops."""
 
 from ternquay import model as m
-from ternquay.balance import BAD_FOR, BAD_MOST, MS, SECOND
+from ternquay.balance import FAILING_KEY_TTL_NS, MAX_FAILING_KEYS, MS, SECOND
 from tests.helper import Play
 
 
@@ -29,7 +29,7 @@
     assert not any(h.ejected_until > 0 or h.on_probation for h in play.balancer.hosts.values())
     assert not play.balancer.origin_paused_until  # nor the origin
     # Few hops: two for the first tx of a key, one for each of the others while that is known.
-    assert hops < 900 // 3 + 8 * 3 * (900 * 10 * MS // BAD_FOR + 1)
+    assert hops < 900 // 3 + 8 * 3 * (900 * 10 * MS // FAILING_KEY_TTL_NS + 1)
 
 
 def test_a_cache_host_that_answers_errors_alone_is_still_found() -> None:
@@ -51,14 +51,14 @@
     tx = play.arrive(key="x")
     play.end(tx, m.HopOutcome.DONE, 0)
     assert not play.balancer.failing_keys
-    for number in range(3 * BAD_MOST):
+    for number in range(3 * MAX_FAILING_KEYS):
         play.balancer.extra_hop_tokens, play.balancer.fetch_failures, play.balancer.origin_paused_until = 10.0, 0, 0
         tx = play.arrive(key=f"x{number}")
         for at in range(2):
             if at < len(play.hops.get(tx, [])):
                 play.end(tx, m.HopOutcome.ERROR, at)
         play.run(1)
-    assert BAD_MOST // 2 < len(play.balancer.failing_keys) <= BAD_MOST
+    assert MAX_FAILING_KEYS // 2 < len(play.balancer.failing_keys) <= MAX_FAILING_KEYS
     play.run(11 * SECOND // MS)
     play.balancer.extra_hop_tokens, play.balancer.fetch_failures, play.balancer.origin_paused_until = 10.0, 0, 0
     tx = play.arrive(key="y")
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,7 +1,7 @@
 """The ordinary path, and one trace for each failure found."""
 
 from ternquay import model as m
-from ternquay.balance import MS, ORIGIN_START, RANGES
+from ternquay.balance import INITIAL_ORIGIN_LIMIT, MS, RANGE_COUNT
 from ternquay.figures import text_hash
 
 from .helper import Play, line
@@ -39,8 +39,8 @@
     small.group, small.accesses, large.group, large.accesses = 0, 1, 1, 300
     for group in range(len(b.group_loads)):
         b.group_loads.add(group, 10 if group == 7 else 1000)
-    b._place(small)
-    b._place(large)
+    b._assign_group(small)
+    b._assign_group(large)
     assert (small.group, large.group) == (7, 1)
 
 
@@ -53,7 +53,7 @@
     for n in range(5000):
         p.end(p.arrive(f"k{n}"), m.HopOutcome.DONE)
     assert hot not in p.balancer.hot_keys and sum(p.balancer.group_loads) == len(p.balancer.window)
-    assert all(0 <= number < RANGES for number in p.balancer.ranges)
+    assert all(0 <= number < RANGE_COUNT for number in p.balancer.ranges)
     # Kept, as a search for it at each of 512 placements held up everything for 20 ms.
     assert p.balancer.group_loads.min_load == min(p.balancer.group_loads)
 
@@ -168,7 +168,7 @@
     p = Play(3, origin=True)
     for n in range(30):
         p.end(p.arrive(f"w{n}", profile=1), m.HopOutcome.DONE, took=2000 if n == 20 else 50)
-    assert p.balancer.origin_limit >= ORIGIN_START / 2
+    assert p.balancer.origin_limit >= INITIAL_ORIGIN_LIMIT / 2
 
 
 def test_an_origin_late_in_the_mean_is_asked_less() -> None:
@@ -312,7 +312,7 @@
     for n in range(6):
         p.end(p.arrive(f"w{n}", profile=2), m.HopOutcome.RESET)
     p.end(p.arrive("w6", profile=2), m.HopOutcome.DONE)
-    assert p.balancer.origin_limit >= ORIGIN_START / 2 and not p.balancer.origin_paused_until
+    assert p.balancer.origin_limit >= INITIAL_ORIGIN_LIMIT / 2 and not p.balancer.origin_paused_until
     p.matches("origin_kept")
 
 
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -291,10 +291,10 @@
     for hints in ((1.0, 1.0, 1.0, 1.0), (4.0, 1.0, 0.5, 1.0)):
         old.list(*weighed(*hints), whole=True)
         for group in range(64):
-            old.balancer._order(group)
+            old.balancer._host_order(group)
     new.list(*weighed(4.0, 1.0, 0.5, 1.0), whole=True)
     for group in range(64):
-        assert [h.index for h in old.balancer._order(group)] == [h.index for h in new.balancer._order(group)]
+        assert [h.index for h in old.balancer._host_order(group)] == [h.index for h in new.balancer._host_order(group)]
 
 
 def test_ranges_are_replaced_and_the_list_changes_while_hops_are_out() -> None:
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ternquay import model as m
-from ternquay.balance import MS, ROOM_DOWN, Balancer
+from ternquay.balance import MS, RANGE_FRACTION_DOWN_PER_SECOND, Balancer
 from ternquay.facts import Names, read_start
 from ternquay.handover.notes import learned_read, learned_text
 from ternquay.rig.contender import Contender
@@ -93,8 +93,8 @@
             p.list(*live({crowd: 20.0}))
     spilled, other = homes(one, 240), homes(two, 240)
     left = [n for n, home in enumerate(before) if home == crowd and spilled[n] != crowd]
-    assert 0.3 < len(left) / before.count(crowd) < 0.9  # four steps of ROOM_DOWN
-    assert abs(one.balancer.hosts[crowd].range_fraction - (1 - 4 * ROOM_DOWN)) < 1e-9
+    assert 0.3 < len(left) / before.count(crowd) < 0.9  # four steps of RANGE_FRACTION_DOWN_PER_SECOND
+    assert abs(one.balancer.hosts[crowd].range_fraction - (1 - 4 * RANGE_FRACTION_DOWN_PER_SECOND)) < 1e-9
     # The same ranges, to the same places, at both balancers; and to several hosts, though one looked empty.
     assert spilled == other and len({spilled[n] for n in left}) > 2
     assert all(spilled[n] == home for n, home in enumerate(before) if home != crowd)
@@ -370,5 +370,5 @@
     assert told is not None
     second.feed("", told)
     second.list(*live({h: 1.0 for h in range(6)}))
-    assert second.balancer.hosts[0].range_fraction == pytest.approx(1 - ROOM_DOWN)
+    assert second.balancer.hosts[0].range_fraction == pytest.approx(1 - RANGE_FRACTION_DOWN_PER_SECOND)
     assert homes(second) == before
