--- a/ternquay/cli.py
+++ b/ternquay/cli.py
@@ -9,7 +9,7 @@
 
 from ternquay import VERSION
 from ternquay.net.__main__ import serve as serve_alone
-from ternquay.net.launch import LaunchError, read_launch
+from ternquay.net.config import ConfigError, read_config
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, help="A balancer before cache hosts.")
 File = Annotated[str, typer.Option("--config", help="The configuration; else what EDGE_CONFIG names.")]
@@ -20,7 +20,7 @@
     """A fault of the configuration ends the command with one line and a status, not with a trace."""
     try:
         yield
-    except LaunchError as fault:
+    except ConfigError as fault:
         typer.echo(f"ternquay: {fault}", err=True)
         raise typer.Exit(2) from fault
 
@@ -72,11 +72,11 @@
         )
         return
     with told_in_a_line():
-        launch = read_launch(config)
+        loaded = read_config(config)
     typer.echo(
-        f"{launch.name}: listens on {launch.listen}, "
-        f"{len(launch.known['members'])} cache hosts, {len(launch.start.profiles)} profiles, "
-        f"{launch.limits.sockets} sockets"
+        f"{loaded.name}: listens on {loaded.listen}, "
+        f"{len(loaded.initial_list['members'])} cache hosts, {len(loaded.start.profiles)} profiles, "
+        f"{loaded.limits.sockets} sockets"
     )
 
 
--- a/ternquay/handover/notes.py
+++ b/ternquay/handover/notes.py
@@ -13,7 +13,7 @@
 import orjson
 
 from ternquay import model as m
-from ternquay.net.listing import Member, address
+from ternquay.net.listing import Member, parse_address
 
 VERSION, MOST = 1, 1 << 20
 HEAD_MOST = 100
@@ -38,7 +38,7 @@
 
 def written(note: Note) -> bytes:
     """Raises NoteUnfit where it would be longer than anybody reads."""
-    members = [[x.id, str(x.where), x.zone, x.kind, x.cell, x.standing.name, x.hint, x.since] for x in note.members]
+    members = [[x.id, str(x.address), x.zone, x.kind, x.cell, x.standing.name, x.hint, x.since] for x in note.members]
     body = orjson.dumps(
         {
             "at": note.at,
@@ -75,7 +75,7 @@
         members = tuple(
             Member(
                 id=x[0],
-                where=address(x[1], "members"),
+                address=parse_address(x[1], "members"),
                 zone=x[2],
                 kind=x[3],
                 cell=x[4],
--- a/ternquay/hosted/service.py
+++ b/ternquay/hosted/service.py
@@ -26,7 +26,7 @@
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.tenancy import Process
 from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Key, Scope, Tenant, check_endpoint
-from ternquay.net.launch import descriptors
+from ternquay.net.config import descriptor_limit
 from ternquay.peers.frames import KEY_LEAST
 
 MS = 1_000_000
@@ -247,7 +247,7 @@
     if told.number >= told.balancers:
         raise InvalidField("process.number", f"there are {told.balancers} balancers, from 0")
     seed = told.seed if told.seed is not None else Random().getrandbits(64)
-    return Process(min(told.sockets, descriptors()), told.memory_mb, told.balancers, told.number, seed)
+    return Process(min(told.sockets, descriptor_limit()), told.memory_mb, told.balancers, told.number, seed)
 
 
 def _beside(path: Path, told: StoreDocument | None) -> str:
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -379,11 +379,13 @@
         gone = {id for id, member in kept.items() if member.standing is m.Standing.GONE}
         if self.entry.tenant.source is not None and whole:
             gone |= old.keys() - kept.keys()
-        places = [_place((old.get(id) or kept[id]).where) for id in gone]
+        places = [_place((old.get(id) or kept[id]).address) for id in gone]
         # Where two lines have one place, the machine there is the one that is still listed.
         self.members = {id: member for id, member in kept.items() if id not in gone}
-        taken = {_place(member.where) for member in self.members.values()}
-        named = {id: Named(_place(member.where), member.standing, member.since) for id, member in self.members.items()}
+        taken = {_place(member.address) for member in self.members.values()}
+        named = {
+            id: Named(_place(member.address), member.standing, member.since) for id, member in self.members.items()
+        }
         source = self.entry.tenant.source is not None
         told = self.common.ledger.told(
             self.door.now(), self.id, named, [place for place in places if source and place not in taken]
--- a/ternquay/net/__main__.py
+++ b/ternquay/net/__main__.py
@@ -6,7 +6,7 @@
 
 import sys
 
-from ternquay.net.launch import LaunchError, read_launch
+from ternquay.net.config import ConfigError, read_config
 
 
 def serve(config: str = "") -> str:
@@ -14,11 +14,11 @@
     # Against 5 MB that the library takes for TLS where it is installed: no address of this process has any.
     sys.modules.setdefault("OpenSSL", None)  # type: ignore[arg-type]
     try:
-        launch = read_launch(config)
+        loaded = read_config(config)
         from ternquay.net.serve import run  # the reactor is chosen as it starts
 
-        run(launch)
-    except LaunchError as fault:
+        run(loaded)
+    except ConfigError as fault:
         return str(fault)
     return ""
 
--- a/ternquay/net/discovery.py
+++ b/ternquay/net/discovery.py
@@ -19,7 +19,7 @@
 
 from ternquay.net.door import Call, Door, unschedule
 from ternquay.net.limits import MS, SECOND, Limits
-from ternquay.net.listing import Address, ToldWrong, read_list
+from ternquay.net.listing import Address, FieldError, parse_list
 from ternquay.net.start_times import StartTimes
 from ternquay.net.watch_schedule import CallFailure, CallTimes, WatchSchedule
 
@@ -148,9 +148,9 @@
 
     def take(self, told: Any) -> None:
         """Takes a list in discovery's form and goes on from its revision; what raises is not taken."""
-        revision, whole, members = read_list(told, 0)
+        revision, whole, members = parse_list(told, 0)
         if revision < self.revision:
-            raise ToldWrong(f"revision: {revision} is older than {self.revision}, which is known")
+            raise FieldError(f"revision: {revision} is older than {self.revision}, which is known")
         self.revision = revision  # before the decisions hear of it, as they may ask for the next at once
         self.door.list_told(whole, self.start_times.dated(whole, members, self.door.now()))
 
--- a/ternquay/net/door.py
+++ b/ternquay/net/door.py
@@ -403,7 +403,7 @@
         members = tuple(x for x in members if x.standing is not m.Standing.GONE or x.id in gone)
         lines = tuple(self._line(member) for member in members)
         for line, member in zip(lines, members, strict=True):
-            self.pool.listed(line.host, member.where, line.standing is m.Standing.READY)
+            self.pool.listed(line.host, member.address, line.standing is m.Standing.READY)
         if whole:
             self.members = {}
         self.members.update((member.id, member) for member in members)
--- a/ternquay/net/inherited.py
+++ b/ternquay/net/inherited.py
@@ -6,31 +6,33 @@
 from collections.abc import Mapping
 from typing import Any
 
-from ternquay.net.launch import HELD_SOCKET, LaunchError
+from ternquay.net.config import SOCKET_FD_VARIABLE, ConfigError
 from ternquay.net.listing import Address
 
 
 def inherited(where: Address, env: Mapping[str, str] = os.environ) -> socket.socket | None:
-    """The socket that the environment names, None where it names none. Raises LaunchError."""
-    told = env.get(HELD_SOCKET, "")
+    """The socket that the environment names, None where it names none. Raises ConfigError."""
+    told = env.get(SOCKET_FD_VARIABLE, "")
     if not told:
         return None
     if not (told.isascii() and told.isdigit() and len(told) < 8):
-        raise LaunchError(f"{HELD_SOCKET}: a descriptor is wanted, not {told!r:.40}")
+        raise ConfigError(f"{SOCKET_FD_VARIABLE}: a descriptor is wanted, not {told!r:.40}")
     number = int(told)
     try:
         if not stat.S_ISSOCK(os.fstat(number).st_mode):
-            raise LaunchError(f"{HELD_SOCKET}: descriptor {number} is no socket")
+            raise ConfigError(f"{SOCKET_FD_VARIABLE}: descriptor {number} is no socket")
         held = socket.socket(fileno=number)
     except OSError as fault:
-        raise LaunchError(f"{HELD_SOCKET}: descriptor {number} can't be used: {fault.strerror}") from fault
+        raise ConfigError(f"{SOCKET_FD_VARIABLE}: descriptor {number} can't be used: {fault.strerror}") from fault
     try:
         stream = held.family in (socket.AF_INET, socket.AF_INET6) and held.type & socket.SOCK_STREAM
         if not stream or not held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise LaunchError(f"{HELD_SOCKET}: descriptor {number} is no listening TCP socket")
+            raise ConfigError(f"{SOCKET_FD_VARIABLE}: descriptor {number} is no listening TCP socket")
         host, port = held.getsockname()[:2]
         if (host, port) != (where.host, where.port):
-            raise LaunchError(f"{HELD_SOCKET}: descriptor {number} listens on {host}:{port}, and listen says {where}")
+            raise ConfigError(
+                f"{SOCKET_FD_VARIABLE}: descriptor {number} listens on {host}:{port}, and listen says {where}"
+            )
     except BaseException:
         held.detach()  # it is not ours to close
         raise
--- a/ternquay/net/listing.py
+++ b/ternquay/net/listing.py
@@ -8,12 +8,12 @@
 from ternquay.facts import choice, number
 from ternquay.net.limits import MS
 
-STANDINGS = {"up": m.Standing.READY, "draining": m.Standing.DRAINING, "removed": m.Standing.GONE}
-REVISION_MOST = 2**53  # what any reader of JSON still tells apart
-TIME_MOST = 253_402_300_799_999  # the year 9999, in milliseconds
+STANDING_BY_PHASE = {"up": m.Standing.READY, "draining": m.Standing.DRAINING, "removed": m.Standing.GONE}
+MAX_REVISION = 2**53  # what any reader of JSON still tells apart
+MAX_TIME_MS = 253_402_300_799_999  # the year 9999, in milliseconds
 
 
-class ToldWrong(ValueError):
+class FieldError(ValueError):
     """What was told from outside can't be used; the text names the field."""
 
 
@@ -31,7 +31,7 @@
     """One line of the list of cache hosts, by its names."""
 
     id: str
-    where: Address
+    address: Address
     zone: str
     kind: str
     cell: int
@@ -41,8 +41,8 @@
     part: float = 1.0
 
 
-def address(text: Any, field: str) -> Address:
-    """Raises ToldWrong."""
+def parse_address(text: Any, field: str) -> Address:
+    """Raises FieldError."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     # More digits than a port has are not even converted, which would take long and may raise.
     good = port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536
@@ -52,47 +52,47 @@
     except ValueError:
         good = False
     if not good:
-        raise ToldWrong(f"{field}: an address and a port are wanted, not {text!r:.60}")
+        raise FieldError(f"{field}: an address and a port are wanted, not {text!r:.60}")
     return Address(host, int(port))
 
 
-def read_member(told: Any, at: str, since_offset: int) -> Member:
-    """Raises ToldWrong, KeyError or ValueError."""
+def parse_member(told: Any, at: str, since_offset: int) -> Member:
+    """Raises FieldError, KeyError or ValueError."""
     if not isinstance(told, dict):
-        raise ToldWrong(f"{at}: an object is wanted, not {told!r:.40}")
+        raise FieldError(f"{at}: an object is wanted, not {told!r:.40}")
     name = told.get("id")
     if not isinstance(name, str) or not name:
-        raise ToldWrong(f"{at}.id: a name is wanted, not {name!r:.40}")
-    since = int(number(told, "up_since_ms", at, 0, TIME_MOST, 0))
+        raise FieldError(f"{at}.id: a name is wanted, not {name!r:.40}")
+    since = int(number(told, "up_since_ms", at, 0, MAX_TIME_MS, 0))
     return Member(
         id=name,
-        where=address(told.get("host_port"), f"{at}.host_port"),
+        address=parse_address(told.get("host_port"), f"{at}.host_port"),
         zone=str(told.get("locality", "")),
         kind=str(told.get("flavor", "")),
-        cell=int(number(told, "cell", at, 0, REVISION_MOST, 0)),
-        standing=choice(told, "phase", at, STANDINGS),
+        cell=int(number(told, "cell", at, 0, MAX_REVISION, 0)),
+        standing=choice(told, "phase", at, STANDING_BY_PHASE),
         hint=float(number(told, "size", at, 0, 1e6, 0.0)),
         since=since * MS - since_offset if since else 0,
     )
 
 
-def read_list(told: Any, since_offset: int) -> tuple[int, bool, tuple[Member, ...]]:
-    """The revision, whether the list is whole, and its members. Raises ToldWrong."""
+def parse_list(told: Any, since_offset: int) -> tuple[int, bool, tuple[Member, ...]]:
+    """The revision, whether the list is whole, and its members. Raises FieldError."""
     if not isinstance(told, dict) or not isinstance(told.get("members"), list):
-        raise ToldWrong("members: a list is wanted")
+        raise FieldError("members: a list is wanted")
     if not isinstance(told.get("complete"), bool):
         # Against a word that counts as true: the list would seem whole, and all that it lacks gone.
-        raise ToldWrong(f"complete: true or false is wanted, not {told.get('complete')!r:.40}")
+        raise FieldError(f"complete: true or false is wanted, not {told.get('complete')!r:.40}")
     try:
-        revision = int(number(told, "revision", "", 0, REVISION_MOST))
-        members = tuple(read_member(one, f"members[{i}]", since_offset) for i, one in enumerate(told["members"]))
+        revision = int(number(told, "revision", "", 0, MAX_REVISION))
+        members = tuple(parse_member(one, f"members[{i}]", since_offset) for i, one in enumerate(told["members"]))
     except KeyError as fault:
-        raise ToldWrong(f"{fault.args[0]}: is missing") from fault
+        raise FieldError(f"{fault.args[0]}: is missing") from fault
     except ValueError as fault:
-        raise ToldWrong(str(fault)) from fault
+        raise FieldError(str(fault)) from fault
     seen: dict[str, int] = {}
     for i, member in enumerate(members):
         if seen.setdefault(member.id, i) != i:
             # Which of the two counts nobody can tell, and one of them may be a drain.
-            raise ToldWrong(f"members[{i}].id: {member.id!r:.40} is members[{seen[member.id]}] already")
+            raise FieldError(f"members[{i}].id: {member.id!r:.40} is members[{seen[member.id]}] already")
     return revision, told["complete"], members
--- a/ternquay/net/management.py
+++ b/ternquay/net/management.py
@@ -12,8 +12,8 @@
 
 from twisted.internet.error import CannotListenError
 
+from ternquay.net.config import ConfigError
 from ternquay.net.http import CallIn, CallLimits, CallPort, Channel
-from ternquay.net.launch import LaunchError
 from ternquay.net.limits import SECOND, Limits
 from ternquay.net.listing import Address
 
@@ -79,11 +79,11 @@
         self.port: Any = None
 
     def begin(self, where: Address) -> None:
-        """Raises LaunchError."""
+        """Raises ConfigError."""
         try:
             self.port = self.reactor.listenTCP(where.port, self, 64, where.host)
         except CannotListenError as fault:
-            raise LaunchError(f"management: {where}: {fault.socketError}") from fault
+            raise ConfigError(f"management: {where}: {fault.socketError}") from fault
         self.port.room = lambda: 2
 
     def came(self, channel: Channel) -> None:
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -19,11 +19,11 @@
 from ternquay.balance import Balancer
 from ternquay.net import library_log, meta
 from ternquay.net.closing import all_accepted, once_paid
+from ternquay.net.config import Config, ConfigError, read_config
 from ternquay.net.discovery import Discovery
 from ternquay.net.door import Door, unschedule
 from ternquay.net.front import Front
 from ternquay.net.inherited import adopt, inherited
-from ternquay.net.launch import Launch, LaunchError, read_launch
 from ternquay.net.limits import SECOND
 from ternquay.net.listener import Listener
 from ternquay.net.listing import Address
@@ -68,22 +68,22 @@
 class Service:
     """The assembled balancer."""
 
-    def __init__(self, reactor: Any, launch: Launch, decisions: type[Balancer] = Balancer) -> None:
-        self.reactor, self.launch, self.limits = reactor, launch, launch.limits
+    def __init__(self, reactor: Any, config: Config, decisions: type[Balancer] = Balancer) -> None:
+        self.reactor, self.config, self.limits = reactor, config, config.limits
         self.start_times = StartTimes(lambda: time.time_ns() - int(reactor.seconds() * SECOND))
         self.sockets = sockets = Sockets(self.limits)
         self.replacement: Any = None
         self.shut = False  # another process takes the clients
-        self.door = Door(reactor, launch.start, launch.names, self.limits, decisions)
-        self.pool = self.door.pool = Pool(reactor, self.door, self.limits, sockets, launch.start.parallel)
+        self.door = Door(reactor, config.start, config.names, self.limits, decisions)
+        self.pool = self.door.pool = Pool(reactor, self.door, self.limits, sockets, config.start.parallel)
         self.turn = Turn(self.limits.turn_duration)
         self.door.stood_still = self.turn.stood_still
         self.front = Front(reactor, self.door, self.limits, sockets, self.turn)
-        self.discovery = self._discovery(launch.discovery)
+        self.discovery = self._discovery(config.discovery)
         self.port: Any = None
         self.listen_until = reactor.seconds() + LISTEN_WITHIN
-        self.management = ManagementPort(reactor, self, self.limits) if launch.management is not None else None
-        self.fault: LaunchError | None = None  # found when the loop ran already
+        self.management = ManagementPort(reactor, self, self.limits) if config.management is not None else None
+        self.fault: ConfigError | None = None  # found when the loop ran already
         self.ending = self.drained = self.stopping = False
         self.leaves: list[Any] = []  # the steps of a drain that are still to come
 
@@ -93,20 +93,20 @@
         return discovery
 
     def begin(self) -> None:
-        self.discovery.take(self.launch.known)  # read_launch has read it already
-        if not self.launch.start.watch_list:
+        self.discovery.take(self.config.initial_list)  # read_config has read it already
+        if not self.config.start.watch_list:
             self.discovery.watch()
-        where = self.launch.listen
+        where = self.config.listen
         held = inherited(where)
-        if self.management is not None and self.launch.management is not None:
-            self.management.begin(self.launch.management)
+        if self.management is not None and self.config.management is not None:
+            self.management.begin(self.config.management)
         self.pool.sweep()
         self.front.sweep()
         if held is not None:
             self._beside(lambda: self._open(adopt(self.reactor, Listener, held, self.front)))
             return
         # Once the loop runs: what the system accepts while a start still takes its time is ours, and waits unread.
-        if self.launch.start.watch_list:
+        if self.config.start.watch_list:
             self.reactor.callLater(FIRST_LOOK, self._listen)
         else:
             # What is pushed counts as told from the first moment of a process, and the list that it was given may be
@@ -115,7 +115,7 @@
             self.reactor.callLater(self.limits.first_list_timeout / SECOND, self._listen)
 
     def _listen(self) -> None:
-        where = self.launch.listen
+        where = self.config.listen
         if self.ending or self.port is not None:
             return
         try:
@@ -126,7 +126,7 @@
     def _not_listening(self, fault: OSError) -> None:
         """Tries again, unless the address is at fault, or it has been tried for long."""
         if fault.errno in NOT_OURS or self.reactor.seconds() > self.listen_until:
-            self.fault = LaunchError(f"listen: {self.launch.listen}: {fault}")
+            self.fault = ConfigError(f"listen: {self.config.listen}: {fault}")
             self.reactor.stop()
             return
         self.door.tell("WARNING", "can't listen yet: {}", fault.strerror)
@@ -141,7 +141,7 @@
         self.front.gate = lambda accept: port.gate(accept and not self.shut)
         if isinstance(port, Listener):
             self.front.waiting = port.waiting
-        logger.info("{} serves on {}", self.launch.name, self.launch.listen)
+        logger.info("{} serves on {}", self.config.name, self.config.listen)
 
     def _beside(self, then: Callable[[], None]) -> None:
         """Where the platform holds the socket, another process of this balancer may be here, or come."""
@@ -170,10 +170,10 @@
 
     def reload(self) -> None:
         """SIGHUP: the file is read again; where it can't be used, all stays as it is."""
-        old = self.launch
+        old = self.config
         try:
-            new = read_launch(old.path)
-        except LaunchError as fault:
+            new = read_config(old.path)
+        except ConfigError as fault:
             logger.error("told to read the configuration again, the old one is kept: {}", fault)
             return
         # All else is built into what is open now. The seed and the list known are for starts alone.
@@ -183,7 +183,7 @@
                 logger.warning("the configuration has another {}, which waits for the next start", field)
         logger.info("read the configuration again, discovery: {}", new.discovery)
         if new.discovery != old.discovery and not self.ending:
-            self.launch = replace(old, discovery=new.discovery)
+            self.config = replace(old, discovery=new.discovery)
             self.discovery.retire()
             self.discovery = self._discovery(new.discovery, self.discovery)
             self.discovery.watch()
@@ -296,7 +296,7 @@
             self.reactor.stop()
 
 
-def run(launch: Launch, decisions: type[Balancer] = Balancer) -> None:
+def run(config: Config, decisions: type[Balancer] = Balancer) -> None:
     """Serves until it is told to end; other decisions than the product's are for comparisons."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to read again: never an end
     logger.remove()
@@ -307,7 +307,7 @@
     library_log.begin()
     reactor = MonotonicReactor()
     installReactor(reactor)
-    service = Service(reactor, launch, decisions)
+    service = Service(reactor, config, decisions)
     service.begin()
     reactor.mark_turns(service.turn)
     # What is there now stays. Against a look through all of it while it serves: that took 30 ms, of a whole core, in
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -21,7 +21,7 @@
 from ternquay.net.driver import TCP_INFO_LAST_DATA
 from ternquay.net.front import Front
 from ternquay.net.limits import derive_limits
-from ternquay.net.listing import read_list
+from ternquay.net.listing import parse_list
 from ternquay.net.pool import Pool
 from ternquay.net.sockets import Sockets
 from ternquay.net.turn import Turn
@@ -307,7 +307,7 @@
 
     def list(self, *members: dict[str, Any], whole: bool = False) -> None:
         told = {"revision": 1, "complete": whole, "members": list(members)}
-        self.door.list_told(*read_list(told, 0)[1:])
+        self.door.list_told(*parse_list(told, 0)[1:])
 
     def client(self) -> Wire:
         count = sum(w.name.startswith("client") for w in self.wires)
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -9,7 +9,7 @@
 from ternquay import model as m
 from ternquay.balance import FORGET, SECOND
 from ternquay.facts import read_start
-from ternquay.net.launch import LaunchError, read_launch
+from ternquay.net.config import ConfigError, read_config
 from tests.helper import FACTS, Net, Play, line, member
 from tests.test_net import mg, va
 from tests.test_review_links import told
@@ -27,10 +27,10 @@
     path = tmp_path / "x.json"
     for value in (1, "true", None):
         path.write_text(json.dumps(told(1, 2, settings=facts(value))))
-        with pytest.raises(LaunchError, match=r"^settings: Invariants\.GoneIsAdvice: true or false is wanted"):
-            read_launch(str(path), {})
+        with pytest.raises(ConfigError, match=r"^settings: Invariants\.GoneIsAdvice: true or false is wanted"):
+            read_config(str(path), {})
     path.write_text(json.dumps(told(1, 2, settings=facts(True))))
-    assert read_launch(str(path), {}).start.gone_is_advice
+    assert read_config(str(path), {}).start.gone_is_advice
 
 
 def sent(play: Play, many: int = 40) -> set[int]:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -5,7 +5,7 @@
 import time
 from pathlib import Path
 
-from ternquay.net.launch import read_launch
+from ternquay.net.config import read_config
 from ternquay.net.limits import SECOND
 from ternquay.net.serve import Service
 from tests.helper import FACTS, Net, member
@@ -83,7 +83,7 @@
     """Against what the system accepts while the start still takes its time, and which lies there unread."""
     path, net = tmp_path / "x.json", Net()
     path.write_text(json.dumps(told(1, 2, settings=FACTS)))
-    service = Service(net.reactor, read_launch(str(path), {}))
+    service = Service(net.reactor, read_config(str(path), {}))
     service.begin()
     assert not net.reactor.tcpServers and service.unready()
     net.reactor.advance(0.01)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,8 +19,8 @@
 from twisted.web.client import ResponseDone, ResponseFailed
 from twisted.web.http import PotentialDataLoss
 
+from ternquay.net.config import read_config
 from ternquay.net.discovery import Discovery
-from ternquay.net.launch import read_launch
 from ternquay.net.listing import Address
 from ternquay.net.serve import Service
 from ternquay.net.start_times import StartTimes
@@ -251,7 +251,7 @@
     net = Net()
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    service = Service(net.reactor, read_launch(str(path), {}))
+    service = Service(net.reactor, read_config(str(path), {}))
     service.begin()
     path.write_bytes(orjson.dumps(TOLD | {"discovery": "127.0.0.1:8600"}))
     service.reload()
@@ -354,7 +354,7 @@
     net = Net()
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    service = Service(net.reactor, read_launch(str(path), {}))
+    service = Service(net.reactor, read_config(str(path), {}))
     service.begin()
     net.reactor.advance(0.3)
     assert not net.reactor.tcpServers and service.unready()
@@ -467,7 +467,7 @@
     path = tmp_path / "told.json"
     path.write_bytes(orjson.dumps(TOLD))
     net = Net()
-    service = Service(net.reactor, read_launch(str(path), {}))
+    service = Service(net.reactor, read_config(str(path), {}))
     net.front, net.door, net.pool = service.front, service.door, service.pool
     service.begin()
     net.reactor.running = True
@@ -640,7 +640,7 @@
 from ternquay import model as m
 from ternquay.net import serve
 from ternquay.net.door import Door
-from ternquay.net.launch import read_launch
+from ternquay.net.config import read_config
 
 happened = Door.happened
 
@@ -650,7 +650,7 @@
         time.sleep(0.3)
 
 Door.happened = held
-serve.run(read_launch(sys.argv[1]))
+serve.run(read_config(sys.argv[1]))
 """
 
 
@@ -707,7 +707,7 @@
 COLLECTS = """
 import gc, os, signal, sys
 from ternquay.net import serve
-from ternquay.net.launch import read_launch
+from ternquay.net.config import read_config
 
 began = serve.Service.begin
 
@@ -720,7 +720,7 @@
     os.kill(os.getpid(), signal.SIGTERM)
 
 serve.Service.begin = begin
-serve.run(read_launch(sys.argv[1]))
+serve.run(read_config(sys.argv[1]))
 """
 
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -10,7 +10,7 @@
 
 from ternquay.net import meta
 from ternquay.net.client import OVERDUE
-from ternquay.net.launch import LaunchError, read_launch
+from ternquay.net.config import ConfigError, read_config
 from ternquay.net.management import answered
 from tests.helper import Net, member
 from tests.test_net import mg, va
@@ -220,7 +220,7 @@
 
     def launched(env: dict[str, str], **more: Any) -> Any:
         path.write_text(json.dumps(told(1, 2) | more))
-        return read_launch(str(path), env)
+        return read_config(str(path), env)
 
     assert launched({}).management is None
     assert str(launched({"EDGE_MANAGEMENT": "127.0.0.1:9"}).management) == "127.0.0.1:9"
@@ -228,7 +228,7 @@
     assert str(both.management) == "127.0.0.1:8"
     # What is set aside for operators is not the clients' nor the cache hosts'.
     assert both.limits.sockets + both.limits.spare + both.limits.management_connections + 3 + 16 == 128
-    with pytest.raises(LaunchError, match="^management: an address and a port are wanted"):
+    with pytest.raises(ConfigError, match="^management: an address and a port are wanted"):
         launched({}, management="here:80")
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -15,9 +15,9 @@
 from typer.testing import CliRunner
 
 from ternquay.cli import app
+from ternquay.net.config import ConfigError, read_config
 from ternquay.net.discovery import Discovery
-from ternquay.net.launch import LaunchError, read_launch
-from ternquay.net.listing import Address, ToldWrong
+from ternquay.net.listing import Address, FieldError
 from ternquay.net.serve import Service
 from ternquay.net.start_times import StartTimes
 from ternquay.net.turn import Turn
@@ -377,7 +377,7 @@
         {"revision": 1, "complete": True, "members": [member(1) | {"host_port": "nowhere"}]},
     )
     for told in odd:
-        with pytest.raises(ToldWrong):
+        with pytest.raises(FieldError):
             watch.take(told)
     net.client().feed(mg(1))
     assert len(net.reactor.tcpClients) == 1
@@ -472,8 +472,8 @@
 def test_a_bad_configuration_is_named(tmp_path: Path, change: dict[str, Any], named: str) -> None:
     path = tmp_path / "told.json"
     path.write_bytes(orjson.dumps(TOLD | change))
-    with pytest.raises(LaunchError, match=named):
-        read_launch(str(path), {})
+    with pytest.raises(ConfigError, match=named):
+        read_config(str(path), {})
 
 
 def test_the_command_line_says_what_is_wrong_in_one_line_and_with_a_status(tmp_path: Path) -> None:
@@ -487,8 +487,8 @@
 
 def test_no_configuration_at_all_is_named(tmp_path: Path) -> None:
     for env in ({}, {"EDGE_CONFIG": str(tmp_path / "none")}):
-        with pytest.raises(LaunchError, match="EDGE_CONFIG"):
-            read_launch("", env)
+        with pytest.raises(ConfigError, match="EDGE_CONFIG"):
+            read_config("", env)
 
 
 def test_a_new_configuration_moves_the_watch_and_a_bad_one_changes_nothing(
@@ -499,7 +499,7 @@
     net = Net()
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    service = Service(net.reactor, read_launch(str(path), {}))
+    service = Service(net.reactor, read_config(str(path), {}))
     reload = service.signals()[SIGHUP]
     service.begin()
     bad = b'{"discovery":', orjson.dumps(TOLD | {"discovery": 5}), orjson.dumps(TOLD | {"settings": 3})
@@ -529,7 +529,7 @@
     path.write_bytes(orjson.dumps(TOLD))
     net = Net()
     reactor = net.reactor
-    service = Service(reactor, read_launch(str(path), {}))
+    service = Service(reactor, read_config(str(path), {}))
     net.front, net.door = service.front, service.door
     service.begin()
     reactor.running = True
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -14,9 +14,9 @@
 
 from ternquay import model as m
 from ternquay.cli import app
+from ternquay.net.config import ConfigError, read_config
 from ternquay.net.discovery import Discovery
-from ternquay.net.launch import LaunchError, read_launch
-from ternquay.net.listing import Address, ToldWrong, read_list
+from ternquay.net.listing import Address, FieldError, parse_list
 from ternquay.net.serve import Service
 from ternquay.net.start_times import StartTimes
 from tests.helper import FACTS, Net, Play, line, member
@@ -103,8 +103,8 @@
     path, whole = tmp_path / "told.json", orjson.dumps(TOLD)
     for cut in range(len(whole)):
         path.write_bytes(whole[:cut])
-        with pytest.raises(LaunchError) as told:
-            read_launch(str(path), {})
+        with pytest.raises(ConfigError) as told:
+            read_config(str(path), {})
         assert str(told.value).startswith("EDGE_CONFIG: ") and "\n" not in str(told.value)
     path.write_bytes(whole[:-9])
     done = subprocess.run(
@@ -123,7 +123,7 @@
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     path.write_bytes(orjson.dumps(TOLD))
-    service = Service(net.reactor, read_launch(str(path), {}))
+    service = Service(net.reactor, read_config(str(path), {}))
     net.front, net.door = service.front, service.door
     service.begin()
     return service, agent
@@ -146,7 +146,7 @@
         service.signals()[SIGHUP]()
         host.feed(va(n))
     logger.remove(handler)
-    assert service.launch.discovery == Address("127.0.0.1", 8500) and len(agent.calls) == 1
+    assert service.config.discovery == Address("127.0.0.1", 8500) and len(agent.calls) == 1
     kept = [text for text in lines if "the old one is kept" in text]
     assert len(kept) == len(bad) and all(text.count("\n") == 1 for text in kept), len(kept)
     answers = [one for one in net.trace if "client 0 < b'VA" in one]
@@ -171,7 +171,7 @@
     service.end()
     path.write_bytes(orjson.dumps(TOLD))
     service.reload()
-    assert service.launch.discovery.port == 8600
+    assert service.config.discovery.port == 8600
 
 
 # ---- lists while it serves ----
@@ -325,5 +325,5 @@
 
 
 def test_read_list_names_what_it_can_not_use() -> None:
-    with pytest.raises(ToldWrong, match=r"members\[1\]\.host_port"):
-        read_list({"revision": 1, "complete": True, "members": [member(1), member(2) | {"host_port": 3}]}, 0)
+    with pytest.raises(FieldError, match=r"members\[1\]\.host_port"):
+        parse_list({"revision": 1, "complete": True, "members": [member(1), member(2) | {"host_port": 3}]}, 0)
--- a/tests/test_review_links.py
+++ b/tests/test_review_links.py
@@ -18,7 +18,7 @@
 
 from ternquay import model as m
 from ternquay.balance import MS, Balancer
-from ternquay.net.listing import Address, address
+from ternquay.net.listing import Address, parse_address
 from ternquay.rig.ports import free_place
 from tests.helper import FACTS, Net, Wire, member
 from tests.test_net import mg, ms, va
@@ -357,7 +357,7 @@
 
 def test_an_address_is_one_and_not_a_name() -> None:
     with pytest.raises(ValueError, match="listen"):
-        address("localhost:80", "listen")
+        parse_address("localhost:80", "listen")
     assert str(Address("127.0.0.1", 80)) == "127.0.0.1:80"
 
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ternquay.net.limits import MS, SECOND
-from ternquay.net.listing import Member, read_list
+from ternquay.net.listing import Member, parse_list
 from ternquay.net.start_times import ABSENT_MOST, DIFFERENCES, LATE, StartTimes
 from tests.helper import Net, member
 
@@ -23,7 +23,7 @@
 
     def dated(self, *starts: int, whole: bool = False, names: Sequence[str] = "abcdef") -> list[int]:
         """How old, in seconds, hosts are taken for whose starts are told in Unix time."""
-        line = read_list({"revision": 1, "complete": True, "members": [member(1)]}, 0)[2][0]
+        line = parse_list({"revision": 1, "complete": True, "members": [member(1)]}, 0)[2][0]
         members: tuple[Member, ...] = tuple(
             replace(line, id=name, since=start) for name, start in zip(names, starts, strict=False)
         )
@@ -123,7 +123,7 @@
     clocks.dated(0)
     clocks.wall -= HOUR
     told = {"revision": 2, "complete": False, "members": [member(2, since=clocks.told(1) // MS)]}
-    members = clocks.times.dated(False, read_list(told, 0)[2], net.door.now())
+    members = clocks.times.dated(False, parse_list(told, 0)[2], net.door.now())
     net.door.list_told(False, members)
     host = net.door.balancer.hosts[net.door.hosts["h2"]]
     assert 0 <= net.door.now() - host.since <= 2 * SECOND
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,8 +12,8 @@
 
 import pytest
 
+from ternquay.net.config import ConfigError
 from ternquay.net.inherited import inherited
-from ternquay.net.launch import LaunchError
 from ternquay.net.listing import Address
 from tests.hosted_helper import ROOT
 from tests.test_management import READY, call, says
@@ -121,7 +121,7 @@
             (str(datagrams.fileno()), "no listening TCP socket"),
             (str(listens.fileno()), "and listen says 127.0.0.1:9"),
         ):
-            with pytest.raises(LaunchError, match=f"^EDGE_SOCKET_FD: .*{why}"):
+            with pytest.raises(ConfigError, match=f"^EDGE_SOCKET_FD: .*{why}"):
                 inherited(where, {"EDGE_SOCKET_FD": number})
         right = Address("127.0.0.1", listens.getsockname()[1])
         # What could not be used was not closed either.
