--- a/ternquay/hosted/administration/http.py
+++ b/ternquay/hosted/administration/http.py
@@ -18,13 +18,13 @@
 from ternquay.hosted.shared.fairness import SECOND, Bucket
 from ternquay.hosted.tenants.documents import format_endpoint
 from ternquay.hosted.tenants.tenant import InvalidField
-from ternquay.net.http import CallIn, CallLimits, CallPort, Channel
+from ternquay.net.http import Channel, IncomingRequest, RequestLimits, RequestPort
 
 QUERY_MOST = 1024
 PATH_MOST = 512
 
 
-def call_of(call_in: CallIn) -> Call | Reply:
+def call_of(call_in: IncomingRequest) -> Call | Reply:
     path, _, query = call_in.uri.decode("latin-1").partition("?")
     if len(path) > PATH_MOST or len(query) > QUERY_MOST:
         return problem(400, "the path is too long")
@@ -47,16 +47,18 @@
     return body, {"content-type": "application/json", "cache-control": "no-store", **reply.headers}
 
 
-def answer(call_in: CallIn, reply: Reply) -> None:
+def answer(call_in: IncomingRequest, reply: Reply) -> None:
     body, headers = written(reply)
     call_in.reply(reply.status, body, headers)
 
 
-def limits_of(api: ApiDocument) -> CallLimits:
-    return CallLimits(body=api.body_bytes, connections=api.connections, idle=max(1, api.idle_ms // 1000))
+def limits_of(api: ApiDocument) -> RequestLimits:
+    return RequestLimits(
+        body_bytes=api.body_bytes, connections=api.connections, idle_seconds=max(1, api.idle_ms // 1000)
+    )
 
 
-class ApiPort(CallPort):
+class ApiPort(RequestPort):
     """The listener of the API."""
 
     def __init__(self, reactor: Any, service: Service, keeper: Keeper) -> None:
@@ -77,16 +79,16 @@
             self.reactor.callLater(wait / SECOND, self._open)
         return super().buildProtocol(addr)
 
-    def came(self, channel: Channel) -> None:
-        super().came(channel)
-        if len(self.all) > self.call_limits.connections:
-            channel.turn_away(503, "too many connections")
+    def channel_opened(self, channel: Channel) -> None:
+        super().channel_opened(channel)
+        if len(self.channels) > self.request_limits.connections:
+            channel.reject(503, "too many connections")
 
     def _open(self) -> None:
         if self.port.connected and not self.port.disconnecting:
             self.port.startReading()
 
-    def told(self, status: int, detail: str) -> tuple[bytes, Mapping[str, str]]:
+    def error_response(self, status: int, detail: str) -> tuple[bytes, Mapping[str, str]]:
         return written(problem(status, detail, headers={"retry-after": "1"} if status == 503 else None))
 
     def begin(self) -> None:
@@ -109,7 +111,7 @@
         assert service.api is not None
         if self.certificate is not None and service.api.tls is not None:
             self.certificate.reload(service.api)
-        self.api, self.call_limits = service.api, limits_of(service.api)
+        self.api, self.request_limits = service.api, limits_of(service.api)
         self.calls.change(int(self.reactor.seconds() * SECOND), self.api.calls_a_second, float(self.api.burst))
 
     def end(self) -> None:
@@ -117,7 +119,7 @@
 
     # ---- calls ----
 
-    def called(self, call_in: CallIn) -> None:
+    def request_received(self, call_in: IncomingRequest) -> None:
         wait = self.calls.take(int(self.reactor.seconds() * SECOND))
         if wait:
             # Against calls that were written in advance: each of them would be read and answered in one go.
--- a/ternquay/net/http.py
+++ b/ternquay/net/http.py
@@ -15,48 +15,48 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallLimits:
+class RequestLimits:
     """Sizes in bytes, times in seconds."""
 
-    body: int
+    body_bytes: int
     connections: int
-    idle: int  # without a byte, and from the first byte of a call to its last
-    one_call: bool = False  # to a connection
-    headers: int = 8192
-    lines: int = 64
+    idle_seconds: int  # without a byte, and from the first byte of a call to its last
+    single_request: bool = False  # to a connection
+    header_bytes: int = 8192
+    header_lines: int = 64
 
 
-class CallIn(http.Request):
+class IncomingRequest(http.Request):
     """One call as it comes in; the library reads it."""
 
     channel: Any
-    turned = False
-    came = 0
+    rejected = False
+    body_received = 0
 
     def gotLength(self, length: int | None) -> None:
-        if length is not None and length > self.channel.port.call_limits.body:
+        if length is not None and length > self.channel.port.request_limits.body_bytes:
             self._too_large()
         else:
             super().gotLength(length)
 
     def handleContentChunk(self, data: bytes) -> None:
         # One without a length, in chunks, is cut off where it passes the bound.
-        if self.turned:
+        if self.rejected:
             return
-        self.came += len(data)
-        if self.came > self.channel.port.call_limits.body:
+        self.body_received += len(data)
+        if self.body_received > self.channel.port.request_limits.body_bytes:
             self._too_large()
         else:
             super().handleContentChunk(data)
 
     def _too_large(self) -> None:
-        self.turned = True
-        self.channel.turn_away(413, f"a body has up to {self.channel.port.call_limits.body} bytes")
+        self.rejected = True
+        self.channel.reject(413, f"a body has up to {self.channel.port.request_limits.body_bytes} bytes")
 
     def process(self) -> None:
-        if not self.turned:
-            self.channel.whole()
-            self.channel.port.called(self)
+        if not self.rejected:
+            self.channel.request_complete()
+            self.channel.port.request_received(self)
 
     def reply(self, status: int, body: bytes, headers: Mapping[str, str]) -> None:
         if self._disconnected or self.finished:
@@ -73,61 +73,67 @@
 class Channel(http.HTTPChannel):
     """One connection of a caller."""
 
-    requestFactory = CallIn
+    requestFactory = IncomingRequest
     transport: Any
 
-    def __init__(self, port: "CallPort") -> None:
+    def __init__(self, port: "RequestPort") -> None:
         super().__init__()
-        self.port, limits = port, port.call_limits
+        self.port, limits = port, port.request_limits
         self.factory = port
-        self.timeOut, self.totalHeadersSize, self.maxHeaders = limits.idle, limits.headers, limits.lines
-        self.MAX_LENGTH = limits.headers
-        self.called = False  # a whole call has come
+        self.timeOut, self.totalHeadersSize, self.maxHeaders = (
+            limits.idle_seconds,
+            limits.header_bytes,
+            limits.header_lines,
+        )
+        self.MAX_LENGTH = limits.header_bytes
+        self.has_request = False  # a whole call has come
         self.answering = False  # a call is whole and has no answer yet; the library takes one at a time
-        self.overdue: Any = None  # the timer of a call that is not whole
+        self.request_timer: Any = None  # the timer of a call that is not whole
 
     def connectionMade(self) -> None:
         super().connectionMade()
-        self.port.came(self)
+        self.port.channel_opened(self)
 
     def dataReceived(self, data: bytes) -> None:
         # The library's own time begins anew with each byte: a byte a second would hold a place for ever.
-        if self.overdue is None and not self.answering:
-            self.overdue = self.port.reactor.callLater(self.port.call_limits.idle, self.forceAbortClient)
+        if self.request_timer is None and not self.answering:
+            self.request_timer = self.port.reactor.callLater(
+                self.port.request_limits.idle_seconds, self.forceAbortClient
+            )
         super().dataReceived(data)
 
-    def whole(self) -> None:
+    def request_complete(self) -> None:
         """A call has come whole."""
-        self.called = self.answering = True
-        self._in_time()
+        self.has_request = self.answering = True
+        self._cancel_timer()
 
     def requestDone(self, request: Any) -> None:
         self.answering = False
         super().requestDone(request)
 
-    def _in_time(self) -> None:
-        if self.overdue is not None and self.overdue.active():
-            self.overdue.cancel()
-        self.overdue = None
+    def _cancel_timer(self) -> None:
+        if self.request_timer is not None and self.request_timer.active():
+            self.request_timer.cancel()
+        self.request_timer = None
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._in_time()
-        self.port.all.pop(self, None)
+        self._cancel_timer()
+        self.port.channels.pop(self, None)
         super().connectionLost(reason)
 
     def checkPersistence(self, request: Any, version: bytes) -> bool:
-        if not self.port.call_limits.one_call:
+        if not self.port.request_limits.single_request:
             return bool(super().checkPersistence(request, version))
         request.responseHeaders.setRawHeaders(b"Connection", [b"close"])
         return False
 
     def lineLengthExceeded(self, line: bytes) -> None:
         # Against the library, which closes without a word.
-        self.turn_away(431, f"a line has up to {self.MAX_LENGTH} bytes")
+        self.reject(431, f"a line has up to {self.MAX_LENGTH} bytes")
 
-    def turn_away(self, status: int, detail: str) -> None:
+    def reject(self, status: int, detail: str) -> None:
         """Before a call is whole: answered, and the connection closed."""
-        body, headers = self.port.told(status, detail)
+        body, headers = self.port.error_response(status, detail)
         head = b"HTTP/1.1 %d %b\r\n" % (status, http.RESPONSES.get(status, b"Turned away"))
         lines = {**headers, "content-length": str(len(body)), "connection": "close"}
         self.transport.write(
@@ -139,27 +145,27 @@
         self.transport.loseConnection()
 
 
-class CallPort(ServerFactory):
+class RequestPort(ServerFactory):
     """A listener for calls."""
 
     noisy = False
     reactor: Any
 
-    def __init__(self, limits: CallLimits) -> None:
-        self.call_limits = limits
-        self.all: dict[Channel, None] = {}  # the oldest first
+    def __init__(self, limits: RequestLimits) -> None:
+        self.request_limits = limits
+        self.channels: dict[Channel, None] = {}  # the oldest first
 
     def buildProtocol(self, addr: Any) -> Any:
         return Channel(self)
 
-    def came(self, channel: Channel) -> None:
-        self.all[channel] = None
+    def channel_opened(self, channel: Channel) -> None:
+        self.channels[channel] = None
 
-    def called(self, call: CallIn) -> None:
+    def request_received(self, request: IncomingRequest) -> None:
         """A call is whole."""
         raise NotImplementedError
 
-    def told(self, status: int, detail: str) -> tuple[bytes, Mapping[str, str]]:
+    def error_response(self, status: int, detail: str) -> tuple[bytes, Mapping[str, str]]:
         """The body and the headers of an answer to what was turned away."""
         raise NotImplementedError
 
--- a/ternquay/net/management.py
+++ b/ternquay/net/management.py
@@ -13,7 +13,7 @@
 from twisted.internet.error import CannotListenError
 
 from ternquay.net.config import ConfigError
-from ternquay.net.http import CallIn, CallLimits, CallPort, Channel
+from ternquay.net.http import Channel, IncomingRequest, RequestLimits, RequestPort
 from ternquay.net.limits import SECOND, Limits
 from ternquay.net.listing import Address
 
@@ -71,11 +71,15 @@
     return (otherwise, why, {}) if why else (200, done, {})
 
 
-class ManagementPort(CallPort):
+class ManagementPort(RequestPort):
     def __init__(self, reactor: Any, service: Managed, limits: Limits) -> None:
         # The two that may be accepted in one step beyond the bound are closed in the next.
-        super().__init__(CallLimits(body=1024, connections=limits.management_connections, idle=2, one_call=True))
-        self.reactor, self.service, self.half = reactor, service, limits.management_timeout
+        super().__init__(
+            RequestLimits(
+                body_bytes=1024, connections=limits.management_connections, idle_seconds=2, single_request=True
+            )
+        )
+        self.reactor, self.service, self.request_timeout = reactor, service, limits.management_timeout
         self.port: Any = None
 
     def begin(self, where: Address) -> None:
@@ -86,24 +90,24 @@
             raise ConfigError(f"management: {where}: {fault.socketError}") from fault
         self.port.room = lambda: 2
 
-    def came(self, channel: Channel) -> None:
-        super().came(channel)
+    def channel_opened(self, channel: Channel) -> None:
+        super().channel_opened(channel)
         # By its age and not its silence: a byte a second is no call either.
-        self.reactor.callLater(self.half / SECOND, self._overdue, channel)
-        if len(self.all) > self.call_limits.connections:
-            oldest = next(iter(self.all))
-            del self.all[oldest]
+        self.reactor.callLater(self.request_timeout / SECOND, self._overdue, channel)
+        if len(self.channels) > self.request_limits.connections:
+            oldest = next(iter(self.channels))
+            del self.channels[oldest]
             oldest.transport.abortConnection()
 
     def _overdue(self, channel: Channel) -> None:
-        if self.all.pop(channel, self) is None:
+        if self.channels.pop(channel, self) is None:
             channel.transport.abortConnection()
 
-    def called(self, call: CallIn) -> None:
-        status, line, headers = answered(self.service, call.method.decode("latin-1"), call.uri.decode("latin-1"))
-        call.reply(status, line.encode() + b"\n", {**PLAIN, **headers})
+    def request_received(self, request: IncomingRequest) -> None:
+        status, line, headers = answered(self.service, request.method.decode("latin-1"), request.uri.decode("latin-1"))
+        request.reply(status, line.encode() + b"\n", {**PLAIN, **headers})
 
-    def told(self, status: int, detail: str) -> tuple[bytes, Mapping[str, str]]:
+    def error_response(self, status: int, detail: str) -> tuple[bytes, Mapping[str, str]]:
         return detail.encode() + b"\n", PLAIN
 
     def end(self) -> Any:
--- a/tests/test_half_messages.py
+++ b/tests/test_half_messages.py
@@ -8,20 +8,20 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from ternquay.net.http import CallIn, CallLimits, CallPort
+from ternquay.net.http import IncomingRequest, RequestLimits, RequestPort
 from ternquay.peers.links import Door, Incoming
 
 
-class Port(CallPort):
+class Port(RequestPort):
     """Answers nothing by itself."""
 
     def __init__(self, reactor: Any) -> None:
-        super().__init__(CallLimits(body=100, connections=4, idle=2))
+        super().__init__(RequestLimits(body_bytes=100, connections=4, idle_seconds=2))
         self.reactor = reactor
-        self.calls: list[CallIn] = []
+        self.requests: list[IncomingRequest] = []
 
-    def called(self, call: CallIn) -> None:
-        self.calls.append(call)
+    def request_received(self, request: IncomingRequest) -> None:
+        self.requests.append(request)
 
 
 def opened(protocol: Any) -> Any:
@@ -44,12 +44,12 @@
         drips.dataReceived(text[at : at + 5])
         clock.advance(0.4)
     assert ended.disconnecting or ended.disconnected
-    assert not kept.disconnecting and len(port.calls) == 1
-    port.calls[0].reply(200, b"", {})
+    assert not kept.disconnecting and len(port.requests) == 1
+    port.requests[0].reply(200, b"", {})
     waits.dataReceived(b"GET /y HTTP/1.1\r\n")
     clock.advance(1.0)
     waits.dataReceived(b"Host: y\r\n\r\n")
-    assert len(port.calls) == 2 and not kept.disconnecting
+    assert len(port.requests) == 2 and not kept.disconnecting
 
 
 def test_a_link_between_members_on_which_half_a_frame_stands_still_is_ended() -> None:
