--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -424,7 +424,7 @@
     """Serves until SIGTERM. Raises ServiceError if it can't begin."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to read again: never an end
     logs.begin(service.log.json, service.log.level)
-    library_log.begin()
+    library_log.install()
     reactor = MonotonicReactor()
     installReactor(reactor)
     running = Running(reactor, service)
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -362,7 +362,7 @@
             self.discovery.watch()
         elif tenant.source is None:
             members = tuple(self._member(server) for server in tenant.servers)
-            self._told(True, self.start_times.dated(True, members, self.door.now()))
+            self._told(True, self.start_times.to_monotonic(True, members, self.door.now()))
 
     def _member(self, server: Server) -> Member:
         # The place stands for the host: it is the same by whatever name it goes.
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -390,7 +390,7 @@
 
     def untaken(self, now: int) -> int:
         """For how long the system has taken none of what is queued. What is read or queued meanwhile is no progress."""
-        taken = self.transport.taken
+        taken = self.transport.bytes_taken
         if not self.untaken_since or taken != self.taken_before or self.front.turn.stood_still(now):
             self.untaken_since, self.taken_before = now, taken
         return now - self.untaken_since
--- a/ternquay/net/discovery.py
+++ b/ternquay/net/discovery.py
@@ -152,7 +152,7 @@
         if revision < self.revision:
             raise FieldError(f"revision: {revision} is older than {self.revision}, which is known")
         self.revision = revision  # before the decisions hear of it, as they may ask for the next at once
-        self.door.list_told(whole, self.start_times.dated(whole, members, self.door.now()))
+        self.door.list_told(whole, self.start_times.to_monotonic(whole, members, self.door.now()))
 
     def _call(self) -> None:
         if self.ended or self.last:
--- a/ternquay/net/inherited.py
+++ b/ternquay/net/inherited.py
@@ -10,7 +10,7 @@
 from ternquay.net.listing import Address
 
 
-def inherited(where: Address, env: Mapping[str, str] = os.environ) -> socket.socket | None:
+def inherited_socket(where: Address, env: Mapping[str, str] = os.environ) -> socket.socket | None:
     """The socket that the environment names, None where it names none. Raises ConfigError."""
     told = env.get(SOCKET_FD_VARIABLE, "")
     if not told:
@@ -41,7 +41,7 @@
     return held
 
 
-def adopt(reactor: Any, listener: Any, held: socket.socket, factory: Any) -> Any:
+def adopt_socket(reactor: Any, listener: Any, held: socket.socket, factory: Any) -> Any:
     """The library's listener on it; of two descriptors for one socket the library's stays."""
     port = listener._fromListeningDescriptor(reactor, held.fileno(), held.family, factory)
     held.close()
--- a/ternquay/net/library_log.py
+++ b/ternquay/net/library_log.py
@@ -8,7 +8,7 @@
 
 
 @implementer(ILogObserver)
-class LibraryLog:
+class TwistedLogObserver:
     """An observer of the library's events.
 
     An error of a system call that the library has dealt with (it says then what it was about) is warned of once. Any
@@ -34,7 +34,7 @@
             logger.warning("{}, further ones are not told", text)
 
 
-def begin() -> None:
+def install() -> None:
     """Takes the library's events from here on; those before are of its own start."""
-    observer: Any = LibraryLog()
+    observer: Any = TwistedLogObserver()
     globalLogBeginner.beginLoggingTo([observer], discardBuffer=True, redirectStandardIO=False)
--- a/ternquay/net/listener.py
+++ b/ternquay/net/listener.py
@@ -31,7 +31,7 @@
 from loguru import logger
 from twisted.internet.tcp import Port
 
-from ternquay.net.transports import PatientServer
+from ternquay.net.transports import BackoffServer
 
 # Errors of the connection that was to be accepted, which accept(2) passes on, or of one that a firewall forbids.
 OF_ONE_CONNECTION = frozenset(
@@ -60,7 +60,7 @@
 class Listener(Port):
     """`room` tells how many connections may be accepted now; `accepted` is told whether that many were."""
 
-    transport = PatientServer
+    transport = BackoffServer
     room: Callable[[], int] = staticmethod(lambda: 1)
     accepted: Callable[[bool], None] = staticmethod(lambda all_that_fit: None)
     failed: Callable[[], None] = staticmethod(lambda: None)  # told of a failure for want of room
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -23,7 +23,7 @@
 from ternquay.net.discovery import Discovery
 from ternquay.net.door import Door, unschedule
 from ternquay.net.front import Front
-from ternquay.net.inherited import adopt, inherited
+from ternquay.net.inherited import adopt_socket, inherited_socket
 from ternquay.net.limits import SECOND
 from ternquay.net.listener import Listener
 from ternquay.net.listing import Address
@@ -32,7 +32,7 @@
 from ternquay.net.pool import Pool
 from ternquay.net.sockets import Sockets
 from ternquay.net.start_times import StartTimes
-from ternquay.net.transports import PatientConnector
+from ternquay.net.transports import BackoffConnector
 from ternquay.net.turn import MarkedPoll, Turn
 
 FIRST_LOOK = 0.001  # seconds: the loop has run once
@@ -60,7 +60,7 @@
         return listener
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float = 30, bindAddress: Any = None) -> Any:
-        connector = PatientConnector(host, port, factory, timeout, bindAddress, self)
+        connector = BackoffConnector(host, port, factory, timeout, bindAddress, self)
         connector.connect()
         return connector
 
@@ -97,13 +97,13 @@
         if not self.config.start.watch_list:
             self.discovery.watch()
         where = self.config.listen
-        held = inherited(where)
+        held = inherited_socket(where)
         if self.management is not None and self.config.management is not None:
             self.management.begin(self.config.management)
         self.pool.sweep()
         self.front.sweep()
         if held is not None:
-            self._beside(lambda: self._open(adopt(self.reactor, Listener, held, self.front)))
+            self._beside(lambda: self._open(adopt_socket(self.reactor, Listener, held, self.front)))
             return
         # Once the loop runs: what the system accepts while a start still takes its time is ours, and waits unread.
         if self.config.start.watch_list:
@@ -304,7 +304,7 @@
     logger.add(
         sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", level="INFO", backtrace=False, diagnose=False
     )
-    library_log.begin()
+    library_log.install()
     reactor = MonotonicReactor()
     installReactor(reactor)
     service = Service(reactor, config, decisions)
--- a/ternquay/net/start_times.py
+++ b/ternquay/net/start_times.py
@@ -17,57 +17,57 @@
 
 from ternquay.net.listing import Member
 
-STEP = 500_000_000  # ns: a difference that has changed by more is that of another clock, and not a drift
-DIFFERENCES = 8  # that are remembered at most: the first one, and the latest
-LATE = 5_000_000_000  # ns: a host that a list lacks has not started so long before that list
-OWN_LISTS = 2  # the one that a process starts with, which may be old, and the first that it is told
-ABSENT_MOST = 4096  # hosts that are remembered though no list names them any more
+STEP_NS = 500_000_000  # ns: a difference that has changed by more is that of another clock, and not a drift
+MAX_DIFFERENCES = 8  # that are remembered at most: the first one, and the latest
+MAX_LIST_DELAY_NS = 5_000_000_000  # ns: a host that a list lacks has not started so long before that list
+INITIAL_LISTS = 2  # the one that a process starts with, which may be old, and the first that it is told
+MAX_ABSENT_HOSTS = 4096  # hosts that are remembered though no list names them any more
 
 
 class StartTimes:
-    """`difference` tells the wall clock less the monotonic one, both in nanoseconds."""
+    """`clock_difference` tells the wall clock less the monotonic one, both in nanoseconds."""
 
-    def __init__(self, difference: Callable[[], int]) -> None:
-        self.difference = difference
-        self.seen = [difference()]
+    def __init__(self, clock_difference: Callable[[], int]) -> None:
+        self.clock_difference = clock_difference
+        self.differences = [clock_difference()]
         self.known: dict[str, tuple[int, int]] = {}  # by host: its start as told, and as it was taken
         self.absent: dict[str, tuple[int, int]] = {}  # the same of hosts that the list has lost, the latest last
-        self.lists = 0  # that were dated
-        self.latest = 0  # when the latest of them was
+        self.list_count = 0  # that were dated
+        self.latest_list_at = 0  # when the latest of them was
 
-    def dated(self, whole: bool, members: tuple[Member, ...], now: int) -> tuple[Member, ...]:
+    def to_monotonic(self, whole: bool, members: tuple[Member, ...], now: int) -> tuple[Member, ...]:
         """The members of a list, their starts told in Unix time, with starts on the monotonic clock."""
-        self._look()
-        earliest = self.latest - LATE if self.lists >= OWN_LISTS else None
-        dated = tuple(replace(member, since=self._since(member, now, earliest)) for member in members)
+        self._sample_difference()
+        earliest = self.latest_list_at - MAX_LIST_DELAY_NS if self.list_count >= INITIAL_LISTS else None
+        dated = tuple(replace(member, since=self._monotonic_start(member, now, earliest)) for member in members)
         if whole:
-            self._forget({member.id for member in members})
-        self.lists, self.latest = self.lists + 1, now
+            self._move_absent({member.id for member in members})
+        self.list_count, self.latest_list_at = self.list_count + 1, now
         return dated
 
-    def _forget(self, named: set[str]) -> None:
+    def _move_absent(self, named: set[str]) -> None:
         """Puts aside the hosts that a whole list lacks: a list may lose one that runs, and have it again."""
         lost = {name: taken for name, taken in self.known.items() if name not in named}
         self.known = {name: taken for name, taken in self.known.items() if name in named}
         self.absent.update(lost)
-        for name in list(self.absent)[: max(0, len(self.absent) - ABSENT_MOST)]:
+        for name in list(self.absent)[: max(0, len(self.absent) - MAX_ABSENT_HOSTS)]:
             del self.absent[name]
 
-    def _look(self) -> None:
-        difference = self.difference()
-        if all(abs(difference - one) > STEP for one in self.seen):
-            self.seen = [self.seen[0], *self.seen[1:][-(DIFFERENCES - 2) :], difference]
+    def _sample_difference(self) -> None:
+        difference = self.clock_difference()
+        if all(abs(difference - one) > STEP_NS for one in self.differences):
+            self.differences = [self.differences[0], *self.differences[1:][-(MAX_DIFFERENCES - 2) :], difference]
 
-    def _since(self, member: Member, now: int, earliest: int | None) -> int:
+    def _monotonic_start(self, member: Member, now: int, earliest: int | None) -> int:
         """The start of one host, 0 for long ago; `earliest` bounds that of one that has started since the last list."""
         if not member.since:
             self.known.pop(member.id, None)
             return 0
         told, since = self.known.get(member.id) or self.absent.pop(member.id, (0, 0))
         if told != member.since:
-            meant = [member.since - difference for difference in self.seen]
+            meant = [member.since - difference for difference in self.differences]
             # Half a second for clocks that are not quite alike: nothing that is listed starts later than now.
-            since = max((one for one in meant if one <= now + STEP), default=now)
+            since = max((one for one in meant if one <= now + STEP_NS), default=now)
             if earliest is not None:
                 since = max(since, earliest)
             since = since or 1  # 0 stands for long ago
--- a/ternquay/net/transports.py
+++ b/ternquay/net/transports.py
@@ -8,47 +8,47 @@
 
 from twisted.internet.tcp import Client, Connector, Server
 
-REFUSED_MOST = 2  # times in a row; once is the ordinary word that the socket's buffer is full
-PAUSE = 0.01  # seconds
+MAX_REFUSED_WRITES = 2  # times in a row; once is the ordinary word that the socket's buffer is full
+PAUSE_SECONDS = 0.01  # seconds
 
 
-class _Patient:
+class _WriteBackoff:
     """Mixed into a connection of the library."""
 
-    refused = 0  # times in a row that the system took nothing
-    taken = 0  # bytes that it took
+    refused_writes = 0  # times in a row that the system took nothing
+    bytes_taken = 0  # bytes that it took
 
     def writeSomeData(self: Any, data: Any) -> Any:
         taken = super().writeSomeData(data)  # type: ignore[misc]
         if not isinstance(taken, int):
             return taken  # why the connection is lost
         if taken > 0:
-            self.refused = 0
-            self.taken += taken
+            self.refused_writes = 0
+            self.bytes_taken += taken
         elif data:
-            self.refused += 1
-            if self.refused > REFUSED_MOST:
-                self.refused = 0
+            self.refused_writes += 1
+            if self.refused_writes > MAX_REFUSED_WRITES:
+                self.refused_writes = 0
                 self.stopWriting()
-                self.reactor.callLater(PAUSE, self.write_again)
+                self.reactor.callLater(PAUSE_SECONDS, self.resume_writing)
         return taken
 
-    def write_again(self: Any) -> None:
+    def resume_writing(self: Any) -> None:
         """The pause is over."""
         if self.connected:
             self.startWriting()
 
 
-class PatientServer(_Patient, Server):
+class BackoffServer(_WriteBackoff, Server):
     """A connection that was accepted."""
 
 
-class PatientClient(_Patient, Client):
+class BackoffClient(_WriteBackoff, Client):
     """A connection that is made."""
 
 
-class PatientConnector(Connector):
+class BackoffConnector(Connector):
     """Makes connections of this module."""
 
-    def _makeTransport(self) -> PatientClient:
-        return PatientClient(self.host, self.port, self.bindAddress, self, self.reactor)
+    def _makeTransport(self) -> BackoffClient:
+        return BackoffClient(self.host, self.port, self.bindAddress, self, self.reactor)
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -199,7 +199,7 @@
         self.pending, self.closing, self.lost, self.paused = b"", False, False, False
         self.unread: bytes | None = None  # b"": the other side's end
         self.silent_ms = 0  # since data last came, as the system knows
-        self.taken = 0  # bytes that the system took
+        self.bytes_taken = 0  # bytes that the system took
         self.stuck = False  # it takes none
         protocol.makeConnection(self)
 
@@ -257,7 +257,7 @@
         """The system takes all that was written, until nothing is left."""
         while self.pending and not self.lost and not self.stuck:
             data, self.pending = self.pending, b""
-            self.taken += len(data)
+            self.bytes_taken += len(data)
             self.net.say(f"{self.name} < {shown(data)!r}")
             if self.producer is not None:
                 self.producer.resumeProducing()
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -7,7 +7,7 @@
 
 from ternquay.net.limits import MS, SECOND
 from ternquay.net.listing import Member, parse_list
-from ternquay.net.start_times import ABSENT_MOST, DIFFERENCES, LATE, StartTimes
+from ternquay.net.start_times import MAX_ABSENT_HOSTS, MAX_DIFFERENCES, MAX_LIST_DELAY_NS, StartTimes
 from tests.helper import Net, member
 
 HOUR = 3600 * SECOND
@@ -29,7 +29,7 @@
         )
         return [
             round((self.now - one.since) / SECOND) if one.since else -1
-            for one in self.times.dated(whole, members, self.now)
+            for one in self.times.to_monotonic(whole, members, self.now)
         ]
 
     def told(self, age: float) -> int:
@@ -67,12 +67,12 @@
     clocks.dated(0)  # the first that it is told
     clocks.now += 4 * SECOND
     told = clocks.told(2) + wrong
-    assert 0 <= clocks.dated(told, names="x")[0] <= 4 + LATE // SECOND
+    assert 0 <= clocks.dated(told, names="x")[0] <= 4 + MAX_LIST_DELAY_NS // SECOND
     clocks.now += 60 * SECOND
     clocks.dated(told, names="x")
     clocks.now += 1 * SECOND
     again = clocks.told(1) + wrong  # the same host, started anew
-    assert 0 <= clocks.dated(again, names="x")[0] <= 1 + LATE // SECOND
+    assert 0 <= clocks.dated(again, names="x")[0] <= 1 + MAX_LIST_DELAY_NS // SECOND
 
 
 def test_a_host_that_a_list_lost_for_a_while_is_as_old_as_before() -> None:
@@ -87,9 +87,9 @@
 
 def test_hosts_that_are_lost_for_good_are_forgotten_in_the_end() -> None:
     clocks = Clocks()
-    for number in range(3 * ABSENT_MOST):
+    for number in range(3 * MAX_ABSENT_HOSTS):
         clocks.dated(clocks.told(9), whole=True, names=[f"h{number}"])
-    assert len(clocks.times.absent) == ABSENT_MOST and len(clocks.times.known) == 1
+    assert len(clocks.times.absent) == MAX_ABSENT_HOSTS and len(clocks.times.known) == 1
 
 
 def test_a_step_is_no_restart_of_the_hosts_that_are_known() -> None:
@@ -107,8 +107,8 @@
     for _ in range(50):
         clocks.wall += 2 * SECOND
         clocks.dated(clocks.told(9), whole=True)
-    assert list(clocks.times.known) == ["a"] and len(clocks.times.seen) <= DIFFERENCES
-    assert clocks.times.seen[0] == WALL
+    assert list(clocks.times.known) == ["a"] and len(clocks.times.differences) <= MAX_DIFFERENCES
+    assert clocks.times.differences[0] == WALL
 
 
 def test_a_start_before_the_machine_booted_is_long_ago() -> None:
@@ -123,7 +123,7 @@
     clocks.dated(0)
     clocks.wall -= HOUR
     told = {"revision": 2, "complete": False, "members": [member(2, since=clocks.told(1) // MS)]}
-    members = clocks.times.dated(False, parse_list(told, 0)[2], net.door.now())
+    members = clocks.times.to_monotonic(False, parse_list(told, 0)[2], net.door.now())
     net.door.list_told(False, members)
     host = net.door.balancer.hosts[net.door.hosts["h2"]]
     assert 0 <= net.door.now() - host.since <= 2 * SECOND
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -507,7 +507,7 @@
     for number in range(20):
         client.feed(mg(number, profile="nobody"))
         net.run(1000)
-        client.taken += 1
+        client.bytes_taken += 1
     assert not client.lost and not client.closing
 
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -17,7 +17,7 @@
 from loguru import logger
 from twisted.python.failure import Failure
 
-from ternquay.net.library_log import LibraryLog
+from ternquay.net.library_log import TwistedLogObserver
 from ternquay.net.poller import RetryingPoller
 from ternquay.rig.system_calls import CallPlan, prepared, read_plan, struck
 from ternquay.rig.terms import CallFault, DayError
@@ -203,7 +203,7 @@
 def test_an_error_that_the_library_has_dealt_with_is_one_warning(capsys: pytest.CaptureFixture[str]) -> None:
     logger.remove()
     logger.add(sys.stderr, format="{level} {message}")
-    observer = LibraryLog()
+    observer = TwistedLogObserver()
     failed: Any = Failure
     handled = {"log_failure": failed(OSError(22, "Invalid argument")), "why": "got error when setting TCP_NODELAY"}
     for _ in range(3):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,7 +13,7 @@
 import pytest
 
 from ternquay.net.config import ConfigError
-from ternquay.net.inherited import inherited
+from ternquay.net.inherited import inherited_socket
 from ternquay.net.listing import Address
 from tests.hosted_helper import ROOT
 from tests.test_management import READY, call, says
@@ -105,7 +105,7 @@
 
 def test_a_descriptor_that_is_no_listening_socket_at_the_address_is_named(tmp_path: Path) -> None:
     where = Address("127.0.0.1", 9)
-    assert inherited(where, {}) is None and inherited(where, {"EDGE_SOCKET_FD": ""}) is None
+    assert inherited_socket(where, {}) is None and inherited_socket(where, {"EDGE_SOCKET_FD": ""}) is None
     with (
         open(tmp_path / "x", "w") as file,
         socket.socket() as plain,
@@ -122,10 +122,10 @@
             (str(listens.fileno()), "and listen says 127.0.0.1:9"),
         ):
             with pytest.raises(ConfigError, match=f"^EDGE_SOCKET_FD: .*{why}"):
-                inherited(where, {"EDGE_SOCKET_FD": number})
+                inherited_socket(where, {"EDGE_SOCKET_FD": number})
         right = Address("127.0.0.1", listens.getsockname()[1])
         # What could not be used was not closed either.
-        found = inherited(right, {"EDGE_SOCKET_FD": str(listens.fileno())})
+        found = inherited_socket(right, {"EDGE_SOCKET_FD": str(listens.fileno())})
         assert found is not None and found.detach() == listens.fileno()
 
 
