--- a/ternquay/net/config.py
+++ b/ternquay/net/config.py
@@ -31,7 +31,7 @@
     listen: Address
     management: Address | None
     discovery: Address
-    start: m.Started
+    start: m.Config
     names: Names
     initial_list: dict[str, Any]
     limits: Limits
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -17,44 +17,44 @@
 from ternquay import model as m
 from ternquay.balance import MS, SECOND, Balancer
 from ternquay.facts import Names, read_start
-from ternquay.net.door import Door
+from ternquay.net.dispatcher import Dispatcher
 from ternquay.net.driver import TCP_INFO_LAST_DATA
-from ternquay.net.front import Front
+from ternquay.net.frontend import Frontend
 from ternquay.net.limits import derive_limits
 from ternquay.net.listing import parse_list
+from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.pool import Pool
 from ternquay.net.sockets import Sockets
-from ternquay.net.turn import Turn
 
-READ = m.Profile(m.Kind.IDEMPOTENT, m.Scope.ALL, 0, 600 * MS, 1500 * MS, 0.0)
-MARKED = replace(READ, kind=m.Kind.JOURNALLED, memory=300 * MS)
-ONCE = replace(READ, kind=m.Kind.NON_IDEMPOTENT)
-START = m.Started(
+READ = m.Profile(m.Semantics.IDEMPOTENT, m.DedupScope.ALL, 0, 600 * MS, 1500 * MS, 0.0)
+MARKED = replace(READ, semantics=m.Semantics.JOURNALLED, dedup_window=300 * MS)
+ONCE = replace(READ, semantics=m.Semantics.NON_IDEMPOTENT)
+START = m.Config(
     seed=7,
-    balancers=2,
-    number=0,
-    profiles=(READ, MARKED, ONCE, replace(MARKED, scope=m.Scope.ZONE)),
+    balancer_count=2,
+    balancer_index=0,
+    profiles=(READ, MARKED, ONCE, replace(MARKED, dedup_scope=m.DedupScope.ZONE)),
     quotas=(4.0, 1000.0),
-    aside=False,
+    cache_aside=False,
     origin_kind=-1,
     watch_list=False,
-    cancel=True,
-    parallel=True,
-    most_hops=4,
-    weights=m.Weights.NONE,
+    can_cancel=True,
+    parallel_hops=True,
+    max_hops=4,
+    weight_mode=m.WeightMode.NONE,
     max_backoff=SECOND,
-    quantum=5 * MS,
+    clock_quantum=5 * MS,
     cold_share=0.2,
-    warm_within=20 * SECOND,
-    tip_multiple=3.0,
-    tip_window=SECOND,
+    warm_up_time=20 * SECOND,
+    overload_multiple=3.0,
+    overload_window=SECOND,
 )
 T0 = 1000 * SECOND
 TRACES = Path(__file__).parent / "traces"
 
 
-def line(host: int, standing: m.Standing = m.Standing.READY, since: int = 0, kind: int = 0) -> m.Listed:
-    return m.Listed(host, f"10.0.0.{host}:80", host % 2, kind, host % 2, standing, 1.0, since)
+def line(host: int, standing: m.HostStatus = m.HostStatus.READY, since: int = 0, kind: int = 0) -> m.ListedHost:
+    return m.ListedHost(host, f"10.0.0.{host}:80", host % 2, kind, host % 2, standing, 1.0, since)
 
 
 def same(name: str, trace: list[str]) -> None:
@@ -69,7 +69,7 @@
 
     def __init__(self, hosts: int = 4, *, origin: bool = False, **terms: Any) -> None:
         if origin:
-            terms |= {"aside": True, "origin_kind": 1}
+            terms |= {"cache_aside": True, "origin_kind": 1}
         self.balancer = Balancer(replace(START, **terms))
         self.now, self.due, self.tx = T0, 0, 0
         self.trace: list[str] = []
@@ -98,8 +98,8 @@
             self.trace.append(f"{(self.now - T0) // MS:6} ms  {said}: {', '.join(done) or 'nothing'}")
         return done
 
-    def list(self, *lines: m.Listed, whole: bool = False) -> None:
-        said = " ".join(f"{x.host}={x.standing.name.lower()}" for x in lines)
+    def list(self, *lines: m.ListedHost, whole: bool = False) -> None:
+        said = " ".join(f"{x.host}={x.status.name.lower()}" for x in lines)
         self.feed(f"list {said}", m.ListChanged(whole, lines))
 
     def arrive(
@@ -110,8 +110,8 @@
         self.feed(f"tx {self.tx} profile {profile} key {key}", event)
         return self.tx
 
-    def end(self, tx: int, end: m.End, hop: int = 0, took: int = 10, note: int = 1) -> None:
-        closed = end is m.End.DONE
+    def end(self, tx: int, end: m.HopOutcome, hop: int = 0, took: int = 10, note: int = 1) -> None:
+        closed = end is m.HopOutcome.DONE
         self.feed(f"hop {tx}.{hop} ends {end.name}", m.HopEnded(tx, hop, end, took * MS, closed, note))
 
     def run(self, ms: int) -> None:
@@ -293,13 +293,15 @@
         self.limits = replace(derive_limits(facts, sockets, 96), **limits or {})
         self.sockets = Sockets(self.limits)
         start = read_start(7, facts)
-        self.door = Door(self.reactor, start, Names(facts), self.limits)
-        self.pool = self.door.pool = Pool(self.reactor, self.door, self.limits, self.sockets, start.parallel)
-        self.turn = Turn(self.limits.turn_duration)
-        self.front = Front(self.reactor, self.door, self.limits, self.sockets, self.turn)
-        self.door.watch = lambda: self.say("the list is asked for")
+        self.dispatcher = Dispatcher(self.reactor, start, Names(facts), self.limits)
+        self.pool = self.dispatcher.pool = Pool(
+            self.reactor, self.dispatcher, self.limits, self.sockets, start.parallel_hops
+        )
+        self.loop_timing = LoopTiming(self.limits.turn_duration)
+        self.frontend = Frontend(self.reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing)
+        self.dispatcher.watch = lambda: self.say("the list is asked for")
         self.pool.sweep()
-        self.front.sweep()
+        self.frontend.sweep()
         self.list(*(member(h) for h in range(1, hosts + 1)), whole=True)
 
     def say(self, text: str) -> None:
@@ -307,11 +309,11 @@
 
     def list(self, *members: dict[str, Any], whole: bool = False) -> None:
         told = {"revision": 1, "complete": whole, "members": list(members)}
-        self.door.list_told(*parse_list(told, 0)[1:])
+        self.dispatcher.list_told(*parse_list(told, 0)[1:])
 
     def client(self) -> Wire:
         count = sum(w.name.startswith("client") for w in self.wires)
-        self.wires.append(Wire(self, f"client {count}", self.front.buildProtocol(None)))
+        self.wires.append(Wire(self, f"client {count}", self.frontend.buildProtocol(None)))
         return self.wires[-1]
 
     def accept(self) -> Wire:
--- a/tests/test_review_gaps.py
+++ b/tests/test_review_gaps.py
@@ -23,7 +23,7 @@
     net = Net(limits={"pipelined": 3, "sockets": 9})
     client = net.client()
     client.feed(b"".join(mg(n, key=f"k{n}") for n in range(5)))
-    assert len(net.door.txs) == 3
+    assert len(net.dispatcher.txs) == 3
     while net.reactor.tcpClients:
         net.accept()
     for wire in net.wires[1:]:
@@ -38,7 +38,7 @@
     for n in range(3):
         client.feed(mg(n))
         (net.accept() if net.reactor.tcpClients else net.wires[1]).feed(va(n))
-    assert net.front.queued == 0 and client.protocol.queued == 0
+    assert net.frontend.queued == 0 and client.protocol.queued == 0
 
 
 def test_the_wait_of_a_rollback_is_in_microseconds_on_the_wire() -> None:
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -124,7 +124,7 @@
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     path.write_bytes(orjson.dumps(TOLD))
     service = Service(net.reactor, read_config(str(path), {}))
-    net.front, net.door = service.front, service.door
+    net.frontend, net.dispatcher = service.frontend, service.dispatcher
     service.begin()
     return service, agent
 
@@ -150,7 +150,7 @@
     kept = [text for text in lines if "the old one is kept" in text]
     assert len(kept) == len(bad) and all(text.count("\n") == 1 for text in kept), len(kept)
     answers = [one for one in net.trace if "client 0 < b'VA" in one]
-    assert len(answers) == len(bad) and not service.door.txs
+    assert len(answers) == len(bad) and not service.dispatcher.txs
 
 
 def test_two_reloads_at_once_and_a_discovery_that_never_answers_leave_what_is_in_force(
@@ -180,8 +180,8 @@
 def followed(net: Net, monkeypatch: pytest.MonkeyPatch) -> tuple[Discovery, Agent]:
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    watch = Discovery(net.reactor, net.door, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
-    net.door.watch = watch.watch
+    watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
+    net.dispatcher.watch = watch.watch
     watch.watch()
     return watch, agent
 
@@ -208,17 +208,17 @@
     agent.calls[0].callback(told(5, member(1), member(2)))
     client = net.client()
     client.feed(mg(1))
-    before = dict(net.door.hosts)
+    before = dict(net.dispatcher.hosts)
     agent.calls[1].callback(Response(200, json.dumps(change["known"]).encode()))
     net.accept().feed(va(1))
     logger.remove(handler)
-    assert net.door.hosts == before and "client 0 < b'VA 3 O1" in "".join(net.trace)
+    assert net.dispatcher.hosts == before and "client 0 < b'VA 3 O1" in "".join(net.trace)
     assert sum(named.replace("known.", "") in text for text in lines) == 1, lines
     until_asked(net, agent, 3)
     asked = [one for one in net.trace if " GET " in one]
     assert asked[-1].endswith("/api/targets")  # the whole list, as what changed may be lost
     agent.calls[2].callback(told(7, member(3)))
-    assert set(net.door.hosts) == {"h3"}
+    assert set(net.dispatcher.hosts) == {"h3"}
 
 
 def test_an_older_revision_changes_nothing_and_a_discovery_that_went_back_is_believed_when_asked_anew(
@@ -228,11 +228,14 @@
     watch, agent = followed(net, monkeypatch)
     agent.calls[0].callback(told(9, member(1), member(2)))
     agent.calls[1].callback(told(4, member(1, "draining"), complete=False))
-    assert watch.revision == -1 and net.door.balancer.hosts[net.door.hosts["h1"]].standing is m.Standing.READY
+    assert (
+        watch.revision == -1
+        and net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].standing is m.HostStatus.READY
+    )
     until_asked(net, agent, 3)
     agent.calls[2].callback(told(4, member(1, "draining"), member(2)))
     assert watch.revision == 4
-    assert net.door.balancer.hosts[net.door.hosts["h1"]].standing is m.Standing.DRAINING
+    assert net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].standing is m.HostStatus.DRAINING
 
 
 @pytest.mark.parametrize("stays", [True, False])
@@ -248,7 +251,7 @@
     agent.calls[2].callback(told(6, member(1), *([member(2)] if stays else [])))
     assert watch.revision == 6
     left = {"h1", "h2"} if stays else {"h1"}
-    assert set(net.door.hosts) == left and len(net.door.balancer.hosts) == len(net.pool.places) == len(left)
+    assert set(net.dispatcher.hosts) == left and len(net.dispatcher.balancer.hosts) == len(net.pool.places) == len(left)
 
 
 def test_a_whole_list_that_is_empty_counts_as_told_and_the_next_one_mends_it() -> None:
@@ -267,7 +270,7 @@
     net.list(member(1), member(2), whole=True)
     client.feed(mg(4))
     net.accept().feed(va(4))
-    assert "VA 3 O4" in net.trace[-1] and not net.door.txs
+    assert "VA 3 O4" in net.trace[-1] and not net.dispatcher.txs
 
 
 def test_a_host_that_was_gone_and_is_told_again_gets_its_keys_back() -> None:
@@ -275,17 +278,17 @@
     play = Play(hosts=3)
     tx = play.arrive("a")
     home = play.hops[tx][0]
-    play.end(tx, m.End.DONE)
-    play.list(line(home, m.Standing.GONE))
+    play.end(tx, m.HopOutcome.DONE)
+    play.list(line(home, m.HostStatus.GONE))
     play.list(line(home))
     assert play.hops[play.arrive("a")] == [home]
 
 
 def test_weights_that_change_give_the_orders_of_a_fresh_start() -> None:
-    def weighed(*hints: float) -> tuple[m.Listed, ...]:
-        return tuple(m.Listed(n, f"h{n}", 0, 0, 0, m.Standing.READY, hint, 0) for n, hint in enumerate(hints))
+    def weighed(*hints: float) -> tuple[m.ListedHost, ...]:
+        return tuple(m.ListedHost(n, f"h{n}", 0, 0, 0, m.HostStatus.READY, hint, 0) for n, hint in enumerate(hints))
 
-    old, new = Play(hosts=0, weights=m.Weights.SIZES), Play(hosts=0, weights=m.Weights.SIZES)
+    old, new = Play(hosts=0, weight_mode=m.WeightMode.STATIC), Play(hosts=0, weight_mode=m.WeightMode.STATIC)
     for hints in ((1.0, 1.0, 1.0, 1.0), (4.0, 1.0, 0.5, 1.0)):
         old.list(*weighed(*hints), whole=True)
         for group in range(64):
@@ -302,12 +305,12 @@
         if n % 97 == 0:
             drains = n // 97 % 4
             play.list(
-                *(line(h, m.Standing.DRAINING if h == drains else m.Standing.READY) for h in range(4)), whole=True
+                *(line(h, m.HostStatus.DRAINING if h == drains else m.HostStatus.READY) for h in range(4)), whole=True
             )
         if len(out) > 6:
-            play.end(out.pop(0), m.End.DONE)
+            play.end(out.pop(0), m.HopOutcome.DONE)
     for tx in out:
-        play.end(tx, m.End.DONE)
+        play.end(tx, m.HopOutcome.DONE)
     balancer = play.balancer
     assert not balancer.txs and balancer.inflight == 0 and all(h.inflight == 0 for h in balancer.hosts.values())
     counts = sum(r.count for r in (*balancer.ranges.values(), *balancer.singles.values()))
@@ -318,9 +321,9 @@
     play = Play(hosts=2)
     for n in range(300):
         play.list(line(n), line(n + 1), whole=True)
-        play.end(play.arrive("hot"), m.End.DONE)
+        play.end(play.arrive("hot"), m.HopOutcome.DONE)
     for _ in range(600):  # past the next time that ranges are placed
-        play.end(play.arrive("hot"), m.End.DONE)
+        play.end(play.arrive("hot"), m.HopOutcome.DONE)
     assert all(len(hosts) <= 2 for hosts in play.balancer.held.values())
 
 
--- a/tests/test_stood_still.py
+++ b/tests/test_stood_still.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from ternquay.net.turn import STOOD, Turn
+from ternquay.net.loop_timing import STOOD, LoopTiming
 from tests.helper import FACTS, Listening, Net, member
 from tests.hosted_helper import ROOT
 from tests.test_endings import TurnsAway, begun
@@ -24,7 +24,7 @@
 
 
 def test_a_poll_that_comes_back_late_tells_of_what_came_while_the_process_stood_still() -> None:
-    turn, now = Turn(60 * MS), SECOND
+    turn, now = LoopTiming(60 * MS), SECOND
     turn.begins(now, now - 50 * MS, 250 * MS)
     assert not turn.stood_still(now)
     turn.begins(now + 2 * SECOND, now + MS, 250 * MS)
@@ -36,7 +36,7 @@
 
 def test_a_poll_that_comes_back_late_with_nothing_leaves_it_to_the_next_one() -> None:
     """As one does that a stop has interrupted, and whose time is over by then."""
-    turn, now = Turn(60 * MS), SECOND
+    turn, now = LoopTiming(60 * MS), SECOND
     turn.begins(now, now, 250 * MS)
     turn.begins(now + 2 * SECOND, now + MS, 250 * MS, False)
     turn.begins(now + 2 * SECOND + 2 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
@@ -47,7 +47,7 @@
 
 
 def test_nothing_is_owed_by_a_poll_that_had_to_wait_again() -> None:
-    turn, now = Turn(60 * MS), SECOND
+    turn, now = LoopTiming(60 * MS), SECOND
     turn.begins(now, now, 250 * MS)
     turn.begins(now + 2 * SECOND, now + MS, 250 * MS, False)
     turn.begins(now + 2 * SECOND + 50 * MS, now + 2 * SECOND + MS, 250 * MS)
@@ -55,7 +55,7 @@
 
 
 def test_a_turn_that_lasts_is_one_in_which_the_process_stood_still_and_so_is_the_next() -> None:
-    turn, now = Turn(60 * MS), SECOND
+    turn, now = LoopTiming(60 * MS), SECOND
     turn.begins(now, now, 250 * MS)
     assert not turn.stood_still(now + STOOD) and turn.stood_still(now + STOOD + 1)
     turn.begins(now + STOOD + 2 * MS, now + STOOD + MS, 250 * MS)
@@ -63,19 +63,19 @@
 
 
 def test_a_poll_that_waits_for_ever_is_never_late() -> None:
-    turn = Turn(60 * MS)
+    turn = LoopTiming(60 * MS)
     turn.begins(100 * SECOND, SECOND, -1)
     assert not turn.stood_still(100 * SECOND) and turn.unread(100 * SECOND, 0) == 0
 
 
 def test_a_hop_waits_for_the_next_poll_of_a_process_that_stood_still() -> None:
     net = Net(hosts=2)
-    net.door.stood_still = lambda now: True
+    net.dispatcher.stood_still = lambda now: True
     client = net.client()
     client.feed(mg(1))
     assert not net.reactor.tcpClients
     net.list(member(1, "draining"))
-    net.door.stood_still = lambda now: False
+    net.dispatcher.stood_still = lambda now: False
     net.run(2)
     while net.reactor.tcpClients:
         net.accept()
@@ -87,11 +87,11 @@
     client = net.client()
     client.feed(mg(1))
     first = net.reactor.tcpClients[0][0]
-    net.door.stood_still = lambda now: True
+    net.dispatcher.stood_still = lambda now: True
     net.accept()
     assert not begun(net)
     net.list(member(int(first[-1]), "draining"))
-    net.door.stood_still = lambda now: False
+    net.dispatcher.stood_still = lambda now: False
     net.run(2)
     while net.reactor.tcpClients:
         net.accept()
@@ -100,7 +100,7 @@
 
 def test_a_loop_that_is_late_in_each_turn_still_sends() -> None:
     net = Net(hosts=2)
-    net.door.stood_still = lambda now: True
+    net.dispatcher.stood_still = lambda now: True
     client = net.client()
     for number in range(5):
         client.feed(mg(number))
@@ -115,12 +115,12 @@
 
 def test_a_hop_that_waits_for_the_next_poll_ends_with_its_client() -> None:
     net = Net()
-    net.door.stood_still = lambda now: True
+    net.dispatcher.stood_still = lambda now: True
     client = net.client()
     client.feed(mg(1))
     client.end()
     net.run(5)
-    assert not net.reactor.tcpClients and not net.door.txs
+    assert not net.reactor.tcpClients and not net.dispatcher.txs
 
 
 class Discovery(Listening):
