--- a/ternquay/cli.py
+++ b/ternquay/cli.py
@@ -75,7 +75,7 @@
         loaded = read_config(config)
     typer.echo(
         f"{loaded.name}: listens on {loaded.listen}, "
-        f"{len(loaded.initial_list['members'])} cache hosts, {len(loaded.start.profiles)} profiles, "
+        f"{len(loaded.initial_list['members'])} cache hosts, {len(loaded.settings.profiles)} profiles, "
         f"{loaded.limits.sockets} sockets"
     )
 
--- a/ternquay/handover/notes.py
+++ b/ternquay/handover/notes.py
@@ -13,7 +13,7 @@
 import orjson
 
 from ternquay import model as m
-from ternquay.net.listing import Member, parse_address
+from ternquay.net.listing import HostEntry, parse_address
 
 VERSION, MOST = 1, 1 << 20
 HEAD_MOST = 100
@@ -32,13 +32,15 @@
     serves: bool  # it takes clients
     discovery: str
     revision: int
-    members: tuple[Member, ...]
+    members: tuple[HostEntry, ...]
     learned: dict[str, Any]  # by a host's id and of all, as the decisions tell it
 
 
 def written(note: Note) -> bytes:
     """Raises NoteUnfit where it would be longer than anybody reads."""
-    members = [[x.id, str(x.address), x.zone, x.kind, x.cell, x.standing.name, x.hint, x.since] for x in note.members]
+    members = [
+        [x.id, str(x.address), x.zone, x.kind, x.cell, x.status.name, x.weight, x.started_at] for x in note.members
+    ]
     body = orjson.dumps(
         {
             "at": note.at,
@@ -73,15 +75,15 @@
     try:
         told = orjson.loads(body)
         members = tuple(
-            Member(
+            HostEntry(
                 id=x[0],
                 address=parse_address(x[1], "members"),
                 zone=x[2],
                 kind=x[3],
                 cell=x[4],
-                standing=m.HostStatus[x[5]],
-                hint=x[6],
-                since=x[7],
+                status=m.HostStatus[x[5]],
+                weight=x[6],
+                started_at=x[7],
             )
             for x in told["members"]
         )
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -21,7 +21,7 @@
 from ternquay.net.dispatcher import Dispatcher, OutgoingHop
 from ternquay.net.host_connection import HostConnection
 from ternquay.net.limits import SECOND, Limits, derive_limits
-from ternquay.net.listing import Address, Member
+from ternquay.net.listing import Address, HostEntry
 from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.pool import Pool
 from ternquay.net.safety import CloseReason, ServerCloseReason
@@ -170,17 +170,17 @@
 class TenantDispatcher(Dispatcher):
     """Its list goes by the ledger, and what its hops tell of machines that others name too."""
 
-    told: Callable[[bool, tuple[Member, ...]], None]
+    told: Callable[[bool, tuple[HostEntry, ...]], None]
     machine_ended: Callable[[Endpoint, m.HopOutcome], None]
 
     def __init__(self, *terms: Any) -> None:
         super().__init__(*terms)
         self.shared: dict[int, Endpoint] = {}
 
-    def list_told(self, whole: bool, members: tuple[Member, ...]) -> None:
+    def list_told(self, whole: bool, members: tuple[HostEntry, ...]) -> None:
         self.told(whole, members)
 
-    def settled(self, members: tuple[Member, ...], shared: Mapping[str, Endpoint]) -> None:
+    def settled(self, members: tuple[HostEntry, ...], shared: Mapping[str, Endpoint]) -> None:
         """The list as the decisions are to have it."""
         super().list_told(True, members)
         self.shared = {self.hosts[id]: place for id, place in shared.items() if id in self.hosts}
@@ -258,7 +258,7 @@
         self.frontend.gate = self._gate
         self.frontend.fenced = partial(common.wait, tenant.name) if common.wait is not None else None
         self.ports: dict[Endpoint, Any] = {}
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, HostEntry] = {}
         self.start_times = StartTimes(common.difference)
         self.discovery: Discovery | None = None
         self.ending_since = 0
@@ -366,19 +366,19 @@
             members = tuple(self._member(server) for server in tenant.servers)
             self._told(True, self.start_times.to_monotonic(True, members, self.dispatcher.now()))
 
-    def _member(self, server: Server) -> Member:
+    def _member(self, server: Server) -> HostEntry:
         # The place stands for the host: it is the same by whatever name it goes.
         where = Address(server.endpoint.host, server.endpoint.port)
         standing = m.HostStatus.DRAINING if server.draining else m.HostStatus.READY
         cell = self.cells.get(str(where))
-        return Member(str(where), where, server.zone, "", cell, standing, server.weight, server.started)
+        return HostEntry(str(where), where, server.zone, "", cell, standing, server.weight, server.started)
 
-    def _told(self, whole: bool, members: tuple[Member, ...]) -> None:
+    def _told(self, whole: bool, members: tuple[HostEntry, ...]) -> None:
         """From the registry or the source: the ledger has a say in it before the decisions hear of it."""
         old = self.members
         kept = {} if whole else dict(old)
         kept.update({member.id: member for member in members})
-        gone = {id for id, member in kept.items() if member.standing is m.HostStatus.GONE}
+        gone = {id for id, member in kept.items() if member.status is m.HostStatus.GONE}
         if self.entry.tenant.source is not None and whole:
             gone |= old.keys() - kept.keys()
         places = [_place((old.get(id) or kept[id]).address) for id in gone]
@@ -386,7 +386,7 @@
         self.members = {id: member for id, member in kept.items() if id not in gone}
         taken = {_place(member.address) for member in self.members.values()}
         named = {
-            id: Named(_place(member.address), member.standing, member.since) for id, member in self.members.items()
+            id: Named(_place(member.address), member.status, member.started_at) for id, member in self.members.items()
         }
         source = self.entry.tenant.source is not None
         told = self.common.ledger.told(
@@ -400,7 +400,11 @@
         lines = self.common.ledger.lines(self.dispatcher.now(), self.id)
         members = tuple(
             replace(
-                member, standing=lines[id].standing, since=lines[id].since, part=lines[id].part, zone=member.zone or id
+                member,
+                status=lines[id].standing,
+                started_at=lines[id].since,
+                cold_fraction=lines[id].part,
+                zone=member.zone or id,
             )
             for id, member in self.members.items()
         )
--- a/ternquay/net/config.py
+++ b/ternquay/net/config.py
@@ -25,13 +25,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Config:
+class ProcessConfig:
     path: str  # the file, which may be read again
     name: str
     listen: Address
     management: Address | None
     discovery: Address
-    start: m.Config
+    settings: m.Config
     names: Names
     initial_list: dict[str, Any]
     limits: Limits
@@ -77,7 +77,7 @@
     return value
 
 
-def read_config(path: str = "", env: Mapping[str, str] = os.environ) -> Config:
+def read_config(path: str = "", env: Mapping[str, str] = os.environ) -> ProcessConfig:
     """From the file named, or the one in EDGE_CONFIG; the file goes before the environment."""
     path = path or env.get("EDGE_CONFIG", "")
     told = read_file(path)
@@ -91,7 +91,7 @@
     memory = parse_integer(bounds.get("memory_mb"), "limits.memory_mb", two * MIN_MEMORY_MB)
     told_at = told.get("management", env.get("EDGE_MANAGEMENT") or None)
     try:
-        start, names, limits = (
+        settings, names, limits = (
             read_start(parse_seed(told.get("seed")), facts),
             Names(facts),
             derive_limits(facts, sockets, memory, managed=told_at is not None, two=two > 1),
@@ -111,13 +111,13 @@
         discovery = parse_address(told.get("discovery", env.get("EDGE_DISCOVERY")), "discovery")
     except FieldError as fault:
         raise ConfigError(str(fault)) from fault
-    return Config(
+    return ProcessConfig(
         path=path,
         name=str(told.get("name") or env.get("EDGE_NAME", "")),
         listen=listen,
         management=management,
         discovery=discovery,
-        start=start,
+        settings=settings,
         names=names,
         initial_list=initial_list,
         limits=limits,
--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -17,7 +17,7 @@
 from ternquay.facts import Names
 from ternquay.net.flow import Flow
 from ternquay.net.limits import SECOND, Limits
-from ternquay.net.listing import Address, Member
+from ternquay.net.listing import Address, HostEntry
 from ternquay.net.log_limiter import LogRateLimiter
 from ternquay.net.safety import Attempt, RefuseReason, Safety
 
@@ -134,7 +134,7 @@
         self.stood_still: Callable[[int], bool] = lambda now: False
         self.watch: Callable[[], None] = lambda: None
         self.hosts: dict[str, int] = {}
-        self.members: dict[str, Member] = {}  # the list as it stands
+        self.members: dict[str, HostEntry] = {}  # the list as it stands
         self.doubted: dict[str, int] = {}  # since when the list lacks them, where gone is advice
         self.part = 1.0  # of what a cold cache host takes of this balancer
         self.crowded = False  # more cache hosts than sockets for them
@@ -391,16 +391,16 @@
         self.start, self.names, self.limits = start, names, limits
         self.happened(start)
 
-    def list_told(self, whole: bool, members: tuple[Member, ...]) -> None:
+    def list_told(self, whole: bool, members: tuple[HostEntry, ...]) -> None:
         doubted: tuple[m.ListedHost, ...] = ()
         if self.start.gone_is_advisory:
             members, doubted = self._advised(whole, members)
             whole = False
-        gone = {member.id for member in members if member.standing is m.HostStatus.GONE} & self.hosts.keys()
+        gone = {member.id for member in members if member.status is m.HostStatus.GONE} & self.hosts.keys()
         if whole:
             gone |= self.hosts.keys() - {member.id for member in members}
         # One that is gone and never was known here is nobody's: ids are ever new, and would be kept for ever.
-        members = tuple(x for x in members if x.standing is not m.HostStatus.GONE or x.id in gone)
+        members = tuple(x for x in members if x.status is not m.HostStatus.GONE or x.id in gone)
         lines = tuple(self._line(member) for member in members)
         for line, member in zip(lines, members, strict=True):
             self.pool.listed(line.host, member.address, line.status is m.HostStatus.READY)
@@ -425,12 +425,14 @@
             if self.crowded:
                 logger.warning("more cache hosts than sockets for them: {} and {}", len(self.hosts), room)
 
-    def _advised(self, whole: bool, members: tuple[Member, ...]) -> tuple[tuple[Member, ...], tuple[m.ListedHost, ...]]:
+    def _advised(
+        self, whole: bool, members: tuple[HostEntry, ...]
+    ) -> tuple[tuple[HostEntry, ...], tuple[m.ListedHost, ...]]:
         """Where gone is advice: what the list names, and lines for what it lacks or calls gone.
 
         The decisions are told of those; here they stay as they are, and can be reached, until they are forgotten.
         """
-        named = {x.id for x in members if x.standing is not m.HostStatus.GONE}
+        named = {x.id for x in members if x.status is not m.HostStatus.GONE}
         lacks = ({x.id for x in members} - named) & self.hosts.keys() | (self.hosts.keys() - named if whole else set())
         for name in named:
             self.doubted.pop(name, None)
@@ -456,7 +458,7 @@
             self.part = part
             self.list_told(True, tuple(self.members.values()))
 
-    def _line(self, member: Member) -> m.ListedHost:
+    def _line(self, member: HostEntry) -> m.ListedHost:
         # The id stands for the host: it is the same at every balancer, where the address may differ.
         if member.id not in self.hosts:
             self.hosts[member.id] = self.next_host
@@ -467,8 +469,8 @@
             zone=self.names.zones.get(member.zone, -1),
             kind=self.names.kinds.get(member.kind, -1),
             cell=member.cell,
-            status=member.standing,
-            weight=member.hint,
-            started_at=member.since,
-            cold_fraction=member.part * self.part,
+            status=member.status,
+            weight=member.weight,
+            started_at=member.started_at,
+            cold_fraction=member.cold_fraction * self.part,
         )
--- a/ternquay/net/listing.py
+++ b/ternquay/net/listing.py
@@ -8,7 +8,7 @@
 from ternquay.facts import choice, number
 from ternquay.net.limits import MS
 
-STANDING_BY_PHASE = {"up": m.HostStatus.READY, "draining": m.HostStatus.DRAINING, "removed": m.HostStatus.GONE}
+STATUS_BY_PHASE = {"up": m.HostStatus.READY, "draining": m.HostStatus.DRAINING, "removed": m.HostStatus.GONE}
 MAX_REVISION = 2**53  # what any reader of JSON still tells apart
 MAX_TIME_MS = 253_402_300_799_999  # the year 9999, in milliseconds
 
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Member:
+class HostEntry:
     """One line of the list of cache hosts, by its names."""
 
     id: str
@@ -35,10 +35,10 @@
     zone: str
     kind: str
     cell: int
-    standing: m.HostStatus
-    hint: float
-    since: int
-    part: float = 1.0
+    status: m.HostStatus
+    weight: float
+    started_at: int
+    cold_fraction: float = 1.0
 
 
 def parse_address(text: Any, field: str) -> Address:
@@ -56,27 +56,27 @@
     return Address(host, int(port))
 
 
-def parse_member(told: Any, at: str, since_offset: int) -> Member:
+def parse_host_entry(told: Any, at: str, clock_offset: int) -> HostEntry:
     """Raises FieldError, KeyError or ValueError."""
     if not isinstance(told, dict):
         raise FieldError(f"{at}: an object is wanted, not {told!r:.40}")
     name = told.get("id")
     if not isinstance(name, str) or not name:
         raise FieldError(f"{at}.id: a name is wanted, not {name!r:.40}")
-    since = int(number(told, "up_since_ms", at, 0, MAX_TIME_MS, 0))
-    return Member(
+    started_ms = int(number(told, "up_since_ms", at, 0, MAX_TIME_MS, 0))
+    return HostEntry(
         id=name,
         address=parse_address(told.get("host_port"), f"{at}.host_port"),
         zone=str(told.get("locality", "")),
         kind=str(told.get("flavor", "")),
         cell=int(number(told, "cell", at, 0, MAX_REVISION, 0)),
-        standing=choice(told, "phase", at, STANDING_BY_PHASE),
-        hint=float(number(told, "size", at, 0, 1e6, 0.0)),
-        since=since * MS - since_offset if since else 0,
+        status=choice(told, "phase", at, STATUS_BY_PHASE),
+        weight=float(number(told, "size", at, 0, 1e6, 0.0)),
+        started_at=started_ms * MS - clock_offset if started_ms else 0,
     )
 
 
-def parse_list(told: Any, since_offset: int) -> tuple[int, bool, tuple[Member, ...]]:
+def parse_list(told: Any, clock_offset: int) -> tuple[int, bool, tuple[HostEntry, ...]]:
     """The revision, whether the list is whole, and its members. Raises FieldError."""
     if not isinstance(told, dict) or not isinstance(told.get("members"), list):
         raise FieldError("members: a list is wanted")
@@ -85,7 +85,7 @@
         raise FieldError(f"complete: true or false is wanted, not {told.get('complete')!r:.40}")
     try:
         revision = int(number(told, "revision", "", 0, MAX_REVISION))
-        members = tuple(parse_member(one, f"members[{i}]", since_offset) for i, one in enumerate(told["members"]))
+        members = tuple(parse_host_entry(one, f"members[{i}]", clock_offset) for i, one in enumerate(told["members"]))
     except KeyError as fault:
         raise FieldError(f"{fault.args[0]}: is missing") from fault
     except ValueError as fault:
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -19,7 +19,7 @@
 from ternquay.balance import Balancer
 from ternquay.net import library_log, meta
 from ternquay.net.closing import accept_all_waiting, after_answers_sent
-from ternquay.net.config import Config, ConfigError, read_config
+from ternquay.net.config import ConfigError, ProcessConfig, read_config
 from ternquay.net.discovery import Discovery
 from ternquay.net.dispatcher import Dispatcher, cancel_call
 from ternquay.net.frontend import Frontend
@@ -68,15 +68,15 @@
 class Service:
     """The assembled balancer."""
 
-    def __init__(self, reactor: Any, config: Config, decisions: type[Balancer] = Balancer) -> None:
+    def __init__(self, reactor: Any, config: ProcessConfig, decisions: type[Balancer] = Balancer) -> None:
         self.reactor, self.config, self.limits = reactor, config, config.limits
         self.start_times = StartTimes(lambda: time.time_ns() - int(reactor.seconds() * SECOND))
         self.sockets = sockets = Sockets(self.limits)
         self.replacement: Any = None
         self.shut = False  # another process takes the clients
-        self.dispatcher = Dispatcher(reactor, config.start, config.names, self.limits, decisions)
+        self.dispatcher = Dispatcher(reactor, config.settings, config.names, self.limits, decisions)
         self.pool = self.dispatcher.pool = Pool(
-            reactor, self.dispatcher, self.limits, sockets, config.start.parallel_hops
+            reactor, self.dispatcher, self.limits, sockets, config.settings.parallel_hops
         )
         self.loop_timing = LoopTiming(self.limits.turn_duration)
         self.dispatcher.stood_still = self.loop_timing.stood_still
@@ -96,7 +96,7 @@
 
     def begin(self) -> None:
         self.discovery.take(self.config.initial_list)  # read_config has read it already
-        if not self.config.start.watch_list:
+        if not self.config.settings.watch_list:
             self.discovery.watch()
         where = self.config.listen
         held = inherited_socket(where)
@@ -108,7 +108,7 @@
             self._beside(lambda: self._open(adopt_socket(self.reactor, Listener, held, self.frontend)))
             return
         # Once the loop runs: what the system accepts while a start still takes its time is ours, and waits unread.
-        if self.config.start.watch_list:
+        if self.config.settings.watch_list:
             self.reactor.callLater(FIRST_LOOK, self._listen)
         else:
             # What is pushed counts as told from the first moment of a process, and the list that it was given may be
@@ -179,8 +179,8 @@
             logger.error("told to read the configuration again, the old one is kept: {}", fault)
             return
         # All else is built into what is open now. The seed and the list known are for starts alone.
-        new = replace(new, start=replace(new.start, seed=old.start.seed))
-        for field in ("name", "listen", "management", "limits", "start"):
+        new = replace(new, settings=replace(new.settings, seed=old.settings.seed))
+        for field in ("name", "listen", "management", "limits", "settings"):
             if getattr(new, field) != getattr(old, field):
                 logger.warning("the configuration has another {}, which waits for the next start", field)
         logger.info("read the configuration again, discovery: {}", new.discovery)
@@ -303,7 +303,7 @@
             self.reactor.stop()
 
 
-def run(config: Config, decisions: type[Balancer] = Balancer) -> None:
+def run(config: ProcessConfig, decisions: type[Balancer] = Balancer) -> None:
     """Serves until it is told to end; other decisions than the product's are for comparisons."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to read again: never an end
     logger.remove()
--- a/ternquay/net/start_times.py
+++ b/ternquay/net/start_times.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ternquay.net.listing import Member
+from ternquay.net.listing import HostEntry
 
 STEP_NS = 500_000_000  # ns: a difference that has changed by more is that of another clock, and not a drift
 MAX_DIFFERENCES = 8  # that are remembered at most: the first one, and the latest
@@ -35,11 +35,11 @@
         self.list_count = 0  # that were dated
         self.latest_list_at = 0  # when the latest of them was
 
-    def to_monotonic(self, whole: bool, members: tuple[Member, ...], now: int) -> tuple[Member, ...]:
+    def to_monotonic(self, whole: bool, members: tuple[HostEntry, ...], now: int) -> tuple[HostEntry, ...]:
         """The members of a list, their starts told in Unix time, with starts on the monotonic clock."""
         self._sample_difference()
         earliest = self.latest_list_at - MAX_LIST_DELAY_NS if self.list_count >= INITIAL_LISTS else None
-        dated = tuple(replace(member, since=self._monotonic_start(member, now, earliest)) for member in members)
+        dated = tuple(replace(member, started_at=self._monotonic_start(member, now, earliest)) for member in members)
         if whole:
             self._move_absent({member.id for member in members})
         self.list_count, self.latest_list_at = self.list_count + 1, now
@@ -58,18 +58,18 @@
         if all(abs(difference - one) > STEP_NS for one in self.differences):
             self.differences = [self.differences[0], *self.differences[1:][-(MAX_DIFFERENCES - 2) :], difference]
 
-    def _monotonic_start(self, member: Member, now: int, earliest: int | None) -> int:
+    def _monotonic_start(self, member: HostEntry, now: int, earliest: int | None) -> int:
         """The start of one host, 0 for long ago; `earliest` bounds that of one that has started since the last list."""
-        if not member.since:
+        if not member.started_at:
             self.known.pop(member.id, None)
             return 0
         told, since = self.known.get(member.id) or self.absent.pop(member.id, (0, 0))
-        if told != member.since:
-            meant = [member.since - difference for difference in self.differences]
+        if told != member.started_at:
+            meant = [member.started_at - difference for difference in self.differences]
             # Half a second for clocks that are not quite alike: nothing that is listed starts later than now.
             since = max((one for one in meant if one <= now + STEP_NS), default=now)
             if earliest is not None:
                 since = max(since, earliest)
             since = since or 1  # 0 stands for long ago
-        self.known[member.id] = member.since, since
+        self.known[member.id] = member.started_at, since
         return since
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -30,7 +30,7 @@
         with pytest.raises(ConfigError, match=r"^settings: Invariants\.GoneIsAdvice: true or false is wanted"):
             read_config(str(path), {})
     path.write_text(json.dumps(told(1, 2, settings=facts(True))))
-    assert read_config(str(path), {}).start.gone_is_advisory
+    assert read_config(str(path), {}).settings.gone_is_advisory
 
 
 def sent(play: Play, many: int = 40) -> set[int]:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -20,7 +20,7 @@
 from ternquay.balance import SECOND, Balancer
 from ternquay.handover.beside import NAMES, Slots
 from ternquay.handover.notes import Ceilings, Note, NoteUnfit, learned_read, learned_text, read, written
-from ternquay.net.listing import Address, Member
+from ternquay.net.listing import Address, HostEntry
 from tests.helper import START, T0, Net, line, member
 from tests.test_flow import Store
 from tests.test_management import OUT, READY, call, says
@@ -28,7 +28,7 @@
 from tests.test_review_links import until
 from tests.test_upgrade import platform
 
-LISTED = Member("h1", Address("127.0.0.1", 9), "a", "k", 2, m.HostStatus.DRAINING, 1.5, 77)
+LISTED = HostEntry("h1", Address("127.0.0.1", 9), "a", "k", 2, m.HostStatus.DRAINING, 1.5, 77)
 NOTE = Note(5, 100, True, "127.0.0.1:8500", 41, (LISTED,), {"usual": 1.5, "hosts": {}})
 
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ternquay.net.limits import MS, SECOND
-from ternquay.net.listing import Member, parse_list
+from ternquay.net.listing import HostEntry, parse_list
 from ternquay.net.start_times import MAX_ABSENT_HOSTS, MAX_DIFFERENCES, MAX_LIST_DELAY_NS, StartTimes
 from tests.helper import Net, member
 
@@ -24,11 +24,11 @@
     def dated(self, *starts: int, whole: bool = False, names: Sequence[str] = "abcdef") -> list[int]:
         """How old, in seconds, hosts are taken for whose starts are told in Unix time."""
         line = parse_list({"revision": 1, "complete": True, "members": [member(1)]}, 0)[2][0]
-        members: tuple[Member, ...] = tuple(
-            replace(line, id=name, since=start) for name, start in zip(names, starts, strict=False)
+        members: tuple[HostEntry, ...] = tuple(
+            replace(line, id=name, started_at=start) for name, start in zip(names, starts, strict=False)
         )
         return [
-            round((self.now - one.since) / SECOND) if one.since else -1
+            round((self.now - one.started_at) / SECOND) if one.started_at else -1
             for one in self.times.to_monotonic(whole, members, self.now)
         ]
 
