--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -154,7 +154,7 @@
 
 
 class TenantPool(Pool):
-    connects = TenantConnection
+    connection_class = TenantConnection
 
     def __init__(self, loop: Loop, name: str, *terms: Any) -> None:
         super().__init__(*terms)
@@ -162,9 +162,9 @@
 
     def end(self) -> None:
         """Closes all there is, at once."""
-        for place in list(self.places.values()):
-            for connection in list(place.all):
-                connection.drop(ServerCloseReason.REMOVED)
+        for place in list(self.hosts.values()):
+            for connection in list(place.connections):
+                connection.abort(ServerCloseReason.REMOVED)
 
 
 class TenantDispatcher(Dispatcher):
@@ -419,13 +419,13 @@
 
     def swept(self) -> None:
         if self.sockets.hosts:
-            self.pool.swept()
+            self.pool.close_stale()
         if self.frontend.all:
             self.frontend.swept()
 
     def held(self) -> int:
         """Bytes that it has in memory of half-read and unanswered things."""
-        return self.dispatcher.held + self.frontend.kept + self.frontend.queued + self.pool.kept
+        return self.dispatcher.held + self.frontend.kept + self.frontend.queued + self.pool.buffered_bytes
 
     def use(self) -> dict[str, Any]:
         part = self.common.loop.parts.get(self.id)
--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -22,39 +22,39 @@
 from ternquay.net.safety import ServerCloseReason
 
 if TYPE_CHECKING:
-    from ternquay.net.pool import HostPlace, Pool
+    from ternquay.net.pool import HostConnections, Pool
 
 
 @implementer(IPullProducer)
 class HostConnection(Driver):
     """Thin driver of one connection: the machine reads, this keeps the hops on it in order."""
 
-    def __init__(self, pool: "Pool", host: "HostPlace") -> None:
+    def __init__(self, pool: "Pool", host: "HostConnections") -> None:
         self.pool, self.host = pool, host
         self.address = host.address  # where it leads; the host may go on at another
         self.connector: Any = None
         self.machine = HostSide(pool.limits.line_bytes, pool.limits.answer_bytes, pool.limits.stream_above_bytes)
-        self.kept = 0  # bytes of an answer that is not whole
+        self.buffered_bytes = 0  # bytes of an answer that is not whole
         self.to_write: deque[OutgoingHop] = deque()
         self.writing: OutgoingHop | None = None
         self.hops: deque[OutgoingHop] = deque()  # given to the transport, in order; given-up ones stay in place
         self.idle_since = 0
-        self.rested = -1  # how long it had been idle before the hop it is used for now, until something comes
-        self.up = self.closing = False
-        self.flow: Flow | None = None  # a large value that is coming in
-        self.pours: Flow | None = None  # one that is going out, as the value of `writing`
-        self.filled = False  # the system has not taken yet what it was given of that
-        self.filled_at = 0  # since when
-        self.note = 0  # what the cache host said of the read that `flow` answers
-        self.moved = 0  # when something of `flow` came, or was let come again
-
-    def current(self) -> bool:
+        self.idle_before_hop = -1  # how long it had been idle before the hop it is used for now, until something comes
+        self.established = self.closing = False
+        self.incoming: Flow | None = None  # a large value that is coming in
+        self.outgoing: Flow | None = None  # one that is going out, as the value of `writing`
+        self.write_pending = False  # the system has not taken yet what it was given of that
+        self.write_pending_since = 0  # since when
+        self.cache_result = 0  # what the cache host said of the read that `flow` answers
+        self.incoming_moved_at = 0  # when something of `flow` came, or was let come again
+
+    def may_send(self) -> bool:
         """Whether what is new may go out here: the host is listed, does not drain, and is where this leads."""
         return self.host.ready and self.address == self.host.address
 
-    def carries_large(self) -> bool:
+    def sends_large_value(self) -> bool:
         """A large value goes out here, or is about to: nothing else may wait for its writer."""
-        return self.pours is not None or any(hop.tx.flow is not None for hop in self.to_write)
+        return self.outgoing is not None or any(hop.tx.flow is not None for hop in self.to_write)
 
     def load(self) -> int:
         return len(self.hops) + len(self.to_write)
@@ -66,21 +66,21 @@
             self.transport.abortConnection()
             return
         super().connectionMade()
-        self.up = True
+        self.established = True
         self.transport.registerProducer(self, False)
         if not self.load():
-            self.pool.idle(self)
+            self.pool.connection_idle(self)
 
     def resumeProducing(self) -> None:
         """The system has taken all that the transport was given."""
-        self.filled = False
-        if self.pours is not None:
-            self.pour()
+        self.write_pending = False
+        if self.outgoing is not None:
+            self.write_outgoing()
             return
         self.writing = None
         skipped = False
         while self.to_write and self.writing is None and not self.closing:
-            if not self.current():
+            if not self.may_send():
                 # The last place before the first byte: a fault while a list was taken may have kept recall() away.
                 self.recall()
                 return
@@ -105,32 +105,32 @@
             self.transport.write(hop.tx.message.forward(left))
         else:
             flow.touched = True
-            self._filled()
-            self.pours, flow.sink = flow, self.pour
+            self._write_started()
+            self.outgoing, flow.sink = flow, self.write_outgoing
             self.transport.write(hop.tx.message.forward(hop.tx.ttl // MS))
         # The library would write it in the loop's next turn, and who was there at the last look may have gone by then.
         # What comes of a broken connection the loop hears of by itself.
         self.transport.doWrite()
 
-    def pour(self) -> None:
+    def write_outgoing(self) -> None:
         """Passes on what has come of a large value, as far as the system takes it."""
-        flow, hop = self.pours, self.writing
-        if flow is None or hop is None or self.filled or self.closing or flow.broken:
+        flow, hop = self.outgoing, self.writing
+        if flow is None or hop is None or self.write_pending or self.closing or flow.broken:
             return
         data = flow.take()
         if flow.over():
-            self.pours, flow.sink = None, nothing
+            self.outgoing, flow.sink = None, nothing
             hop.written = True
             data += b"\r\n"
         if data:
-            self._filled()
+            self._write_started()
             self.transport.write(data)
         else:
             flow.taken()
 
-    def _filled(self) -> None:
+    def _write_started(self) -> None:
         """The system is given some of a large value."""
-        self.filled, self.filled_at = True, self.pool.dispatcher.now()
+        self.write_pending, self.write_pending_since = True, self.pool.dispatcher.now()
 
     def stopProducing(self) -> None:
         pass
@@ -138,37 +138,37 @@
     def rawDataReceived(self, data: bytes) -> None:
         if self.closing:
             return
-        if self.rested >= 0:
-            self.pool.idle_loss.told(self.rested, False)
-            self.rested = -1
+        if self.idle_before_hop >= 0:
+            self.pool.idle_loss.told(self.idle_before_hop, False)
+            self.idle_before_hop = -1
         for item in self.machine.feed(data):
             if self.closing:
                 return  # an answer before this one ended the rest
             if isinstance(item, Answer):
-                self.answered(item)
+                self.answer_received(item)
             elif isinstance(item, Begun):
-                self.begins(item)
+                self.value_started(item)
             elif isinstance(item, Piece):
-                self.comes(item.data)
+                self.value_data(item.data)
             else:
-                self.came()
+                self.value_finished()
         if not self.closing:
-            self.pool.kept += len(self.machine.buffer) - self.kept
-            self.kept = len(self.machine.buffer)
-            if self.pool.kept > self.pool.limits.buffered_bytes:
+            self.pool.buffered_bytes += len(self.machine.buffer) - self.buffered_bytes
+            self.buffered_bytes = len(self.machine.buffer)
+            if self.pool.buffered_bytes > self.pool.limits.buffered_bytes:
                 self.machine.fault = "more than there is room for"
         if self.machine.fault and not self.closing:
             self.pool.dispatcher.log("WARNING", "{} answered badly: {}", self.host.address, self.machine.fault)
-            self.drop(ServerCloseReason.BAD_ANSWER)
+            self.abort(ServerCloseReason.BAD_ANSWER)
 
-    def answered(self, answer: Answer) -> None:
+    def answer_received(self, answer: Answer) -> None:
         hop = self.hops.popleft()
         if hop is self.writing and not hop.written:
             # Before its last byte was written it can't have run, whatever the cache host says.
             self.pool.dispatcher.hop_ended(
                 hop, answer.end if answer.end is m.HopOutcome.FULL else m.HopOutcome.UNREACHABLE
             )
-            return self.drop(ServerCloseReason.BAD_ANSWER)
+            return self.abort(ServerCloseReason.BAD_ANSWER)
         # Before the door hears of it, as what that sets free may go to the same cache host.
         if not self.machine.fault:
             self.settle()
@@ -176,71 +176,75 @@
 
     # ---- a large value ----
 
-    def begins(self, begun: Begun) -> None:
-        self.note, self.moved = begun.note, self.pool.dispatcher.now()
-        self.flow = Flow(begun.length, self.pool.limits.chunk_bytes, self.hold, self.unwanted)
-        self.hand_back()  # against what is small behind what is large
+    def value_started(self, begun: Begun) -> None:
+        self.cache_result, self.incoming_moved_at = begun.note, self.pool.dispatcher.now()
+        self.incoming = Flow(begun.length, self.pool.limits.chunk_bytes, self.hold_incoming, self.value_unwanted)
+        self.return_waiting()  # against what is small behind what is large
 
-    def unwanted(self) -> None:
+    def value_unwanted(self) -> None:
         """Nobody takes the large value that comes in."""
-        self.drop(ServerCloseReason.VALUE_UNWANTED)
+        self.abort(ServerCloseReason.VALUE_UNWANTED)
 
-    def comes(self, data: bytes) -> None:
+    def value_data(self, data: bytes) -> None:
         """With its first byte it is the answer: it has come in time, and no other hop can give it any more."""
-        flow, hop = self.flow, self.hops[0]
-        self.moved = self.pool.dispatcher.now()
+        flow, hop = self.incoming, self.hops[0]
+        self.incoming_moved_at = self.pool.dispatcher.now()
         if flow is None:
             return
         if not hop.ended:
-            self.pool.dispatcher.hop_ended(hop, m.HopOutcome.DONE, flow, self.note)
+            self.pool.dispatcher.hop_ended(hop, m.HopOutcome.DONE, flow, self.cache_result)
         elif flow.sink is nothing:
             flow.broken = True  # given up before it came: read, and dropped
         flow.offer(data)
 
-    def came(self) -> None:
+    def value_finished(self) -> None:
         self.hops.popleft()
-        flow, self.flow = self.flow, None
+        flow, self.incoming = self.incoming, None
         if not self.machine.fault:
             self.settle()
         if flow is not None:
             flow.finish()
 
-    def hold(self, back: bool) -> None:
+    def hold_incoming(self, paused: bool) -> None:
         """Whoever takes the value is behind, or goes on."""
         if not self.closing:
-            self.moved = self.pool.dispatcher.now()
-            self.hold_reading(back)
+            self.incoming_moved_at = self.pool.dispatcher.now()
+            self.hold_reading(paused)
 
-    def silent(self) -> bool:
+    def receive_stalled(self) -> bool:
         """A large value has begun, and nothing more of it comes though nobody holds it back."""
-        flow = self.flow
+        flow = self.incoming
         return (
             flow is not None
             and not flow.held_back
-            and (self.pool.dispatcher.now() - self.moved > self.pool.limits.stall_timeout)
+            and (self.pool.dispatcher.now() - self.incoming_moved_at > self.pool.limits.stall_timeout)
         )
 
-    def takes_nothing(self) -> bool:
+    def send_stalled(self) -> bool:
         """A large value goes out, and the cache host takes no more of it: its client is held back meanwhile.
 
         A piece counts as taken once all of it is, so this bound is longer than the one for what comes in.
         """
-        return self.filled and self.up and self.pool.dispatcher.now() - self.filled_at > self.pool.limits.stall_timeout
+        return (
+            self.write_pending
+            and self.established
+            and self.pool.dispatcher.now() - self.write_pending_since > self.pool.limits.stall_timeout
+        )
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        if self.rested >= 0 and not self.closing:
-            self.pool.idle_loss.told(self.rested, True)
+        if self.idle_before_hop >= 0 and not self.closing:
+            self.pool.idle_loss.told(self.idle_before_hop, True)
         self.closing = self.transport_closed = True
-        self.pool.lost(self)
+        self.pool.connection_lost(self)
         self.pool.sockets.descriptor_freed(self)
-        self.fail()
+        self.fail_hops()
 
     # ---- from the pool ----
 
-    def take(self, hop: OutgoingHop) -> None:
+    def enqueue(self, hop: OutgoingHop) -> None:
         hop.connection = self
         self.to_write.append(hop)
-        if self.up and self.writing is None:
+        if self.established and self.writing is None:
             self.resumeProducing()
 
     def give_up(self, hop: OutgoingHop) -> None:
@@ -253,13 +257,13 @@
 
     def recall(self) -> None:
         """Nothing new may go out here any more: what was not begun ends as never sent, and is decided on anew."""
-        self.hand_back()
-        if self.up:
+        self.return_waiting()
+        if self.established:
             self.settle()
         else:
-            self.drop(ServerCloseReason.LEAVING)
+            self.abort(ServerCloseReason.LEAVING)
 
-    def hand_back(self) -> None:
+    def return_waiting(self) -> None:
         """What was not begun ends as never sent, and goes out elsewhere."""
         waiting, self.to_write = self.to_write, deque()
         for hop in waiting:
@@ -267,38 +271,38 @@
 
     def settle(self) -> None:
         """Idle again, or of no more use: with nothing but given-up hops on it, it is closed to end them."""
-        if not self.up or self.closing or self.to_write:
+        if not self.established or self.closing or self.to_write:
             return
         if not self.hops:
-            self.pool.idle(self)
-        elif all(hop.ended for hop in self.hops) and self.flow is None:
-            self.drop(ServerCloseReason.GIVEN_UP)
+            self.pool.connection_idle(self)
+        elif all(hop.ended for hop in self.hops) and self.incoming is None:
+            self.abort(ServerCloseReason.GIVEN_UP)
 
-    def drop(self, reason: ServerCloseReason) -> None:
+    def abort(self, reason: ServerCloseReason) -> None:
         """At once, with all that is on it."""
         if not self.closing:
             self.closing = True
             self.pool.dispatcher.safety.closing_server(reason)
-            self.pool.lost(self)
-            if self.up:
+            self.pool.connection_lost(self)
+            if self.established:
                 self.transport.abortConnection()
             else:
                 self.connector.stopConnecting()  # there is no transport yet
-            self.fail()
+            self.fail_hops()
 
-    def retire(self, reason: ServerCloseReason) -> None:
+    def close(self, reason: ServerCloseReason) -> None:
         """An idle one: nothing is on it."""
         if not self.closing:
             self.closing = True
             self.pool.dispatcher.safety.closing_server(reason)
-            self.pool.lost(self)
+            self.pool.connection_lost(self)
             self.close_after_write()
 
-    def fail(self) -> None:
+    def fail_hops(self) -> None:
         """All that is on it has ended: the command in the transport's hands and those behind it never ran."""
         hops, self.hops, waiting = self.hops, deque(), self.to_write
         self.to_write = deque()
-        flow, self.flow, self.pours = self.flow, None, None
+        flow, self.incoming, self.outgoing = self.incoming, None, None
         if flow is not None:
             flow.break_off()
         for hop in hops:
@@ -308,7 +312,7 @@
             self.pool.dispatcher.hop_ended(hop, m.HopOutcome.UNREACHABLE)
 
 
-class Dialer(ClientFactory):
+class ConnectionFactory(ClientFactory):
     """Makes one connection, and hands on that it could not be made."""
 
     noisy = False
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -121,9 +121,7 @@
     client.feed(mg(2))
     [w for w in net.wires if w.name == "host 1" and not w.lost][-1].feed(va(2))
     net.run(FORGET // 1_000_000 + 3000)
-    assert (
-        not net.dispatcher.hosts and not net.dispatcher.members and not net.dispatcher.doubted and not net.pool.places
-    )
+    assert not net.dispatcher.hosts and not net.dispatcher.members and not net.dispatcher.doubted and not net.pool.hosts
     assert not net.dispatcher.balancer.hosts
     net.list(member(1))
     net.run(1)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -171,7 +171,7 @@
 
 
 def ready(net: Net) -> bool:
-    return next(iter(net.pool.places.values())).ready
+    return next(iter(net.pool.hosts.values())).ready
 
 
 def test_a_call_that_was_given_up_is_answered_late_and_still_good(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -266,13 +266,13 @@
     net, agent, service = moved(tmp_path, monkeypatch)
     net.run(after)
     agent.calls[0].callback(Ending(drained(5), ResponseDone()))
-    assert next(iter(service.pool.places.values())).ready is not taken
+    assert next(iter(service.pool.hosts.values())).ready is not taken
     net.run(1000)
     assert len(agent.calls) == 2, "the old one is called no more"
     agent.calls[1].callback(
         Ending(orjson.dumps({"revision": 1, "complete": True, "members": [member(1)]}), ResponseDone())
     )
-    assert next(iter(service.pool.places.values())).ready
+    assert next(iter(service.pool.hosts.values())).ready
 
 
 def test_what_the_new_discovery_tells_goes_before_what_the_old_one_had_written(
@@ -283,7 +283,7 @@
     agent.calls[0].callback(
         Ending(orjson.dumps({"revision": 7, "complete": True, "members": [member(1)]}), ResponseDone())
     )
-    assert not next(iter(service.pool.places.values())).ready
+    assert not next(iter(service.pool.hosts.values())).ready
 
 
 # ---- descriptors: what is closed, and what the system still counts ----
@@ -360,7 +360,7 @@
     assert not net.reactor.tcpServers and service.unready()
     if word == "told":
         agent.calls[0].callback(Ending(drained(5), ResponseDone()))
-        assert not next(iter(service.pool.places.values())).ready
+        assert not next(iter(service.pool.hosts.values())).ready
     elif word == "refused":
         agent.calls[0].errback(Failed(ConnectionLost()))
     else:
@@ -529,7 +529,7 @@
     while net.reactor.tcpClients:
         net.accept()
     net.run(1000)
-    assert not begun(net) and not net.dispatcher.txs and not net.pool.kept
+    assert not begun(net) and not net.dispatcher.txs and not net.pool.buffered_bytes
 
 
 @pytest.mark.parametrize("back", [True, False])
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -106,7 +106,7 @@
     net.run(2000)  # past its hard limit
     first.feed(b"0123456789" * 2 + b"\r\n")
     assert written(net, "client 0") == b"VA 30 O1\r\n" + b"0123456789" * 3 + b"\r\n" + va(2).replace(b" h1", b"")
-    assert not net.dispatcher.txs and not first.lost and net.pool.places[0].idle
+    assert not net.dispatcher.txs and not first.lost and net.pool.hosts[0].idle
     client.feed(mg(3))
     net.matches("net_large_read")
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -290,10 +290,10 @@
         net.list(member(host), member(host - 1, "removed"))
         net.list(member(host + 100, "removed"))
     net.run(1)
-    assert idle.lost and list(net.pool.places) == [0, 38]
+    assert idle.lost and list(net.pool.hosts) == [0, 38]
     busy.feed(va(1))
     net.run(1)
-    assert busy.lost and len(net.pool.places) == len(net.dispatcher.hosts) == len(net.dispatcher.balancer.hosts) == 1
+    assert busy.lost and len(net.pool.hosts) == len(net.dispatcher.hosts) == len(net.dispatcher.balancer.hosts) == 1
     assert net.sockets.hosts == 0
     net.matches("net_gone")
 
@@ -322,9 +322,9 @@
     first, second = host, net.accept()
     first.feed(va(2, b"x" * 500_000)[:400_000], cut=65536)
     second.feed(va(3, b"x" * 500_000)[:400_000], cut=65536)
-    assert second.lost and not first.lost and 0 < net.pool.kept <= 400_000
+    assert second.lost and not first.lost and 0 < net.pool.buffered_bytes <= 400_000
     net.run(600)
-    assert first.lost and not net.pool.kept
+    assert first.lost and not net.pool.buffered_bytes
 
 
 def test_connections_idle_for_as_long_as_others_that_broke_are_not_used_for_a_while() -> None:
@@ -511,10 +511,10 @@
     # What the old address had written by then counts as told; what it tells later is nobody's.
     net.run(101)
     agent.calls[0].callback(Response(200, orjson.dumps({"revision": 9, "complete": True, "members": []})))
-    assert not moved.ended and len(service.pool.places) == 1
+    assert not moved.ended and len(service.pool.hosts) == 1
     told_anew = {"revision": 2, "complete": True, "members": [member(2)]}
     agent.calls[1].callback(Response(200, orjson.dumps(told_anew)))
-    assert list(service.pool.places) == [1] and list(service.dispatcher.hosts) == ["h2"]
+    assert list(service.pool.hosts) == [1] and list(service.dispatcher.hosts) == ["h2"]
     agent.calls[-1].errback(connectionDone)
     net.run(1500)
     path.write_bytes(orjson.dumps(TOLD))
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -166,7 +166,7 @@
     client.feed(mg(1))
     net.accept().feed(va(1))
     net.run(30_000)
-    assert "client 0 < b'VA 3 O1" in "".join(net.trace) and len(service.pool.places) == 1
+    assert "client 0 < b'VA 3 O1" in "".join(net.trace) and len(service.pool.hosts) == 1
     assert 4 <= len(agent.calls) <= 12  # it goes on asking the new one, more and more rarely
     service.end()
     path.write_bytes(orjson.dumps(TOLD))
@@ -251,7 +251,7 @@
     agent.calls[2].callback(told(6, member(1), *([member(2)] if stays else [])))
     assert watch.revision == 6
     left = {"h1", "h2"} if stays else {"h1"}
-    assert set(net.dispatcher.hosts) == left and len(net.dispatcher.balancer.hosts) == len(net.pool.places) == len(left)
+    assert set(net.dispatcher.hosts) == left and len(net.dispatcher.balancer.hosts) == len(net.pool.hosts) == len(left)
 
 
 def test_a_whole_list_that_is_empty_counts_as_told_and_the_next_one_mends_it() -> None:
--- a/tests/test_review_links.py
+++ b/tests/test_review_links.py
@@ -212,7 +212,7 @@
     while net.reactor.tcpClients:
         *_, factory, _, _ = net.reactor.tcpClients.pop(0)
         factory.clientConnectionFailed(None, connectionDone)
-    assert net.sockets.hosts == 0 and not any(place.all for place in net.pool.places.values())
+    assert net.sockets.hosts == 0 and not any(place.connections for place in net.pool.hosts.values())
 
 
 def test_a_host_that_goes_silent_loses_its_connections_with_their_hops_and_no_write_is_kept_for_it() -> None:
@@ -223,7 +223,7 @@
         if net.reactor.tcpClients:
             net.accept()
     net.run(1000)
-    assert net.sockets.hosts == 0 and not net.dispatcher.txs and not net.pool.kept
+    assert net.sockets.hosts == 0 and not net.dispatcher.txs and not net.pool.buffered_bytes
     assert "".join(answers(net)).count("SERVER_ERROR failed") + "".join(answers(net)).count("busy") == 4
 
 
@@ -371,7 +371,7 @@
         for wire in net.wires[1:]:
             if not wire.lost and wire.protocol.hops:
                 wire.feed(va(n))
-    assert all(place.idle for place in net.pool.places.values())
+    assert all(place.idle for place in net.pool.hosts.values())
     net.list(member(1), whole=True)
     net.take()
-    assert list(net.pool.places) == [0] and net.sockets.hosts == sum(len(p.all) for p in net.pool.places.values())
+    assert list(net.pool.hosts) == [0] and net.sockets.hosts == sum(len(p.connections) for p in net.pool.hosts.values())
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -204,7 +204,7 @@
     host = hosts(Registry().with_change(CreateTenant(one)), tmp_path)
     host.begin()
     tenancy = host.tenancies["sur"]
-    tenancy.pool._dial(next(iter(tenancy.pool.places.values())))
+    tenancy.pool._connect(next(iter(tenancy.pool.hosts.values())))
     assert host.reactor.tcpClients and host.lent.total == 1
     host.change(SetState("sur", State.ENDING))
     host.change(RemoveTenant("sur"))
