--- a/ternquay/hosted/administration/changes.py
+++ b/ternquay/hosted/administration/changes.py
@@ -19,7 +19,7 @@
 
 from ternquay.consensus.fate import NotNow, Nowhere, Unknown
 from ternquay.hosted.administration.api import Api, Call, Look, Proposal, Reply, problem, tag
-from ternquay.hosted.store import Answered, Commit, Logged, Noted, Store, StoreError, StoreUnsure
+from ternquay.hosted.store import AuditRecord, ChangeRecord, Commit, Store, StoredReply, StoreError, StoreOutcomeUnknown
 from ternquay.hosted.tenants.registry import Registry, RemoveTenant
 from ternquay.hosted.tenants.tenant import InvalidField
 
@@ -71,7 +71,7 @@
         self.waiting: deque[tuple[Call | RemoveTenant, Deferred[Reply]]] = deque()
         self.busy = False
         self.watches: list[Deferred[None]] = []
-        self.notes: dict[tuple[str, str, str, int, str], Noted] = {}
+        self.notes: dict[tuple[str, str, str, int, str], AuditRecord] = {}
         self.noting = self.ended = False
         self.unsure = False  # the store may hold one more change than is in force
         self.fleet: Any = None
@@ -150,7 +150,7 @@
         """Whatever goes wrong is one call's fault and answered."""
 
         def fault(failure: Any) -> Reply:
-            if failure.check(StoreUnsure):
+            if failure.check(StoreOutcomeUnknown):
                 self.unsure = True
                 logger.bind(cause=str(failure.value)).error("whether a change was stored can't be told")
                 return problem(507, "whether the change was stored can't be told; call again, with the key it had")
@@ -200,9 +200,9 @@
         answered = None
         if key:
             body = {name: value for name, value in reply.body.items() if name != "token"}
-            answered = Answered(who, _digest(key), _asked(call), reply.status, after.version, orjson.dumps(body))
-        noted = Noted(now, who, call.peer, f"{call.method} {call.path}", reply.status, outcome.kind)
-        logged = Logged(after.version, now, who, outcome.tenant, outcome.kind, orjson.dumps(outcome.detail))
+            answered = StoredReply(who, _digest(key), _asked(call), reply.status, after.version, orjson.dumps(body))
+        noted = AuditRecord(now, who, call.peer, f"{call.method} {call.path}", reply.status, outcome.kind)
+        logged = ChangeRecord(after.version, now, who, outcome.tenant, outcome.kind, orjson.dumps(outcome.detail))
         commit = Commit(logged, after.tenants.get(outcome.tenant), answered, noted)
         yield from self._made(after, outcome.tenant, commit)
         return reply
@@ -219,7 +219,7 @@
             prepared.drop()
             raise
         self._apply(after, tenant, prepared)
-        logged = commit.logged
+        logged = commit.record
         logger.bind(tenant=tenant, version=logged.version, who=logged.who, kind=logged.kind).info("changed")
         self._news()
 
@@ -247,7 +247,7 @@
         if change.name not in self.registry.tenants:
             return Reply(200, {})
         after = self.registry.with_change(change)
-        logged = Logged(after.version, self.clock(), SERVICE, change.name, "gone", b"{}")
+        logged = ChangeRecord(after.version, self.clock(), SERVICE, change.name, "gone", b"{}")
         yield from self._made(after, change.name, Commit(logged, None))
         return Reply(200, {})
 
@@ -257,12 +257,12 @@
         if len(key) > KEY_MOST or not key.isascii() or not key.isprintable():
             return problem(400, f"up to {KEY_MOST} printable characters are wanted", "Idempotency-Key")
         who = str(self.api.identified(call, self.registry, self.clock()))
-        found: Answered | None = self.fleet.answered(who, _digest(key)) if self.fleet is not None else None
+        found: StoredReply | None = self.fleet.answered(who, _digest(key)) if self.fleet is not None else None
         if found is None:
-            found = yield self.stored.do(self.stored.store.answered, who, _digest(key))
+            found = yield self.stored.do(self.stored.store.find_reply, who, _digest(key))
         if found is None:
             return None
-        if found.asked != _asked(call):
+        if found.call_digest != _asked(call):
             return problem(422, "was used for another call", "Idempotency-Key")
         headers = {**tag(found.version), "idempotency-replayed": "true"}
         return Reply(found.status, orjson.loads(found.body), headers)
@@ -291,8 +291,8 @@
                     "peer": one.peer,
                     "call": one.call,
                     "status": one.status,
-                    "why": one.why,
-                    "many": one.many,
+                    "why": one.reason,
+                    "many": one.count,
                 }
                 for id, one in rows
             ]
@@ -345,7 +345,7 @@
         if key not in self.notes and len(self.notes) >= NOTES_MOST:
             key = ("", "", "many calls", reply.status, "more kinds of denied calls than are kept apart")
         old = self.notes.get(key)
-        self.notes[key] = Noted(self.clock(), *key, (old.many if old else 0) + 1)
+        self.notes[key] = AuditRecord(self.clock(), *key, (old.count if old else 0) + 1)
         if not self.noting:
             self.noting = True
             self.reactor.callLater(NOTE_EVERY, self._write_notes)
@@ -354,7 +354,7 @@
         self.noting = False
         notes, self.notes = list(self.notes.values()), {}
         if notes and not self.ended:
-            self.stored.do(self.stored.store.note, notes).addErrback(
+            self.stored.do(self.stored.store.append_audit, notes).addErrback(
                 lambda failure: logger.error("denied calls could not be noted: {}", failure.value)
             )
 
@@ -362,7 +362,7 @@
         """No further change is begun; what waits is told so."""
         self.ended = True
         if self.notes:
-            self.stored.do(self.stored.store.note, list(self.notes.values())).addErrback(lambda failure: None)
+            self.stored.do(self.stored.store.append_audit, list(self.notes.values())).addErrback(lambda failure: None)
         waiting, self.waiting = self.waiting, deque()
         for _, done in waiting:
             done.callback(ENDS)
--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -29,7 +29,15 @@
 from ternquay.hosted.administration.api import Call, Reply, problem
 from ternquay.hosted.fleet.store import Applied, FleetStore, Forgot, Founded, Job, Life, carried_of
 from ternquay.hosted.service import Fellows
-from ternquay.hosted.store import Answered, Commit, Logged, Noted, StoreError, kept, unkept
+from ternquay.hosted.store import (
+    AuditRecord,
+    ChangeRecord,
+    Commit,
+    StoredReply,
+    StoreError,
+    decode_tenant,
+    encode_tenant,
+)
 from ternquay.hosted.tenants.registry import Registry, TenantEntry
 from ternquay.hosted.tenants.tenant import InvalidField
 from ternquay.peers.frames import VERSION, Dropped, Frame, Marks, What, opened, sealed
@@ -80,7 +88,7 @@
 
 
 def change_of(commit: Commit) -> Change:
-    one, answered, noted = commit.logged, commit.answered, commit.noted
+    one, answered, noted = commit.record, commit.reply, commit.audit
     return Change(
         one.tenant,
         one.version,
@@ -88,24 +96,24 @@
         one.who,
         one.kind,
         one.body,
-        (kept(commit.entry.tenant), commit.entry.version, commit.entry.incarnation) if commit.entry else None,
-        (answered.who, answered.key, answered.asked, answered.status, answered.body) if answered else None,
-        (noted.who, noted.peer, noted.call, noted.status, noted.why) if noted else None,
+        (encode_tenant(commit.entry.tenant), commit.entry.version, commit.entry.incarnation) if commit.entry else None,
+        (answered.who, answered.key_digest, answered.call_digest, answered.status, answered.body) if answered else None,
+        (noted.who, noted.peer, noted.call, noted.status, noted.reason) if noted else None,
     )
 
 
 def commit_of(told: Change) -> Commit:
     """Raises StoreError."""
-    entry = TenantEntry(unkept(told.entry[0]), *told.entry[1:]) if told.entry else None
+    entry = TenantEntry(decode_tenant(told.entry[0]), *told.entry[1:]) if told.entry else None
     answered = None
     if told.answered is not None:
         who, key, asked, status, body = told.answered
-        answered = Answered(who, key, asked, status, told.version, body)
+        answered = StoredReply(who, key, asked, status, told.version, body)
     return Commit(
-        Logged(told.version, told.at, told.who, told.tenant, told.kind, told.detail),
+        ChangeRecord(told.version, told.at, told.who, told.tenant, told.kind, told.detail),
         entry,
         answered,
-        Noted(told.at, *told.noted) if told.noted else None,
+        AuditRecord(told.at, *told.noted) if told.noted else None,
     )
 
 
@@ -148,7 +156,7 @@
         self.unfit = ""  # why what is in force can't be had here
         self.unread = ""  # what of it can't be read here: for good, and all that follows waits for it
         self.waiters: dict[tuple[int, int], Deferred[None]] = {}
-        self.unsaved: dict[tuple[str, bytes], Answered] = {}  # answers that are not on disk yet
+        self.unsaved: dict[tuple[str, bytes], StoredReply] = {}  # answers that are not on disk yet
         self.passed: dict[int, tuple[str, Deferred[Reply]]] = {}  # to whom
         self.led = False  # as of the last look
         self.flushes: list[Deferred[None]] = []
@@ -388,7 +396,7 @@
         """Whether this machine can have it: its listeners are bound, and accept nothing yet."""
         try:
             commit = commit_of(_change.decode(body))
-            name = commit.logged.tenant
+            name = commit.record.tenant
             if commit.entry is None and name in self.host.tenancies and not self.host.tenancies[name].over():
                 raise InvalidField("state", "transactions of it are still open")
             self._unprepare()
@@ -405,10 +413,10 @@
         self.prepared.clear()
 
     def _after(self, commit: Commit) -> Registry:
-        tenants = {name: entry for name, entry in self.agreed.tenants.items() if name != commit.logged.tenant}
+        tenants = {name: entry for name, entry in self.agreed.tenants.items() if name != commit.record.tenant}
         if commit.entry is not None:
-            tenants[commit.logged.tenant] = commit.entry
-        return Registry(MappingProxyType(tenants), commit.logged.version)
+            tenants[commit.record.tenant] = commit.entry
+        return Registry(MappingProxyType(tenants), commit.record.version)
 
     def _outcome(self, one: Outcome) -> None:
         if self.unread:
@@ -430,14 +438,14 @@
             logger.error("a change that is in force can't be read here; nothing is taken until the next start")
             return
         self._in_force(commit, prepared)
-        if commit.answered is not None:
-            self.unsaved[(commit.answered.who, commit.answered.key)] = commit.answered
+        if commit.reply is not None:
+            self.unsaved[(commit.reply.who, commit.reply.key_digest)] = commit.reply
         self._carry(Applied(one.index, commit))
         if waiting is not None:
             waiting.callback(None)
 
     def _in_force(self, commit: Commit, prepared: Any) -> None:
-        logged = commit.logged
+        logged = commit.record
         self.agreed = after = self._after(commit)
         try:
             if self.unfit:
@@ -525,8 +533,8 @@
                 else:
                     self.marks = Marks(job.term, bool(job.voted), self.marks.last_term, self.marks.last)
             elif isinstance(job, Applied):
-                if job.change is not None and job.change.answered is not None:
-                    self.unsaved.pop((job.change.answered.who, job.change.answered.key), None)
+                if job.change is not None and job.change.reply is not None:
+                    self.unsaved.pop((job.change.reply.who, job.change.reply.key_digest), None)
                 if job.index - self.core.log.base >= self.fellows.log_kept * 5 // 4:
                     self._forget(job.index - self.fellows.log_kept)
         if number:
@@ -660,7 +668,7 @@
         text = msgspec.msgpack.encode(Passed(id, None, (reply.status, body, dict(reply.headers))))
         self.links.send(to, self._frame(to, What.REPLY, text))
 
-    def answered(self, who: str, key: bytes) -> Answered | None:
+    def answered(self, who: str, key: bytes) -> StoredReply | None:
         return self.unsaved.get((who, key))
 
     def leave(self, name: str) -> Reply:
--- a/ternquay/hosted/fleet/store.py
+++ b/ternquay/hosted/fleet/store.py
@@ -16,7 +16,7 @@
 from ternquay.consensus.core import Kept, Write
 from ternquay.consensus.log import Log
 from ternquay.consensus.messages import Entry, Kind, Roster
-from ternquay.hosted.store import ANSWERS_MOST, Commit, Store, StoreError, unkept
+from ternquay.hosted.store import MAX_REPLIES, Commit, Store, StoreError, decode_tenant
 from ternquay.hosted.tenants.registry import Registry, TenantEntry
 from ternquay.peers.members import COUNTER
 
@@ -46,7 +46,7 @@
 
     def registry(self) -> Registry:
         """Raises StoreError."""
-        tenants = {name: TenantEntry(unkept(body), at, first) for name, at, first, body in self.tenants}
+        tenants = {name: TenantEntry(decode_tenant(body), at, first) for name, at, first, body in self.tenants}
         return Registry(MappingProxyType(tenants), self.version)
 
 
@@ -91,8 +91,8 @@
 
 
 class FleetStore(Store):
-    def _open(self, db: sqlite3.Connection) -> None:
-        super()._open(db)
+    def _initialize(self, db: sqlite3.Connection) -> None:
+        super()._initialize(db)
         db.execute("BEGIN IMMEDIATE")
         for statement in TABLES.split(";"):
             db.execute(statement)
@@ -110,7 +110,7 @@
 
     def begin_life(self) -> Life:
         """One start more of this disk. Raises StoreError."""
-        self._all_or_none(self._one_more)
+        self._in_transaction(self._one_more)
         try:
             return self._life()
         except (sqlite3.Error, msgspec.DecodeError, ValueError) as fault:
@@ -123,7 +123,7 @@
         self._tell(db, boots=boots, boot=boots << COUNTER | randbits(COUNTER))
 
     def _life(self) -> Life:
-        db = self._ready()
+        db = self._connection()
         told = {name: bytes(value) for name, value in db.execute("SELECT name, value FROM fleet_meta")}
         number = {name: int(told.get(name, b"0")) for name in ("boot", "term", "applied", "least", "base", "base_term")}
         rows = db.execute("SELECT at, term, kind, about, body FROM fleet_log ORDER BY at").fetchall()
@@ -145,14 +145,14 @@
             self._tell(db, was=1)
             self._one_more(db)
 
-        self._all_or_none(empty)
+        self._in_transaction(empty)
         return self._life()
 
     # ---- writing ----
 
     def carry(self, jobs: list[Job]) -> None:
         """Each job may be carried out again, if it can't be told whether it was."""
-        self._all_or_none(lambda db: self._carry(db, jobs))
+        self._in_transaction(lambda db: self._carry(db, jobs))
 
     def _carry(self, db: sqlite3.Connection, jobs: list[Job]) -> None:
         for job in jobs:
@@ -160,8 +160,8 @@
                 self._log(db, job)
             elif isinstance(job, Applied):
                 if int(self._told(db, "applied") or b"0") < job.index:
-                    if job.change is not None and job.change.logged.version > self._meta(db, "version"):
-                        self._write(db, job.change)
+                    if job.change is not None and job.change.record.version > self._read_meta(db, "version"):
+                        self._write_change(db, job.change)
                     self._tell(db, applied=job.index)
             elif isinstance(job, Forgot):
                 db.execute("DELETE FROM fleet_log WHERE at <= ?", (job.base,))
@@ -198,20 +198,20 @@
 
     def snapshot(self) -> tuple[int, bytes]:
         """Up to which entry all is applied here, and what that came to. Raises StoreError."""
-        db = self._ready()
+        db = self._connection()
         try:
             db.execute("BEGIN")
             try:
                 tenants = db.execute("SELECT name, version, incarnation, body FROM tenants ORDER BY name").fetchall()
                 answers = db.execute(
                     "SELECT who, key, asked, at, status, version, body FROM answers ORDER BY at DESC LIMIT ?",
-                    (ANSWERS_MOST,),
+                    (MAX_REPLIES,),
                 ).fetchall()
                 changes = db.execute(
                     "SELECT version, at, who, tenant, kind, body FROM changes ORDER BY version DESC LIMIT ?",
                     (CHANGES_SENT,),
                 ).fetchall()
-                one = Carried(self._meta(db, "version"), tuple(tenants), tuple(answers), tuple(changes))
+                one = Carried(self._read_meta(db, "version"), tuple(tenants), tuple(answers), tuple(changes))
                 return int(self._told(db, "applied") or b"0"), msgspec.msgpack.encode(one)
             finally:
                 db.execute("COMMIT")
--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -354,7 +354,7 @@
                 life = member.begin_life()
             else:
                 store = Store(self.service.store)
-                if store.of_a_fleet():
+                if store.belongs_to_fleet():
                     raise ServiceError("peers: are wanted, as the store is a member's: by itself it may be behind")
             registry = store.registry()
         except StoreError as fault:
--- a/ternquay/hosted/store.py
+++ b/ternquay/hosted/store.py
@@ -17,13 +17,13 @@
 
 import msgspec
 
-from ternquay.hosted.tenants.documents import KeptKey, KeptTenant, document_of, state_of, tenant_of
+from ternquay.hosted.tenants.documents import StoredKey, StoredTenant, document_of, state_of, tenant_of
 from ternquay.hosted.tenants.registry import Registry, TenantEntry
 from ternquay.hosted.tenants.tenant import InvalidField, Key, Scope, Tenant
 
 FORMAT = 1
 SECOND = 1_000_000_000
-ANSWERS_MOST, ANSWERS_KEPT = 10_000, 24 * 3600 * SECOND
+MAX_REPLIES, ANSWERS_KEPT = 10_000, 24 * 3600 * SECOND
 CHANGES_MOST, AUDIT_MOST = 100_000, 100_000
 TABLES = """
 CREATE TABLE IF NOT EXISTS meta (name TEXT PRIMARY KEY, value INTEGER NOT NULL) WITHOUT ROWID;
@@ -45,12 +45,12 @@
     """The store can't be read or written; the text says why."""
 
 
-class StoreUnsure(StoreError):
+class StoreOutcomeUnknown(StoreError):
     """Whether a change is on disk can't be told for now."""
 
 
 @dataclass(slots=True, frozen=True)
-class Noted:
+class AuditRecord:
     """One line of the audit log; `many`: calls that were alike."""
 
     at: int
@@ -58,24 +58,24 @@
     peer: str
     call: str
     status: int
-    why: str
-    many: int = 1
+    reason: str
+    count: int = 1
 
 
 @dataclass(slots=True, frozen=True)
-class Answered:
+class StoredReply:
     """The answer to a call that had a key of its own, for when it is repeated."""
 
     who: str
-    key: bytes  # a digest
-    asked: bytes  # a digest of the call: the same key with another call is a fault of the caller's
+    key_digest: bytes
+    call_digest: bytes  # a digest of the call: the same key with another call is a fault of the caller's
     status: int
     version: int
     body: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Logged:
+class ChangeRecord:
     """One line of the change log."""
 
     version: int
@@ -88,27 +88,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Commit:
-    """One change with all that is kept of it. `entry` is None where the tenant is no more."""
+    """One change with all that is stored with it. `entry` is None where the tenant is no more."""
 
-    logged: Logged
+    record: ChangeRecord
     entry: TenantEntry | None
-    answered: Answered | None = None
-    noted: Noted | None = None
+    reply: StoredReply | None = None
+    audit: AuditRecord | None = None
 
 
-def kept(tenant: Tenant) -> bytes:
-    keys = tuple(KeptKey(key.name, key.digest, key.scope.value, key.since, key.until) for key in tenant.keys)
-    return msgspec.json.encode(KeptTenant(document_of(tenant), tenant.state.value, keys))
+def encode_tenant(tenant: Tenant) -> bytes:
+    keys = tuple(StoredKey(key.name, key.digest, key.scope.value, key.since, key.until) for key in tenant.keys)
+    return msgspec.json.encode(StoredTenant(document_of(tenant), tenant.state.value, keys))
 
 
-def unkept(body: bytes) -> Tenant:
-    """Raises StoreError: what is kept and can't be read is not passed over."""
+def decode_tenant(body: bytes) -> Tenant:
+    """Raises StoreError: what is stored and can't be read is not passed over."""
     try:
-        told = msgspec.json.decode(body, type=KeptTenant)
+        told = msgspec.json.decode(body, type=StoredTenant)
         keys = tuple(Key(k.name, k.digest, Scope(k.scope), k.since, k.until) for k in told.keys)
         return replace(tenant_of(told.tenant), keys=keys, state=state_of(told.state))
     except (msgspec.DecodeError, InvalidField, ValueError) as fault:
-        raise StoreError(f"a tenant that is kept can't be read: {fault}") from fault
+        raise StoreError(f"a stored tenant can't be read: {fault}") from fault
 
 
 class Store:
@@ -116,28 +116,28 @@
         self.path, self.step = str(path), step
         self.lost = False  # it has to be opened again before anything else
         try:
-            self.db = self._connected()
-            self._open(self.db)
+            self.db = self._connect()
+            self._initialize(self.db)
         except sqlite3.Error as fault:
             raise StoreError(f"{path}: {fault}") from fault
 
-    def _connected(self) -> sqlite3.Connection:
+    def _connect(self) -> sqlite3.Connection:
         return sqlite3.connect(self.path, isolation_level=None, timeout=2.0, check_same_thread=False)
 
-    def _ready(self) -> sqlite3.Connection:
+    def _connection(self) -> sqlite3.Connection:
         """Raises StoreError."""
         try:
             if self.lost:
                 self.close()
-                self.db = self._connected()
-                self._open(self.db)
-                self._rewrite(self.db)
+                self.db = self._connect()
+                self._initialize(self.db)
+                self._checkpoint(self.db)
                 self.lost = False
             return self.db
         except sqlite3.Error as fault:
             raise StoreError(f"{self.path}: {fault}") from fault
 
-    def _open(self, db: sqlite3.Connection) -> None:
+    def _initialize(self, db: sqlite3.Connection) -> None:
         # One process has the store: a second one would acknowledge changes that the first knows nothing of.
         db.execute("PRAGMA locking_mode = EXCLUSIVE")
         mode = db.execute("PRAGMA journal_mode = WAL").fetchone()[0]
@@ -152,23 +152,23 @@
             db.execute(statement)
         db.execute("INSERT OR IGNORE INTO meta VALUES ('format', ?), ('version', 0)", (FORMAT,))
         db.execute("COMMIT")
-        found = self._meta(db, "format")
+        found = self._read_meta(db, "format")
         if found != FORMAT:
             raise StoreError(f"{self.path}: is of format {found}, this program reads {FORMAT}")
 
-    def _rewrite(self, db: sqlite3.Connection) -> None:
+    def _checkpoint(self, db: sqlite3.Connection) -> None:
         """Writes what the log holds into the database, and syncs that: after a sync that failed nothing of the log
         counts as on disk, though it can be read. Raises StoreError."""
         busy, _, _ = db.execute("PRAGMA wal_checkpoint(TRUNCATE)").fetchone()
         if busy:
             raise StoreError(f"{self.path}: the log could not be written into the database")
 
-    def _meta(self, db: sqlite3.Connection, name: str) -> int:
+    def _read_meta(self, db: sqlite3.Connection, name: str) -> int:
         row = db.execute("SELECT value FROM meta WHERE name = ?", (name,)).fetchone()
         return int(row[0])
 
-    def of_a_fleet(self) -> bool:
-        return bool(self._rows("SELECT 1 FROM sqlite_master WHERE name = 'fleet_meta'", ()))
+    def belongs_to_fleet(self) -> bool:
+        return bool(self._query("SELECT 1 FROM sqlite_master WHERE name = 'fleet_meta'", ()))
 
     def close(self) -> None:
         self.db.close()
@@ -176,42 +176,42 @@
     # ---- reading ----
 
     def registry(self) -> Registry:
-        db = self._ready()
+        db = self._connection()
         try:
             rows = db.execute("SELECT name, version, incarnation, body FROM tenants ORDER BY name").fetchall()
-            version = self._meta(db, "version")
+            version = self._read_meta(db, "version")
         except sqlite3.Error as fault:
             raise StoreError(f"{self.path}: {fault}") from fault
-        tenants = {name: TenantEntry(unkept(body), at, first) for name, at, first, body in rows}
+        tenants = {name: TenantEntry(decode_tenant(body), at, first) for name, at, first, body in rows}
         if any(entry.version > version for entry in tenants.values()):
             raise StoreError(f"{self.path}: a tenant is of a later version than the whole")
         return Registry(MappingProxyType(tenants), version)
 
-    def answered(self, who: str, key: bytes) -> Answered | None:
-        row = self._rows(
+    def find_reply(self, who: str, key: bytes) -> StoredReply | None:
+        row = self._query(
             "SELECT who, key, asked, status, version, body FROM answers WHERE who = ? AND key = ?", (who, key)
         )
-        return Answered(*row[0]) if row else None
+        return StoredReply(*row[0]) if row else None
 
-    def changes(self, after: int, most: int, tenant: str = "") -> list[Logged]:
+    def changes(self, after: int, most: int, tenant: str = "") -> list[ChangeRecord]:
         return [
-            Logged(*row)
-            for row in self._rows(
+            ChangeRecord(*row)
+            for row in self._query(
                 "SELECT version, at, who, tenant, kind, body FROM changes WHERE version > ? AND (? = '' OR tenant = ?) "
                 "ORDER BY version LIMIT ?",
                 (after, tenant, tenant, most),
             )
         ]
 
-    def audit(self, after: int, most: int) -> list[tuple[int, Noted]]:
-        rows = self._rows(
+    def audit(self, after: int, most: int) -> list[tuple[int, AuditRecord]]:
+        rows = self._query(
             "SELECT id, at, who, peer, call, status, why, many FROM audit WHERE id > ? ORDER BY id LIMIT ?",
             (after, most),
         )
-        return [(row[0], Noted(*row[1:])) for row in rows]
+        return [(row[0], AuditRecord(*row[1:])) for row in rows]
 
-    def _rows(self, text: str, terms: tuple[Any, ...]) -> list[Any]:
-        db = self._ready()
+    def _query(self, text: str, terms: tuple[Any, ...]) -> list[Any]:
+        db = self._connection()
         try:
             return db.execute(text, terms).fetchall()
         except sqlite3.Error as fault:
@@ -220,15 +220,15 @@
     # ---- writing ----
 
     def commit(self, change: Commit) -> None:
-        """All of it or none: on disk when it returns, not there when it raises, but for StoreUnsure."""
-        self._all_or_none(lambda db: self._write(db, change), change.logged.version)
+        """All of it or none: on disk when it returns, not there when it raises, but for StoreOutcomeUnknown."""
+        self._in_transaction(lambda db: self._write_change(db, change), change.record.version)
 
-    def note(self, lines: Iterable[Noted]) -> None:
+    def append_audit(self, lines: Iterable[AuditRecord]) -> None:
         """Lines of the audit log that belong to no change."""
-        self._all_or_none(lambda db: self._note(db, lines))
+        self._in_transaction(lambda db: self._append_audit(db, lines))
 
-    def _all_or_none(self, what: Callable[[sqlite3.Connection], None], version: int = 0) -> None:
-        db = self._ready()
+    def _in_transaction(self, what: Callable[[sqlite3.Connection], None], version: int = 0) -> None:
+        db = self._connection()
         committing = False
         try:
             self.step("begin")
@@ -244,31 +244,31 @@
                 raise
             self.step("committed")
         except sqlite3.Error as fault:
-            if not committing or not self._is_there(version, fault):
+            if not committing or not self._was_committed(version, fault):
                 raise StoreError(f"{self.path}: {fault}") from fault
 
-    def _is_there(self, version: int, fault: sqlite3.Error) -> bool:
+    def _was_committed(self, version: int, fault: sqlite3.Error) -> bool:
         """After a COMMIT that raised: its last page may be in the log all the same, and be found by a later start.
 
         What a later start would find is what counts, so the file is opened anew, as that would.
         """
         self.lost = True
         try:
-            db = self._ready()
-            return version > 0 and self._meta(db, "version") == version
+            db = self._connection()
+            return version > 0 and self._read_meta(db, "version") == version
         except (StoreError, sqlite3.Error) as unseen:
-            raise StoreUnsure(f"{self.path}: {fault}; {unseen}") from fault
+            raise StoreOutcomeUnknown(f"{self.path}: {fault}; {unseen}") from fault
 
-    def _write(self, db: sqlite3.Connection, change: Commit) -> None:
-        logged = change.logged
-        if logged.version <= self._meta(db, "version"):
+    def _write_change(self, db: sqlite3.Connection, change: Commit) -> None:
+        logged = change.record
+        if logged.version <= self._read_meta(db, "version"):
             raise StoreError(f"{self.path}: version {logged.version} is there already")
         if change.entry is None:
             db.execute("DELETE FROM tenants WHERE name = ?", (logged.tenant,))
         else:
             db.execute(
                 "INSERT OR REPLACE INTO tenants VALUES (?, ?, ?, ?)",
-                (logged.tenant, change.entry.version, change.entry.incarnation, kept(change.entry.tenant)),
+                (logged.tenant, change.entry.version, change.entry.incarnation, encode_tenant(change.entry.tenant)),
             )
         self.step("tenant")
         db.execute("UPDATE meta SET value = ? WHERE name = 'version'", (logged.version,))
@@ -279,26 +279,26 @@
         )
         db.execute("DELETE FROM changes WHERE version <= ?", (logged.version - CHANGES_MOST,))
         self.step("logged")
-        if change.answered is not None:
-            self._answer(db, logged.at, change.answered)
+        if change.reply is not None:
+            self._save_reply(db, logged.at, change.reply)
         self.step("answered")
-        if change.noted is not None:
-            self._note(db, [change.noted])
+        if change.audit is not None:
+            self._append_audit(db, [change.audit])
         self.step("noted")
 
-    def _answer(self, db: sqlite3.Connection, at: int, one: Answered) -> None:
+    def _save_reply(self, db: sqlite3.Connection, at: int, one: StoredReply) -> None:
         db.execute(
             "INSERT INTO answers VALUES (?, ?, ?, ?, ?, ?, ?)",
-            (one.who, one.key, one.asked, at, one.status, one.version, one.body),
+            (one.who, one.key_digest, one.call_digest, at, one.status, one.version, one.body),
         )
         db.execute("DELETE FROM answers WHERE at < ?", (at - ANSWERS_KEPT,))
         if one.version % 64 == 0:  # it looks through all of them
             db.execute(
                 "DELETE FROM answers WHERE rowid IN (SELECT rowid FROM answers ORDER BY at DESC LIMIT -1 OFFSET ?)",
-                (ANSWERS_MOST,),
+                (MAX_REPLIES,),
             )
 
-    def _note(self, db: sqlite3.Connection, lines: Iterable[Noted]) -> None:
-        rows = [(one.at, one.who, one.peer, one.call, one.status, one.why, one.many) for one in lines]
+    def _append_audit(self, db: sqlite3.Connection, lines: Iterable[AuditRecord]) -> None:
+        rows = [(one.at, one.who, one.peer, one.call, one.status, one.reason, one.count) for one in lines]
         db.executemany("INSERT INTO audit (at, who, peer, call, status, why, many) VALUES (?, ?, ?, ?, ?, ?, ?)", rows)
         db.execute("DELETE FROM audit WHERE id <= (SELECT max(id) FROM audit) - ?", (AUDIT_MOST,))
--- a/ternquay/hosted/tenants/documents.py
+++ b/ternquay/hosted/tenants/documents.py
@@ -287,7 +287,7 @@
 # ---- as the store keeps it: with keys (by their digests) and state ----
 
 
-class KeptKey(Document, frozen=True):
+class StoredKey(Document, frozen=True):
     name: str
     digest: bytes
     scope: str
@@ -295,10 +295,10 @@
     until: int
 
 
-class KeptTenant(Document, frozen=True):
+class StoredTenant(Document, frozen=True):
     tenant: TenantDocument
     state: str
-    keys: tuple[KeptKey, ...]
+    keys: tuple[StoredKey, ...]
 
 
 def plain(what: Any) -> Any:
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -75,16 +75,16 @@
     one = keeper(tmp_path / "x.db")
     store = one.stored.store
     store.db = Spoilt(store.db, True)  # type: ignore[assignment]
-    real = store._open  # the disk is away for as long as it takes to look
+    real = store._initialize  # the disk is away for as long as it takes to look
 
     def away(db: sqlite3.Connection) -> None:
         raise sqlite3.OperationalError("unable to open")
 
-    store._open = away  # type: ignore[method-assign]
+    store._initialize = away  # type: ignore[method-assign]
     found = answer(one, CALLS[0])
     assert found.status == 507 and "not made" not in found.body["detail"]
     assert answer(one, CALLS[1]).status == 507
-    store._open = real  # type: ignore[method-assign]
+    store._initialize = real  # type: ignore[method-assign]
     # As soon as it can be had again both agree on what there is.
     assert answer(one, CALLS[1]).status == 201
     assert answer(one, CALLS[0]).status == 201
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -17,7 +17,7 @@
 from ternquay.hosted.administration import keys
 from ternquay.hosted.administration.api import Api, Call, Reply
 from ternquay.hosted.administration.changes import Keeper
-from ternquay.hosted.store import Commit, Logged, Noted, Store, StoreError
+from ternquay.hosted.store import AuditRecord, ChangeRecord, Commit, Store, StoreError
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.tenant import Key, Scope
 from tests.hosted_helper import document
@@ -168,7 +168,9 @@
     for n in range(many):
         one = tenant(f"t{n}", n + 1, limits=SMALL)
         registry = registry.with_change(CreateTenant(one))
-        store.commit(Commit(Logged(registry.version, NOW, "me", one.name, "make", b"{}"), registry.tenants[one.name]))
+        store.commit(
+            Commit(ChangeRecord(registry.version, NOW, "me", one.name, "make", b"{}"), registry.tenants[one.name])
+        )
         seen.append(whole(registry))
     return seen
 
@@ -198,7 +200,7 @@
             # It goes on from there, and the versions only rise.
             changed_to = again.registry().with_change(CreateTenant(tenant("after", 99, limits=SMALL)))
             again.commit(
-                Commit(Logged(changed_to.version, NOW, "me", "after", "make", b"{}"), changed_to.tenants["after"])
+                Commit(ChangeRecord(changed_to.version, NOW, "me", "after", "make", b"{}"), changed_to.tenants["after"])
             )
             again.close()
     assert set(found) >= {0, 4} and len(set(found)) > 2
@@ -235,7 +237,7 @@
     with pytest.raises(StoreError):
         Store(tmp_path / "nowhere" / "x.db")
     first = Store(tmp_path / "mine.db")
-    first.note([Noted(1, "", "", "", 401, "")])
+    first.append_audit([AuditRecord(1, "", "", "", 401, "")])
     with pytest.raises(StoreError, match="locked"):
         Store(tmp_path / "mine.db")
     first.close()
@@ -261,7 +263,7 @@
     store = Store(tmp_path / "x.db")
     changed(store, 2)
     with pytest.raises(StoreError, match="version 2 is there already"):
-        store.commit(Commit(Logged(2, NOW, "me", "t9", "make", b"{}"), None))
+        store.commit(Commit(ChangeRecord(2, NOW, "me", "t9", "make", b"{}"), None))
     assert store.registry().version == 2
 
 
@@ -286,7 +288,7 @@
     assert len(one.notes) <= 1001
     one.reactor.advance(1.0)
     rows = [noted for _, noted in one.stored.store.audit(0, 5000)]
-    assert sum(noted.many for noted in rows) == 5000 and {noted.status for noted in rows} == {401}
+    assert sum(noted.count for noted in rows) == 5000 and {noted.status for noted in rows} == {401}
     assert {noted.who for noted in rows} <= {"-.main", ""} and "AAAA" not in repr(rows)
 
 
