--- a/ternquay/hosted/administration/admin.py
+++ b/ternquay/hosted/administration/admin.py
@@ -18,7 +18,7 @@
 from ternquay.hosted.administration import keys as tokens
 from ternquay.hosted.administration.caller import BAD, Caller, CallFailed, Target
 from ternquay.hosted.administration.plan import Step, planned
-from ternquay.hosted.service import ListedDocument, ServiceError, listed, read_tables
+from ternquay.hosted.service import ListedTenantDocument, ServiceConfigError, read_tables, tenant_from_listed
 from ternquay.hosted.tenants.documents import TenantDocument, plain, read
 from ternquay.hosted.tenants.tenant import InvalidField
 
@@ -78,7 +78,7 @@
     except CallFailed as fault:
         typer.echo(f"ternquay admin: {fault}", err=True)
         raise typer.Exit(fault.code) from fault
-    except (InvalidField, ServiceError) as fault:
+    except (InvalidField, ServiceConfigError) as fault:
         typer.echo(f"ternquay admin: {fault}", err=True)
         raise typer.Exit(BAD) from fault
 
@@ -427,9 +427,9 @@
     told = read_tables(path).get("tenants", [])
     found: list[tuple[TenantDocument, str]] = []
     for i, one in enumerate(told if isinstance(told, list) else [told]):
-        entry = read(ListedDocument, one, f"tenants[{i}]")
+        entry = read(ListedTenantDocument, one, f"tenants[{i}]")
         try:
-            listed(entry)
+            tenant_from_listed(entry)
         except InvalidField as fault:
             raise InvalidField(f"tenants[{i}].{fault.field}", fault.reason) from fault
         whole = plain(entry)
--- a/ternquay/hosted/administration/http.py
+++ b/ternquay/hosted/administration/http.py
@@ -14,7 +14,7 @@
 
 from ternquay.hosted.administration.api import Call, Reply, problem
 from ternquay.hosted.administration.changes import Keeper
-from ternquay.hosted.service import ApiDocument, Service
+from ternquay.hosted.service import ApiDocument, ServiceConfig
 from ternquay.hosted.shared.fairness import SECOND, Bucket
 from ternquay.hosted.tenants.documents import format_endpoint
 from ternquay.hosted.tenants.tenant import InvalidField
@@ -59,7 +59,7 @@
 class ApiPort(CallPort):
     """The listener of the API."""
 
-    def __init__(self, reactor: Any, service: Service, keeper: Keeper) -> None:
+    def __init__(self, reactor: Any, service: ServiceConfig, keeper: Keeper) -> None:
         assert service.api is not None
         super().__init__(limits_of(service.api))
         self.reactor, self.service, self.keeper = reactor, service, keeper
@@ -104,8 +104,8 @@
             raise InvalidField("api.listen", f"can't be bound: {fault.socketError}") from fault
         logger.info("the administration API listens on {}", format_endpoint(where))
 
-    def reload(self, service: Service) -> None:
-        """Raises ServiceError where the certificate can't be used; then the old one stays."""
+    def reload(self, service: ServiceConfig) -> None:
+        """Raises ServiceConfigError where the certificate can't be used; then the old one stays."""
         assert service.api is not None
         if self.certificate is not None and service.api.tls is not None:
             self.certificate.reload(service.api)
--- a/ternquay/hosted/administration/tls.py
+++ b/ternquay/hosted/administration/tls.py
@@ -6,7 +6,7 @@
 from OpenSSL import SSL
 from twisted.internet.ssl import ContextFactory
 
-from ternquay.hosted.service import ApiDocument, ServiceError
+from ternquay.hosted.service import ApiDocument, ServiceConfigError
 
 
 class Certificate(ContextFactory):
@@ -19,7 +19,7 @@
         self.context = self._read(api)
 
     def reload(self, api: ApiDocument) -> None:
-        """Raises ServiceError, and nothing is changed."""
+        """Raises ServiceConfigError, and nothing is changed."""
         self.context = self._read(api)
 
     def getContext(self) -> Any:
@@ -42,5 +42,5 @@
                 context.set_verify(SSL.VERIFY_PEER | SSL.VERIFY_FAIL_IF_NO_PEER_CERT, lambda *told: bool(told[-1]))
                 context.set_session_id(b"ternquay")
         except (SSL.Error, OSError) as fault:
-            raise ServiceError(f"api.tls.{field}: can't be used: {fault or 'it does not match'}") from fault
+            raise ServiceConfigError(f"api.tls.{field}: can't be used: {fault or 'it does not match'}") from fault
         return context
--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -28,7 +28,7 @@
 from ternquay.consensus.messages import Member, Unfitness, decoded, encoded
 from ternquay.hosted.administration.api import Call, Reply, problem
 from ternquay.hosted.fleet.store import Applied, FleetStore, Forgot, Founded, Job, Life, carried_of
-from ternquay.hosted.service import Fellows
+from ternquay.hosted.service import FleetConfig
 from ternquay.hosted.store import (
     AuditRecord,
     ChangeRecord,
@@ -125,7 +125,7 @@
     def __init__(
         self,
         reactor: Any,
-        fellows: Fellows,
+        fellows: FleetConfig,
         host: Any,
         stored: Any,
         store: FleetStore,
@@ -134,9 +134,9 @@
     ) -> None:
         self.reactor, self.fellows, self.host, self.stored, self.store = reactor, fellows, host, stored, store
         self.clock, self.random = clock, Random()
-        self.figures = Figures.of(fellows.lease, fellows.go_on)
-        self.patience = PATIENCE + 3 * fellows.lease / SECOND
-        others = {name: place for name, place in fellows.places.items() if name != fellows.me}
+        self.figures = Figures.of(fellows.lease_ns, fellows.serve_without_majority)
+        self.patience = PATIENCE + 3 * fellows.lease_ns / SECOND
+        others = {name: place for name, place in fellows.endpoints.items() if name != fellows.own_name}
         self.members = Members(tuple(others), SUSPECT)
         self.links = Links(
             reactor,
@@ -170,11 +170,11 @@
         now = self.clock()
         self._unprepare()
         self.life, self.founded = life, life.founded
-        self.me = Member(self.fellows.me, life.disk)
+        self.me = Member(self.fellows.own_name, life.disk)
         self.core = Core(self.me, life.kept, self.figures, self.random, life.boot, now)
         self.marks = Marks(life.kept.term, bool(life.kept.voted), life.kept.log.last_term, life.kept.log.last)
         empty = self.founded is None and not life.was_of_fleet and not self.core.log.last
-        self.founding = Founding(self.me, tuple(self.fellows.places), self.agreed.version) if empty else None
+        self.founding = Founding(self.me, tuple(self.fellows.endpoints), self.agreed.version) if empty else None
         self._hold()
 
     # ---- beginning and end ----
@@ -184,8 +184,10 @@
         try:
             self.links.begin()
         except CannotListenError as fault:
-            raise InvalidField("peers.members", f"{self.fellows.me}: can't be bound: {fault.socketError}") from fault
-        many = len(self.fellows.places)
+            raise InvalidField(
+                "peers.members", f"{self.fellows.own_name}: can't be bound: {fault.socketError}"
+            ) from fault
+        many = len(self.fellows.endpoints)
         if many % 2 == 0 or many == 1:
             logger.warning("{} members bear the loss of {}, as {} would", many, (many - 1) // 2, max(1, many - 1))
         self._found()
@@ -535,8 +537,8 @@
             elif isinstance(job, Applied):
                 if job.change is not None and job.change.reply is not None:
                     self.unsaved.pop((job.change.reply.who, job.change.reply.key_digest), None)
-                if job.index - self.core.log.base >= self.fellows.log_kept * 5 // 4:
-                    self._forget(job.index - self.fellows.log_kept)
+                if job.index - self.core.log.base >= self.fellows.retained_log_entries * 5 // 4:
+                    self._forget(job.index - self.fellows.retained_log_entries)
         if number:
             self.core.saved(number, self.clock())
             self._drive()
@@ -616,7 +618,7 @@
         if self.led and not self.core.leads():
             # Whether the next leader carries it on is mostly known by then; else whoever asked asks again.
             for key in self.waiters:
-                self.reactor.callLater(self.fellows.lease / SECOND, self._unknown, key)
+                self.reactor.callLater(self.fellows.lease_ns / SECOND, self._unknown, key)
         self.led = self.core.leads()
         for leader, reply in list(self.passed.values()):
             if self.core.leader not in ("", leader):
@@ -637,7 +639,7 @@
         reply: Deferred[Reply] = Deferred()
         self.passed[id] = leader, reply
         # A lost word is not waited for: whoever asked asks again, with its key, and is told what became of it.
-        timer = self.reactor.callLater(1 + self.fellows.lease / SECOND, reply.callback, UNKNOWN)
+        timer = self.reactor.callLater(1 + self.fellows.lease_ns / SECOND, reply.callback, UNKNOWN)
 
         def over(told: Reply) -> Reply:
             self.passed.pop(id, None)
@@ -696,7 +698,7 @@
         roster = self.core.roster()
         disks = {one.name: one.disk for one in roster.members}
         rows = []
-        for name in sorted({*self.fellows.places, *disks}):
+        for name in sorted({*self.fellows.endpoints, *disks}):
             mine, ping = name == self.me.name, self.pings.get(name)
             why = self.why_not() if mine else ping.why_not if ping else ""
             rows.append(
@@ -723,8 +725,8 @@
             "committed": self.core.commit,
             "under_way": bool(open_at),
             "waits_for": self.core.missing(now) if self.leads() else [],
-            "alone": "go-on" if self.fellows.go_on else "stop",
-            "lease_ms": self.fellows.lease // MS,
+            "alone": "go-on" if self.fellows.serve_without_majority else "stop",
+            "lease_ms": self.fellows.lease_ns // MS,
             "members": rows,
             "out": list(roster.out),
             "dropped": dict(sorted(self.links.dropped.items())),
--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -12,7 +12,7 @@
 from twisted.internet.main import installReactor
 
 from ternquay.hosted import logs
-from ternquay.hosted.service import Service, ServiceError, read_service
+from ternquay.hosted.service import ServiceConfig, ServiceConfigError, read_service
 from ternquay.hosted.shared.fairness import Lent
 from ternquay.hosted.shared.fairness import Part as LentPart
 from ternquay.hosted.shared.loop import Loop
@@ -45,7 +45,7 @@
 class Host:
     """Runs the tenants of a registry; whoever changes it calls prepare() first and apply() once it is stored."""
 
-    def __init__(self, reactor: Any, service: Service, registry: Registry) -> None:
+    def __init__(self, reactor: Any, service: ServiceConfig, registry: Registry) -> None:
         self.reactor, self.service, self.registry = reactor, service, registry
         self.turn = Turn(SECOND)
         self.loop = Loop(reactor, lambda: int(reactor.seconds() * SECOND), self.turn)
@@ -327,7 +327,7 @@
 class Running:
     """The host with its store and its API, and the signals that it heeds."""
 
-    def __init__(self, reactor: Any, service: Service) -> None:
+    def __init__(self, reactor: Any, service: ServiceConfig) -> None:
         self.reactor, self.service = reactor, service
         self.keeper: Any = None
         self.api: Any = None
@@ -355,10 +355,12 @@
             else:
                 store = Store(self.service.store)
                 if store.belongs_to_fleet():
-                    raise ServiceError("peers: are wanted, as the store is a member's: by itself it may be behind")
+                    raise ServiceConfigError(
+                        "peers: are wanted, as the store is a member's: by itself it may be behind"
+                    )
             registry = store.registry()
         except StoreError as fault:
-            raise ServiceError(f"store.path: {fault}") from fault
+            raise ServiceConfigError(f"store.path: {fault}") from fault
         self.host = Host(self.reactor, self.service, registry)
         self.stored = Stored(self.reactor, store)
         self.keeper = Keeper(self.reactor, Api(self.service.operators), self.host, self.stored, time.time_ns)
@@ -382,7 +384,7 @@
                 self.api = ApiPort(self.reactor, self.service, self.keeper)
                 self.api.begin()
         except InvalidField as fault:
-            raise ServiceError(f"{self.service.path}: {fault.field}: {fault.reason}") from fault
+            raise ServiceConfigError(f"{self.service.path}: {fault.field}: {fault.reason}") from fault
         logger.info("{} serves {} tenants", self.service.name, len(self.host.tenancies))
 
     def reload(self) -> None:
@@ -391,7 +393,7 @@
             new = read_service(Path(self.service.path))
             if self.api is not None and new.api is not None:
                 self.api.reload(new)
-        except ServiceError as fault:
+        except ServiceConfigError as fault:
             logger.bind(cause=str(fault)).error("told to read the file again, the old one is kept")
             return
         for field in ("process", "store", "listen", "log", "fellows"):
@@ -420,8 +422,8 @@
             self.stored.end()
 
 
-def run(service: Service) -> None:
-    """Serves until SIGTERM. Raises ServiceError if it can't begin."""
+def run(service: ServiceConfig) -> None:
+    """Serves until SIGTERM. Raises ServiceConfigError if it can't begin."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to read again: never an end
     logs.begin(service.log.json, service.log.level)
     library_log.begin()
--- a/ternquay/hosted/service.py
+++ b/ternquay/hosted/service.py
@@ -34,7 +34,7 @@
 Bounded = Annotated[int, msgspec.Meta(ge=1, le=10**6)]
 
 
-class ServiceError(ValueError):
+class ServiceConfigError(ValueError):
     """The file can't be used; the text names it and the field."""
 
 
@@ -79,13 +79,13 @@
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
 
 
-class ListedDocument(TenantDocument, frozen=True):
+class ListedTenantDocument(TenantDocument, frozen=True):
     """A tenant in the file, where there is no store."""
 
     state: Literal["active", "suspended"] = "active"
 
 
-class FellowDocument(Document, frozen=True):
+class MemberDocument(Document, frozen=True):
     name: Name
     place: EndpointText
 
@@ -96,7 +96,7 @@
     fleet: Name
     me: Name
     key_file: Annotated[str, msgspec.Meta(min_length=1)]
-    members: tuple[FellowDocument, ...]
+    members: tuple[MemberDocument, ...]
     listen: EndpointText | None = None  # where the others' words come in, if not at its own place in `members`
     address: str = ""  # of this machine; what tenants' listeners on 0.0.0.0 are bound to
     lease_ms: Annotated[int, msgspec.Meta(ge=300, le=60_000)] = 1000
@@ -110,26 +110,26 @@
     store: StoreDocument | None = None
     api: ApiDocument | None = None
     log: LogDocument = LogDocument()
-    tenants: tuple[ListedDocument, ...] = ()
+    tenants: tuple[ListedTenantDocument, ...] = ()
     peers: PeersDocument | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Fellows:
+class FleetConfig:
     """The fleet as the file has it; `lease` in nanoseconds."""
 
     fleet: str
-    me: str
-    places: Mapping[str, Endpoint]
+    own_name: str
+    endpoints: Mapping[str, Endpoint]
     listen: Endpoint
     key: bytes
-    lease: int
-    go_on: bool
+    lease_ns: int
+    serve_without_majority: bool
     address: str
-    log_kept: int
+    retained_log_entries: int
 
 
-class Service(msgspec.Struct, frozen=True):
+class ServiceConfig(msgspec.Struct, frozen=True):
     """The file as it is used."""
 
     path: str
@@ -141,39 +141,39 @@
     operators: tuple[Key, ...]
     log: LogDocument
     registry: Registry  # of the file, where there is no store
-    fellows: Fellows | None = None
+    fellows: FleetConfig | None = None
 
 
 def read_tables(path: Path) -> dict[str, Any]:
-    """Raises ServiceError."""
+    """Raises ServiceConfigError."""
     try:
         text = path.read_text(encoding="utf-8")
         told = tomllib.loads(text)
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as fault:
-        raise ServiceError(f"{path}: {fault}") from fault
+        raise ServiceConfigError(f"{path}: {fault}") from fault
     # Against a file that is half written: cut off between two tables it is TOML, and all that it lacks would be ended.
     lines = [line for line in (line.partition("#")[0].strip() for line in text.splitlines()) if line]
     if not lines or lines[-1] != "[end]":
-        raise ServiceError(f"{path}: end: the last line is not [end], so the file may be cut off")
+        raise ServiceConfigError(f"{path}: end: the last line is not [end], so the file may be cut off")
     del told["end"]
     return told
 
 
-def read_service(path: Path) -> Service:
-    """Raises ServiceError."""
+def read_service(path: Path) -> ServiceConfig:
+    """Raises ServiceConfigError."""
     try:
         return _service(path, read(ServiceDocument, read_tables(path)))
     except InvalidField as fault:
-        raise ServiceError(f"{path}: {fault.field}: {fault.reason}") from fault
+        raise ServiceConfigError(f"{path}: {fault.field}: {fault.reason}") from fault
 
 
-def _service(path: Path, told: ServiceDocument) -> Service:
+def _service(path: Path, told: ServiceDocument) -> ServiceConfig:
     if told.store is not None and told.tenants:
         raise InvalidField("tenants", "stand in the store where there is one; `ternquay admin apply` brings them there")
     if told.api is not None and told.store is None:
         raise InvalidField("api", "a store is wanted, as what is acknowledged has to last")
     fellows = _fellows(path, told)
-    return Service(
+    return ServiceConfig(
         path=str(path),
         name=told.name,
         process=_process(told.process, fellows),
@@ -187,7 +187,7 @@
     )
 
 
-def _fellows(path: Path, told: ServiceDocument) -> Fellows | None:
+def _fellows(path: Path, told: ServiceDocument) -> FleetConfig | None:
     peers = told.peers
     if peers is None:
         return None
@@ -216,7 +216,7 @@
         address = str(ip_address(peers.address)) if peers.address else ""
     except ValueError as fault:
         raise InvalidField("peers.address", "an address is wanted") from fault
-    return Fellows(
+    return FleetConfig(
         peers.fleet,
         peers.me,
         places,
@@ -239,10 +239,10 @@
     return key
 
 
-def _process(told: ProcessDocument, fellows: Fellows | None) -> Process:
+def _process(told: ProcessDocument, fellows: FleetConfig | None) -> Process:
     if fellows is not None:
         told = msgspec.structs.replace(
-            told, balancers=len(fellows.places), number=sorted(fellows.places).index(fellows.me)
+            told, balancers=len(fellows.endpoints), number=sorted(fellows.endpoints).index(fellows.own_name)
         )
     if told.number >= told.balancers:
         raise InvalidField("process.number", f"there are {told.balancers} balancers, from 0")
@@ -282,17 +282,17 @@
     return tuple(found)
 
 
-def listed(told: ListedDocument) -> Tenant:
+def tenant_from_listed(told: ListedTenantDocument) -> Tenant:
     document = read(TenantDocument, {name: value for name, value in plain(told).items() if name != "state"})
     return replace(tenant_of(document), state=state_of(told.state))
 
 
-def registry_of(tenants: tuple[ListedDocument, ...]) -> Registry:
+def registry_of(tenants: tuple[ListedTenantDocument, ...]) -> Registry:
     """Raises InvalidField with the path from the file's root."""
     registry = Registry()
     for i, one in enumerate(tenants):
         try:
-            registry = registry.with_change(CreateTenant(listed(one)))
+            registry = registry.with_change(CreateTenant(tenant_from_listed(one)))
         except InvalidField as fault:
             raise InvalidField(f"tenants[{i}].{fault.field}", fault.reason) from fault
     return registry
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -12,7 +12,7 @@
 from ternquay.consensus.messages import Unfitness
 from ternquay.hosted.fleet.member import Change, Fleet
 from ternquay.hosted.fleet.store import Applied, FleetStore, Founded
-from ternquay.hosted.service import Fellows
+from ternquay.hosted.service import FleetConfig
 from ternquay.hosted.tenants.registry import Registry
 from ternquay.hosted.tenants.tenant import Endpoint
 
@@ -28,7 +28,7 @@
 
 def member(folder: Path, disk: Disk, names: str = "a") -> Fleet:
     places = {name: Endpoint("127.0.0.1", 9000 + n) for n, name in enumerate(names)}
-    fellows = Fellows("f", "a", places, places["a"], b"k" * 32, 10**9, False, "", 64)
+    fellows = FleetConfig("f", "a", places, places["a"], b"k" * 32, 10**9, False, "", 64)
     store = FleetStore(folder / "registry.db")
     host: Any = SimpleNamespace(registry=Registry(), tenancies={})
     return Fleet(Clock(), fellows, host, disk, store, store.begin_life(), lambda: 10**10)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,7 +8,7 @@
 
 from ternquay.consensus.founding import Founding
 from ternquay.consensus.messages import Member, decoded
-from ternquay.hosted.service import ServiceError, read_service
+from ternquay.hosted.service import ServiceConfigError, read_service
 from ternquay.peers.frames import DIGEST, FRAME_MOST, Dropped, Frame, Marks, What, opened, sealed
 from ternquay.peers.members import COUNTER, Members
 
@@ -126,9 +126,9 @@
     (tmp_path / "short").write_bytes(b"k" * 15)
     file = tmp_path / "service.toml"
     file.write_text(text + "[end]\n")
-    with pytest.raises(ServiceError, match=f"{field}"):
+    with pytest.raises(ServiceConfigError, match=f"{field}"):
         read_service(file)
     file.write_text(HEAD + MEMBERS + "[end]\n")
     service = read_service(file)
-    assert service.fellows is not None and list(service.fellows.places) == ["a", "b", "c"]
+    assert service.fellows is not None and list(service.fellows.endpoints) == ["a", "b", "c"]
     assert (service.process.balancers, service.process.number) == (3, 0)
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -23,7 +23,7 @@
 
 from ternquay.hosted.administration.api import Call, Reply
 from ternquay.hosted.host import Host, Running
-from ternquay.hosted.service import ServiceError, read_service
+from ternquay.hosted.service import ServiceConfigError, read_service
 from ternquay.hosted.store import Store
 from ternquay.hosted.tenants.registry import CreateTenant, Registry, RemoveTenant, ReplaceTenant, SetState
 from ternquay.hosted.tenants.tenant import Endpoint, Server, State, TenantLimits
@@ -322,7 +322,7 @@
     cuts = range(len(text) - 1)
     for cut in cuts:
         file.write_text(text[:cut])
-        with pytest.raises(ServiceError) as fault:
+        with pytest.raises(ServiceConfigError) as fault:
             read_service(file)
         assert "service.toml: " in str(fault.value) and "\n" not in str(fault.value)
         running.reload()
@@ -360,7 +360,7 @@
 
     file = tmp_path / "tenants.toml"
     file.write_text(TENANT.format("uno", "127.0.0.1:7001"))
-    with pytest.raises(ServiceError, match="end"):
+    with pytest.raises(ServiceConfigError, match="end"):
         wanted(file)
     file.write_text(TENANT.format("uno", "127.0.0.1:7001") + "[end]\n# nothing after it\n")
     assert len(wanted(file)) == 1
