--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -399,7 +399,7 @@
         try:
             commit = commit_of(_change.decode(body))
             name = commit.record.tenant
-            if commit.entry is None and name in self.host.tenancies and not self.host.tenancies[name].over():
+            if commit.entry is None and name in self.host.runtimes and not self.host.runtimes[name].over():
                 raise InvalidField("state", "transactions of it are still open")
             self._unprepare()
             self.prepared[at] = name, self.host.prepare(self._after(commit), name)
@@ -490,8 +490,8 @@
         if self.ended:
             return
         self.unfit, there = "", self.agreed
-        for name in sorted({*there.tenants, *self.host.tenancies}):
-            tenancy = self.host.tenancies.get(name)
+        for name in sorted({*there.tenants, *self.host.runtimes}):
+            tenancy = self.host.runtimes.get(name)
             if there.tenants.get(name) == (tenancy.entry if tenancy is not None else None):
                 continue
             try:
--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -15,8 +15,7 @@
 from ternquay.hosted.service import ServiceConfig, ServiceConfigError, read_service
 from ternquay.hosted.shared.fairness import Lent
 from ternquay.hosted.shared.fairness import Part as LentPart
-from ternquay.hosted.shared.loop import Loop
-from ternquay.hosted.tenants.ledger import Ledger
+from ternquay.hosted.shared.scheduler import Loop
 from ternquay.hosted.tenants.registry import (
     Change,
     CreateTenant,
@@ -27,7 +26,8 @@
     SetState,
     VersionConflict,
 )
-from ternquay.hosted.tenants.tenancy import Common, Prepared, Tenancy, bound
+from ternquay.hosted.tenants.runtime import PreparedListeners, ProcessResources, TenantRuntime, bound
+from ternquay.hosted.tenants.shared_hosts import Ledger
 from ternquay.hosted.tenants.tenant import Guarantee, InvalidField, State, Tenant
 from ternquay.net import library_log
 from ternquay.net.closing import once_paid
@@ -42,7 +42,7 @@
 OWN_DESCRIPTORS = 32  # standard streams, poll, wake-up, store, listeners of the API and a spare
 
 
-class Host:
+class TenantHost:
     """Runs the tenants of a registry; whoever changes it calls prepare() first and apply() once it is stored."""
 
     def __init__(self, reactor: Any, service: ServiceConfig, registry: Registry) -> None:
@@ -52,7 +52,7 @@
         self.lent = Lent(max(16, service.process.sockets - OWN_DESCRIPTORS))
         self.memory = service.process.memory_mb << 20
         self.own = service.fellows.address if service.fellows is not None else ""
-        self.common = Common(
+        self.common = ProcessResources(
             reactor,
             service.process,
             self.loop,
@@ -61,8 +61,8 @@
             lambda: time.time_ns() - int(reactor.seconds() * SECOND),
             self._retell,
         )
-        self.tenancies: dict[str, Tenancy] = {}
-        self.by_id: dict[str, Tenancy] = {}
+        self.runtimes: dict[str, TenantRuntime] = {}
+        self.runtimes_by_id: dict[str, TenantRuntime] = {}
         self.removing: set[str] = set()
         self.remove: Callable[[str], Any] = self._removed_here
         self.began, self.ending, self.stopping = reactor.seconds(), False, False
@@ -85,22 +85,22 @@
         for name in self.registry.tenants:
             self._made(name)
         self._settle()
-        for name, tenancy in self.tenancies.items():
+        for name, tenancy in self.runtimes.items():
             tenancy.begin(prepared[name])
         self._sweep()
 
-    def _made(self, name: str) -> Tenancy:
-        tenancy = Tenancy(self.common, self.registry.tenants[name], self.turn)
-        self.tenancies[name] = self.by_id[tenancy.id] = tenancy
+    def _made(self, name: str) -> TenantRuntime:
+        tenancy = TenantRuntime(self.common, self.registry.tenants[name], self.turn)
+        self.runtimes[name] = self.runtimes_by_id[tenancy.id] = tenancy
         return tenancy
 
     # ---- changes ----
 
-    def prepare(self, registry: Registry, name: str) -> Prepared:
+    def prepare(self, registry: Registry, name: str) -> PreparedListeners:
         """Binds what the change needs; raises InvalidField with nothing bound."""
         after, before = registry.tenants.get(name), self.registry.tenants.get(name)
         if after is None or after.tenant.state is State.ENDING:
-            return Prepared()
+            return PreparedListeners()
         there = before.tenant.listeners if before is not None else ()
         new = tuple(place for place in after.tenant.listeners if place not in there)
         try:
@@ -109,7 +109,7 @@
             at = after.tenant.listeners.index(new[int(fault.field[len("listeners[") : -1])])
             raise InvalidField(f"listeners[{at}]", fault.reason) from fault
 
-    def apply(self, registry: Registry, name: str, prepared: Prepared) -> None:
+    def apply(self, registry: Registry, name: str, prepared: PreparedListeners) -> None:
         """All of it, in one step of the loop. What raises leaves the other tenants as they are."""
         self.registry = registry
         if self.ending:
@@ -117,8 +117,8 @@
             # a fleet that suspends a tenant elsewhere must not take its txs here meanwhile.
             prepared.drop()
             entry = registry.tenants.get(name)
-            if entry is not None and name in self.tenancies:
-                self.tenancies[name].change(entry, Prepared())
+            if entry is not None and name in self.runtimes:
+                self.runtimes[name].change(entry, PreparedListeners())
             return
         try:
             self._apply(registry, name, prepared)
@@ -126,11 +126,11 @@
             prepared.drop()
             raise
 
-    def _apply(self, registry: Registry, name: str, prepared: Prepared) -> None:
-        entry, tenancy = registry.tenants.get(name), self.tenancies.get(name)
+    def _apply(self, registry: Registry, name: str, prepared: PreparedListeners) -> None:
+        entry, tenancy = registry.tenants.get(name), self.runtimes.get(name)
         if entry is None:
             if tenancy is not None:
-                del self.tenancies[name], self.by_id[tenancy.id]
+                del self.runtimes[name], self.runtimes_by_id[tenancy.id]
             self.removing.discard(name)
             self._settle()
             if tenancy is not None:
@@ -163,7 +163,7 @@
     def _settle(self) -> None:
         """Each tenant's parts of the loop, of sockets and of machines that several name."""
         parts, weights, sockets = {}, {}, {}
-        for tenancy in self.tenancies.values():
+        for tenancy in self.runtimes.values():
             limits = tenancy.entry.tenant.limits
             weight = weights[tenancy.id] = max(WEIGHT_LEAST, limits.cpu.least)
             parts[tenancy.id] = weight, limits.cpu.most
@@ -181,8 +181,8 @@
     def _tell(self) -> None:
         told, self.told = self.told, set()
         for id in sorted(told):
-            if id in self.by_id:
-                self.by_id[id].settle()
+            if id in self.runtimes_by_id:
+                self.runtimes_by_id[id].settle()
 
     # ---- now and then ----
 
@@ -190,7 +190,7 @@
         self.reactor.callLater(SWEEP / SECOND, self._sweep)
         self.loop.swept()
         self._retell(self.common.ledger.due(int(self.reactor.seconds() * SECOND)))
-        for tenancy in list(self.tenancies.values()):
+        for tenancy in list(self.runtimes.values()):
             tenancy.swept()
             name = tenancy.entry.tenant.name
             if tenancy.over() and name not in self.removing and not self.ending:
@@ -199,8 +199,8 @@
                 if asked is not None:
                     asked.addCallback(self._asked, name)
         for id, due in self.lent.owed():
-            if id in self.by_id:
-                self.by_id[id].front.give_back(due)
+            if id in self.runtimes_by_id:
+                self.runtimes_by_id[id].front.give_back(due)
         self._take_memory_back()
 
     def _asked(self, reply: Any, name: str) -> None:
@@ -210,7 +210,7 @@
 
     def _take_memory_back(self) -> None:
         """Where all hold more than there is, whoever is furthest over its part loses what it has half-read."""
-        held = {tenancy: tenancy.held() for tenancy in self.tenancies.values()}
+        held = {tenancy: tenancy.held() for tenancy in self.runtimes.values()}
         while sum(held.values()) > self.memory:
             tenancy = max(held, key=lambda t: held[t] - t.entry.tenant.limits.memory.least * self.memory)
             clients = [client for client in tenancy.front.all if client.kept or client.queued]
@@ -228,7 +228,7 @@
             "cpu_s": round(use, 3),
             "sockets": self.lent.total,
             "sockets_most": self.lent.whole,
-            "tenants": {name: tenancy.use() for name, tenancy in sorted(self.tenancies.items())},
+            "tenants": {name: tenancy.use() for name, tenancy in sorted(self.runtimes.items())},
         }
 
     # ---- the operators' file again, where there is no store ----
@@ -255,7 +255,7 @@
         logger.info("told to end, {} transactions open", self._open())
         now = int(self.reactor.seconds() * SECOND)
         lame = serve_on = leave = flush = 0
-        for tenancy in self.tenancies.values():
+        for tenancy in self.runtimes.values():
             limits = tenancy.limits
             tenancy.door.ends_at = now + limits.last_answer_after
             lame, leave = max(lame, limits.accept_grace), max(leave, limits.stop_after)
@@ -266,20 +266,20 @@
         self.reactor.callLater(leave / SECOND, self._stop)
 
     def _open(self) -> int:
-        return sum(not tx.answered for tenancy in self.tenancies.values() for tx in tenancy.door.txs.values())
+        return sum(not tx.answered for tenancy in self.runtimes.values() for tx in tenancy.door.txs.values())
 
     def _close(self) -> None:
-        closed = [tenancy.close_ports(not tenancy.front.leaving) for tenancy in self.tenancies.values()]
+        closed = [tenancy.close_ports(not tenancy.front.leaving) for tenancy in self.runtimes.values()]
         if not all(closed):
             self.reactor.callLater(0.01, self._close)
 
     def _leave(self) -> None:
-        for tenancy in self.tenancies.values():
+        for tenancy in self.runtimes.values():
             tenancy.front.leave()
         self._wait()
 
     def _wait(self) -> None:
-        if any(tenancy.front.all for tenancy in self.tenancies.values()):
+        if any(tenancy.front.all for tenancy in self.runtimes.values()):
             self.reactor.callLater(0.01, self._wait)
         else:
             self._stop()
@@ -290,7 +290,7 @@
             once_paid(self.reactor, self._owes, self.flush, self._stopped)
 
     def _owes(self) -> bool:
-        return any(tenancy.front.owes() for tenancy in self.tenancies.values())
+        return any(tenancy.front.owes() for tenancy in self.runtimes.values())
 
     def _stopped(self) -> None:
         if self.reactor.running:
@@ -324,7 +324,7 @@
     return found
 
 
-class Running:
+class ServiceProcess:
     """The host with its store and its API, and the signals that it heeds."""
 
     def __init__(self, reactor: Any, service: ServiceConfig) -> None:
@@ -336,7 +336,7 @@
         if service.store:
             self._with_store()
         else:
-            self.host = Host(reactor, service, service.registry)
+            self.host = TenantHost(reactor, service, service.registry)
 
     def _with_store(self) -> None:
         # Only here, as without a store none of it is even loaded.
@@ -361,7 +361,7 @@
             registry = store.registry()
         except StoreError as fault:
             raise ServiceConfigError(f"store.path: {fault}") from fault
-        self.host = Host(self.reactor, self.service, registry)
+        self.host = TenantHost(self.reactor, self.service, registry)
         self.stored = Stored(self.reactor, store)
         self.keeper = Keeper(self.reactor, Api(self.service.operators), self.host, self.stored, time.time_ns)
         self.host.remove = self.keeper.remove
@@ -385,7 +385,7 @@
                 self.api.begin()
         except InvalidField as fault:
             raise ServiceConfigError(f"{self.service.path}: {fault.field}: {fault.reason}") from fault
-        logger.info("{} serves {} tenants", self.service.name, len(self.host.tenancies))
+        logger.info("{} serves {} tenants", self.service.name, len(self.host.runtimes))
 
     def reload(self) -> None:
         """SIGHUP: the file is read again: operators' keys, the certificate, and without a store the tenants."""
@@ -429,7 +429,7 @@
     library_log.begin()
     reactor = MonotonicReactor()
     installReactor(reactor)
-    running = Running(reactor, service)
+    running = ServiceProcess(reactor, service)
     try:
         running.begin()
         reactor.mark_turns(running.host.turn)
--- a/ternquay/hosted/service.py
+++ b/ternquay/hosted/service.py
@@ -24,7 +24,7 @@
     tenant_of,
 )
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
-from ternquay.hosted.tenants.tenancy import Process
+from ternquay.hosted.tenants.runtime import ProcessConfig
 from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Key, Scope, Tenant, check_endpoint
 from ternquay.net.launch import descriptors
 from ternquay.peers.frames import KEY_LEAST
@@ -134,7 +134,7 @@
 
     path: str
     name: str
-    process: Process
+    process: ProcessConfig
     store: str
     api: ApiDocument | None
     listen: Endpoint | None
@@ -239,7 +239,7 @@
     return key
 
 
-def _process(told: ProcessDocument, fellows: FleetConfig | None) -> Process:
+def _process(told: ProcessDocument, fellows: FleetConfig | None) -> ProcessConfig:
     if fellows is not None:
         told = msgspec.structs.replace(
             told, balancers=len(fellows.endpoints), number=sorted(fellows.endpoints).index(fellows.own_name)
@@ -247,7 +247,7 @@
     if told.number >= told.balancers:
         raise InvalidField("process.number", f"there are {told.balancers} balancers, from 0")
     seed = told.seed if told.seed is not None else Random().getrandbits(64)
-    return Process(min(told.sockets, descriptors()), told.memory_mb, told.balancers, told.number, seed)
+    return ProcessConfig(min(told.sockets, descriptors()), told.memory_mb, told.balancers, told.number, seed)
 
 
 def _beside(path: Path, told: StoreDocument | None) -> str:
--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 
 from ternquay.hosted.shared.fairness import Dues, Lent
-from ternquay.hosted.shared.loop import PIECE, Loop
+from ternquay.hosted.shared.scheduler import PIECE, Loop
 from ternquay.net import meta
 from ternquay.net.client import ClientConnection, Owed
 from ternquay.net.door import Door
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -12,9 +12,9 @@
 from ternquay.facts import Names
 from ternquay.hosted.shared.fairness import Dues, Lent
 from ternquay.hosted.shared.front import CROWDING, TenantFront, TenantListener, TenantSockets
-from ternquay.hosted.shared.loop import Loop
-from ternquay.hosted.tenants.ledger import Ledger, Named
+from ternquay.hosted.shared.scheduler import Loop
 from ternquay.hosted.tenants.registry import TenantEntry
+from ternquay.hosted.tenants.shared_hosts import Ledger, Named
 from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Server, State, Tenant
 from ternquay.net.closing import all_accepted
 from ternquay.net.discovery import Discovery
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Process:
+class ProcessConfig:
     """What the process gives all tenants together, and its place among others like it."""
 
     sockets: int
@@ -43,11 +43,11 @@
 
 
 @dataclass(slots=True)
-class Common:
+class ProcessResources:
     """What all tenants of a process share."""
 
     reactor: Any
-    process: Process
+    process: ProcessConfig
     loop: Loop
     ledger: Ledger
     sockets: Lent
@@ -72,7 +72,7 @@
         return self[name]
 
 
-def started_of(process: Process, tenant: Tenant) -> m.Started:
+def started_of(process: ProcessConfig, tenant: Tenant) -> m.Started:
     """What the tenant's decisions are told. Its last share is of those who crowd others: beyond it from the first."""
     rules = tenant.rules
     return m.Started(
@@ -109,7 +109,7 @@
     return names
 
 
-def limits_of(process: Process, tenant: Tenant) -> Limits:
+def limits_of(process: ProcessConfig, tenant: Tenant) -> Limits:
     """The sizes, counts and times of one tenant; its own limits, within what the process has."""
     own = tenant.limits
     facts = {
@@ -193,7 +193,7 @@
 
 
 @dataclass(slots=True)
-class Prepared:
+class PreparedListeners:
     """Listeners that a change needs, bound but not accepting yet."""
 
     ports: dict[Endpoint, Any] = field(default_factory=dict)
@@ -218,9 +218,9 @@
         self.startReading()
 
 
-def bound(reactor: Any, places: tuple[Endpoint, ...], own: str = "", backlog: int = 1024) -> Prepared:
+def bound(reactor: Any, places: tuple[Endpoint, ...], own: str = "", backlog: int = 1024) -> PreparedListeners:
     """`own` stands for 0.0.0.0 here. Raises InvalidField, with nothing left bound, if one of them can't be."""
-    prepared = Prepared()
+    prepared = PreparedListeners()
     for i, place in enumerate(places):
         host = own if own and place.host == "0.0.0.0" else place.host
         port = Held(place.port, Factory(), backlog, host, reactor)
@@ -233,8 +233,8 @@
     return prepared
 
 
-class Tenancy:
-    def __init__(self, common: Common, entry: TenantEntry, turn: Turn) -> None:
+class TenantRuntime:
+    def __init__(self, common: ProcessResources, entry: TenantEntry, turn: Turn) -> None:
         self.common, self.entry = common, entry
         self.id = f"{entry.tenant.name}.{entry.incarnation}"  # one made again under the name is another one
         tenant, reactor = entry.tenant, common.reactor
@@ -263,12 +263,12 @@
 
     # ---- its beginning, changes and end ----
 
-    def begin(self, prepared: Prepared) -> None:
+    def begin(self, prepared: PreparedListeners) -> None:
         self._open(prepared)
         self._sourced(self.entry.tenant)
         self._stand(self.entry.tenant.state)
 
-    def change(self, entry: TenantEntry, prepared: Prepared) -> None:
+    def change(self, entry: TenantEntry, prepared: PreparedListeners) -> None:
         """The tenant is this from now on; transactions that are open end by what they were taken with."""
         before, self.entry = self.entry, entry
         try:
@@ -277,7 +277,7 @@
             self.entry = before  # so that the next change makes up for all that differs
             raise
 
-    def _change(self, old: Tenant, new: Tenant, prepared: Prepared) -> None:
+    def _change(self, old: Tenant, new: Tenant, prepared: PreparedListeners) -> None:
         if old.limits != new.limits or old.profiles != new.profiles:
             self._limited(new)
         if (old.profiles, old.rules, old.shares) != (new.profiles, new.rules, new.shares):
@@ -301,7 +301,7 @@
         self.dues.change(tenant.limits.txs_a_second, tenant.limits.burst)
         self.front.open_most = tenant.limits.open_txs
 
-    def _open(self, prepared: Prepared) -> None:
+    def _open(self, prepared: PreparedListeners) -> None:
         for place, port in prepared.ports.items():
             port.open(self.front, self.turn.accepted)
             self.ports[place] = port
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -30,7 +30,7 @@
     places = {name: Endpoint("127.0.0.1", 9000 + n) for n, name in enumerate(names)}
     fellows = FleetConfig("f", "a", places, places["a"], b"k" * 32, 10**9, False, "", 64)
     store = FleetStore(folder / "registry.db")
-    host: Any = SimpleNamespace(registry=Registry(), tenancies={})
+    host: Any = SimpleNamespace(registry=Registry(), runtimes={})
     return Fleet(Clock(), fellows, host, disk, store, store.begin_life(), lambda: 10**10)
 
 
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -13,10 +13,10 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.web.client import ResponseDone
 
-from ternquay.hosted.host import Host
+from ternquay.hosted.host import TenantHost
 from ternquay.hosted.shared.front import TenantFront
 from ternquay.hosted.tenants.registry import ReplaceTenant, SetState
-from ternquay.hosted.tenants.tenancy import Prepared, Process
+from ternquay.hosted.tenants.runtime import PreparedListeners, ProcessConfig
 from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, State
 from tests.helper import Net, Wire, member
 from tests.hosted_helper import Hosted
@@ -30,7 +30,7 @@
 
 @pytest.fixture(autouse=True)
 def nothing_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ternquay.hosted.host.bound", lambda *_: Prepared())
+    monkeypatch.setattr("ternquay.hosted.host.bound", lambda *_: PreparedListeners())
 
 
 class HostedNet(Net):
@@ -42,10 +42,10 @@
         self.wires: list[Wire] = []
         self.reactor.advance(1000.0)
         self.reactor.running = True
-        service: Any = SimpleNamespace(name="h", process=Process(256, 96), fellows=None)
-        self.host = Host(self.reactor, service, made(tenant("sur", **terms)))
+        service: Any = SimpleNamespace(name="h", process=ProcessConfig(256, 96), fellows=None)
+        self.host = TenantHost(self.reactor, service, made(tenant("sur", **terms)))
         self.host.begin()
-        self.tenancy = self.host.tenancies["sur"]
+        self.tenancy = self.host.runtimes["sur"]
         self.limits, self.sockets = self.tenancy.limits, self.tenancy.sockets
         self.door, self.pool = self.tenancy.door, self.tenancy.pool
         self.front: TenantFront = self.tenancy.front
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -15,10 +15,10 @@
 from ternquay.hosted.administration.plan import planned
 from ternquay.hosted.administration.routes import ROUTES
 from ternquay.hosted.shared.fairness import SECOND, Ceiling, Dues, Lent, Part, Turns
-from ternquay.hosted.shared.loop import Loop
+from ternquay.hosted.shared.scheduler import Loop
 from ternquay.hosted.tenants.documents import TenantDocument, decoded, document_of, plain, read, tenant_of
-from ternquay.hosted.tenants.ledger import FAILS, GONE_KEPT, Ledger, Named
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
+from ternquay.hosted.tenants.shared_hosts import FAILS, GONE_KEPT, Ledger, Named
 from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, InvalidField, Key, Scope
 from ternquay.net.turn import Turn
 from tests.helper import START, T0
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -22,7 +22,7 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from ternquay.hosted.administration.api import Call, Reply
-from ternquay.hosted.host import Host, Running
+from ternquay.hosted.host import ServiceProcess, TenantHost
 from ternquay.hosted.service import ServiceConfigError, read_service
 from ternquay.hosted.store import Store
 from ternquay.hosted.tenants.registry import CreateTenant, Registry, RemoveTenant, ReplaceTenant, SetState
@@ -141,18 +141,18 @@
     assert [entry.version for entry in one.stored.store.changes(0, 9)] == [1, 2]
 
 
-def hosts(registry: Registry, tmp_path: Path) -> Host:
+def hosts(registry: Registry, tmp_path: Path) -> TenantHost:
     file = tmp_path / "service.toml"
     file.write_text("[process]\nsockets = 256\n[end]\n")
     reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
     reactor.advance(1000.0)
-    return Host(reactor, read_service(file), registry)
+    return TenantHost(reactor, read_service(file), registry)
 
 
-def over(host: Host) -> None:
+def over(host: TenantHost) -> None:
     """Closes what the test has bound; the library does so in a turn of its own."""
-    host.by_id.clear()  # as none of them is told what becomes of the others
-    for tenancy in host.tenancies.values():
+    host.runtimes_by_id.clear()  # as none of them is told what becomes of the others
+    for tenancy in host.runtimes.values():
         tenancy.end()
     host.reactor.advance(0.01)
 
@@ -178,7 +178,7 @@
     one = listening("sur")
     host = hosts(Registry().with_change(CreateTenant(one)), tmp_path)
     host.begin()
-    tenancy, norte, other = host.tenancies["sur"], listening("norte", 2), place(free_place("127.0.0.1"))
+    tenancy, norte, other = host.runtimes["sur"], listening("norte", 2), place(free_place("127.0.0.1"))
     limits: TenantLimits = replace(SMALL, open_txs=7)
     with monkeypatch.context() as broken:
         broken.setattr(tenancy, "_limited", lambda tenant: 1 / 0)
@@ -203,12 +203,12 @@
     one = listening("sur", servers=(Server("one", Endpoint("127.0.1.1", 11211)),))
     host = hosts(Registry().with_change(CreateTenant(one)), tmp_path)
     host.begin()
-    tenancy = host.tenancies["sur"]
+    tenancy = host.runtimes["sur"]
     tenancy.pool._dial(next(iter(tenancy.pool.places.values())))
     assert host.reactor.tcpClients and host.lent.total == 1
     host.change(SetState("sur", State.ENDING))
     host.change(RemoveTenant("sur"))
-    assert not host.tenancies and not host.by_id and host.lent.total == 0
+    assert not host.runtimes and not host.runtimes_by_id and host.lent.total == 0
     assert tenancy.id not in host.loop.parts and tenancy.id not in host.common.ledger.lists
     connector = host.reactor.connectors[0]
     assert connector.stoppedConnecting
@@ -248,7 +248,7 @@
     host.end()
     host.apply(after, "sur", prepared)
     host.reactor.advance(0.01)
-    assert host.registry.version == 1 and not host.tenancies
+    assert host.registry.version == 1 and not host.runtimes
     assert not connects(one.listeners[0])
 
 
@@ -315,7 +315,7 @@
     file.write_text(text)
     assert len(read_service(file).registry.tenants) == 2
     reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
-    running = Running(reactor, read_service(file))
+    running = ServiceProcess(reactor, read_service(file))
     running.begin()
     before, lines = whole(running.host.registry), []
     handler = logger.add(lambda line: lines.append(line.record["extra"].get("cause")), level="ERROR")
@@ -330,7 +330,7 @@
     assert whole(running.host.registry) == before and len(lines) == len(cuts)
     file.write_text(text.replace('name = "dos"', 'name = "tres"').replace(listens[1], free_place("127.0.0.1")))
     running.reload()
-    assert set(running.host.tenancies) >= {"uno", "tres"}
+    assert set(running.host.runtimes) >= {"uno", "tres"}
     assert running.host.registry.tenants["dos"].tenant.state is State.ENDING  # a whole file may end one
     over(running.host)
 
