--- a/ternquay/hosted/administration/http.py
+++ b/ternquay/hosted/administration/http.py
@@ -15,7 +15,7 @@
 from ternquay.hosted.administration.api import Call, Reply, problem
 from ternquay.hosted.administration.changes import Keeper
 from ternquay.hosted.service import ApiDocument, ServiceConfig
-from ternquay.hosted.shared.fairness import SECOND, Bucket
+from ternquay.hosted.shared.fairness import SECOND, TokenBucket
 from ternquay.hosted.tenants.documents import format_endpoint
 from ternquay.hosted.tenants.tenant import InvalidField
 from ternquay.net.http import CallIn, CallLimits, CallPort, Channel
@@ -64,8 +64,8 @@
         super().__init__(limits_of(service.api))
         self.reactor, self.service, self.keeper = reactor, service, keeper
         self.api: ApiDocument = service.api
-        self.calls = Bucket(self.api.calls_a_second, float(self.api.burst))
-        self.comers = Bucket(self.api.calls_a_second, float(self.api.burst))  # connections, at the same rate
+        self.calls = TokenBucket(self.api.calls_a_second, float(self.api.burst))
+        self.comers = TokenBucket(self.api.calls_a_second, float(self.api.burst))  # connections, at the same rate
         self.certificate: Any = None
         self.port: Any = None
 
--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -13,9 +13,8 @@
 
 from ternquay.hosted import logs
 from ternquay.hosted.service import ServiceConfig, ServiceConfigError, read_service
-from ternquay.hosted.shared.fairness import Lent
-from ternquay.hosted.shared.fairness import Part as LentPart
-from ternquay.hosted.shared.scheduler import Loop
+from ternquay.hosted.shared.fairness import Allocation, SharedCapacity
+from ternquay.hosted.shared.scheduler import FairScheduler
 from ternquay.hosted.tenants.registry import (
     Change,
     CreateTenant,
@@ -48,16 +47,16 @@
     def __init__(self, reactor: Any, service: ServiceConfig, registry: Registry) -> None:
         self.reactor, self.service, self.registry = reactor, service, registry
         self.turn = Turn(SECOND)
-        self.loop = Loop(reactor, lambda: int(reactor.seconds() * SECOND), self.turn)
-        self.lent = Lent(max(16, service.process.sockets - OWN_DESCRIPTORS))
+        self.scheduler = FairScheduler(reactor, lambda: int(reactor.seconds() * SECOND), self.turn)
+        self.sockets = SharedCapacity(max(16, service.process.sockets - OWN_DESCRIPTORS))
         self.memory = service.process.memory_mb << 20
         self.own = service.fellows.address if service.fellows is not None else ""
         self.common = ProcessResources(
             reactor,
             service.process,
-            self.loop,
+            self.scheduler,
             Ledger(),
-            self.lent,
+            self.sockets,
             lambda: time.time_ns() - int(reactor.seconds() * SECOND),
             self._retell,
         )
@@ -162,14 +161,14 @@
 
     def _settle(self) -> None:
         """Each tenant's parts of the loop, of sockets and of machines that several name."""
-        parts, weights, sockets = {}, {}, {}
+        parts, weights, allocations = {}, {}, {}
         for tenancy in self.runtimes.values():
             limits = tenancy.entry.tenant.limits
             weight = weights[tenancy.id] = max(WEIGHT_LEAST, limits.cpu.least)
             parts[tenancy.id] = weight, limits.cpu.most
-            sockets[tenancy.id] = share_of(limits.sockets, self.lent.whole)
-        self.loop.settle(parts)
-        self.lent.settle(sockets)
+            allocations[tenancy.id] = share_of(limits.sockets, self.sockets.capacity)
+        self.scheduler.set_shares(parts)
+        self.sockets.set_allocations(allocations)
         self._retell(self.common.ledger.settle(weights))
 
     def _retell(self, ids: set[str]) -> None:
@@ -188,7 +187,7 @@
 
     def _sweep(self) -> None:
         self.reactor.callLater(SWEEP / SECOND, self._sweep)
-        self.loop.swept()
+        self.scheduler.sweep()
         self._retell(self.common.ledger.due(int(self.reactor.seconds() * SECOND)))
         for tenancy in list(self.runtimes.values()):
             tenancy.swept()
@@ -198,7 +197,7 @@
                 asked = self.remove(name)
                 if asked is not None:
                     asked.addCallback(self._asked, name)
-        for id, due in self.lent.owed():
+        for id, due in self.sockets.reclaimable():
             if id in self.runtimes_by_id:
                 self.runtimes_by_id[id].front.give_back(due)
         self._take_memory_back()
@@ -226,8 +225,8 @@
             "up_s": round(self.reactor.seconds() - self.began, 1),
             "version": self.registry.version,
             "cpu_s": round(use, 3),
-            "sockets": self.lent.total,
-            "sockets_most": self.lent.whole,
+            "sockets": self.sockets.total_used,
+            "sockets_most": self.sockets.capacity,
             "tenants": {name: tenancy.use() for name, tenancy in sorted(self.runtimes.items())},
         }
 
@@ -298,9 +297,9 @@
             self.reactor.stop()
 
 
-def share_of(part: Guarantee, whole: int) -> LentPart:
+def share_of(part: Guarantee, whole: int) -> Allocation:
     """A part of the whole in its own unit."""
-    return LentPart(int(part.least * whole), int(part.most * whole))
+    return Allocation(int(part.least * whole), int(part.most * whole))
 
 
 def differences(old: Registry, new: Registry) -> list[Change]:
--- a/ternquay/hosted/shared/fairness.py
+++ b/ternquay/hosted/shared/fairness.py
@@ -1,320 +1,353 @@
-"""How tenants share one process: rates with a burst, parts that are lent and taken back, and turns by measured time.
+"""Fair sharing of one process: token buckets, borrowable capacity, and deficit round robin over measured time.
 
-All pure: times are whole nanoseconds that the caller hands in. Nothing here knows what a tenant is but its name.
+Everything here is pure: the caller passes the time, in whole nanoseconds. Tenants and clients are known only by name.
 """
 
 from collections import OrderedDict
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # in nanoseconds
 
 
 @dataclass(slots=True)
-class Bucket:
-    """So many a second, up to a burst at once."""
+class TokenBucket:
+    """Admits `rate` events a second, and up to `burst` at once."""
 
     rate: float
     burst: float
-    left: float = field(init=False)
-    at: int = 0
+    tokens: float = field(init=False)
+    updated_at: int = 0
 
     def __post_init__(self) -> None:
-        self.left = self.burst
+        self.tokens = self.burst
 
     def take(self, now: int) -> int:
-        """Nought if one more fits, and it is counted; else how long until one does, and it is not."""
-        if now > self.at:
-            self.left = min(self.burst, self.left + self.rate * (now - self.at) / SECOND)
-            self.at = now
-        if self.left >= 1.0:
-            self.left -= 1.0
+        """Takes a token and returns 0, or returns the nanoseconds until one is available and takes nothing."""
+        if now > self.updated_at:
+            self.tokens = min(self.burst, self.tokens + self.rate * (now - self.updated_at) / SECOND)
+            self.updated_at = now
+        if self.tokens >= 1.0:
+            self.tokens -= 1.0
             return 0
-        return int((1.0 - self.left) / self.rate * SECOND) + 1
+        return int((1.0 - self.tokens) / self.rate * SECOND) + 1
 
     def change(self, now: int, rate: float, burst: float) -> None:
-        """Another limit from now on; what was saved up beyond the new burst is gone."""
+        """Applies new limits from now on. Tokens beyond the new burst are lost."""
         self.take(now)
-        self.left = min(burst, self.left + 1.0)
+        self.tokens = min(burst, self.tokens + 1.0)
         self.rate, self.burst = rate, burst
 
 
 @dataclass(slots=True, frozen=True)
-class Part:
-    """Of a whole, in its own unit: always there for its owner, and the most that it gets."""
+class Allocation:
+    """A tenant's part of a capacity, in the unit of that capacity: what is guaranteed, and the limit."""
 
-    least: int
-    most: int
+    guaranteed: int
+    limit: int
 
 
 @dataclass(slots=True)
-class Lent:
-    """One thing of which there is a whole (sockets, bytes): what its owners leave is lent to others.
+class SharedCapacity:
+    """A capacity (sockets, bytes) whose unused part is lent to tenants that need more than their guarantee.
 
-    An owner within its part is never turned away, so the whole may be passed for a moment; owed() then says who
-    has to give back how much. Whoever calls sheds that at once, so the parts must add up to the whole at most.
+    A tenant within its guarantee is never refused, so the total may exceed the capacity for a moment. reclaimable()
+    then lists who has to give back how much, and the caller reclaims it at once. The guarantees must not add up to more
+    than the capacity.
     """
 
-    whole: int
-    parts: dict[str, Part] = field(default_factory=dict)
+    capacity: int
+    allocations: dict[str, Allocation] = field(default_factory=dict)
     used: dict[str, int] = field(default_factory=dict)
-    total: int = 0
+    total_used: int = 0
 
-    def settle(self, parts: Mapping[str, Part]) -> None:
-        """The parts of all tenants from now on. One without a part keeps what it has and gets no more."""
-        self.parts = dict(parts)
-        self.used = {name: used for name, used in self.used.items() if used or name in parts}
+    def set_allocations(self, allocations: Mapping[str, Allocation]) -> None:
+        """Sets the allocations of all tenants. A tenant without one keeps what it has and gets no more."""
+        self.allocations = dict(allocations)
+        self.used = {name: used for name, used in self.used.items() if used or name in allocations}
 
-    def take(self, name: str, amount: int = 1) -> bool:
-        part = self.parts.get(name)
+    def acquire(self, name: str, amount: int = 1) -> bool:
+        """Takes `amount` for the tenant if its limit and the capacity allow it. Returns whether it was taken."""
+        allocation = self.allocations.get(name)
         used = self.used.get(name, 0) + amount
-        if part is None or used > part.most:
+        if allocation is None or used > allocation.limit:
             return False
-        if used > part.least and self.total + amount > self.whole:
+        if used > allocation.guaranteed and self.total_used + amount > self.capacity:
             return False
         self.used[name] = used
-        self.total += amount
+        self.total_used += amount
         return True
 
-    def count(self, name: str, amount: int) -> None:
-        """What is there already, whatever the parts say; with a minus what is no more."""
+    def adjust(self, name: str, amount: int) -> None:
+        """Counts a use that exists already, whatever the allocations allow; a negative amount is a release."""
         if amount < 0:
-            return self.give(name, -amount)
+            return self.release(name, -amount)
         self.used[name] = self.used.get(name, 0) + amount
-        self.total += amount
+        self.total_used += amount
 
-    def room(self, name: str) -> int:
-        """How much it may have in all as things stand; what others left is for it too."""
-        part = self.parts.get(name)
-        if part is None:
+    def current_limit(self, name: str) -> int:
+        """Returns how much the tenant may use in all at present, including what other tenants leave unused."""
+        allocation = self.allocations.get(name)
+        if allocation is None:
             return 0
-        return min(part.most, max(part.least, self.used.get(name, 0) + self.whole - self.total))
+        return min(
+            allocation.limit,
+            max(allocation.guaranteed, self.used.get(name, 0) + self.capacity - self.total_used),
+        )
 
-    def give(self, name: str, amount: int = 1) -> None:
-        """Gives back; more than was taken is a fault of the caller's and changes nothing beyond nought."""
+    def release(self, name: str, amount: int = 1) -> None:
+        """Gives back `amount`. Releasing more than was taken is a caller's fault; the use does not fall below zero."""
         amount = min(amount, self.used.get(name, 0))
-        self.total -= amount
+        self.total_used -= amount
         self.used[name] = self.used.get(name, 0) - amount
-        if not self.used[name] and name not in self.parts:
+        if not self.used[name] and name not in self.allocations:
             del self.used[name]
 
-    def owed(self) -> list[tuple[str, int]]:
-        """Who has to give back how much for the whole to hold again, whoever borrowed most first."""
-        excess, owed = self.total - self.whole, []
-        lent = [(self.used[name] - (self.parts[name].least if name in self.parts else 0), name) for name in self.used]
-        for borrowed, name in sorted(lent, key=lambda pair: (-pair[0], pair[1])):
+    def reclaimable(self) -> list[tuple[str, int]]:
+        """Returns who has to give back how much for the total to fit again, the largest borrower first."""
+        excess, reclaimable = self.total_used - self.capacity, []
+        borrowers = [
+            (self.used[name] - (self.allocations[name].guaranteed if name in self.allocations else 0), name)
+            for name in self.used
+        ]
+        for borrowed, name in sorted(borrowers, key=lambda pair: (-pair[0], pair[1])):
             if excess <= 0 or borrowed <= 0:
                 break
-            owed.append((name, min(borrowed, excess)))
+            reclaimable.append((name, min(borrowed, excess)))
             excess -= borrowed
-        return owed
+        return reclaimable
 
 
 @dataclass(slots=True)
-class Turns:
-    """Whose turn it is on the one loop: deficit round robin (Shreedhar and Varghese, 1995) over measured time.
+class DeficitRoundRobin:
+    """Deficit round robin (Shreedhar and Varghese, 1995) over measured time.
 
-    What a turn costs is known only after it, so it is charged then and a name may go into debt; it sits out as many
-    rounds as that takes. Who has nothing waiting loses what it saved, but keeps its debt until rounds have paid it or
-    `forget` is past. Each step is of constant cost, but the one that begins a round.
+    The cost of a turn is known only after it, so it is charged then and a name's credit may become negative. The name
+    then sits out as many rounds as it takes to pay the debt. A name with nothing waiting loses unused credit but keeps
+    its debt until rounds have paid it or `debt_expiry_ns` has passed. Each operation takes constant time, except the
+    one that starts a round.
     """
 
-    quantum: int  # of time for a weight of one, in each round
-    forget: int = SECOND
-    others: float = 0.0  # the weight of names that settle() was not told of; with nought they get no turn
+    quantum: int  # nanoseconds of a round for a weight of 1.0
+    debt_expiry_ns: int = SECOND
+    default_weight: float = 0.0  # of names that set_weights() did not list; names of weight 0 get no turn
     weights: dict[str, float] = field(default_factory=dict)
     waiting: "OrderedDict[str, None]" = field(default_factory=OrderedDict)
-    left: dict[str, float] = field(default_factory=dict)
-    since: dict[str, int] = field(default_factory=dict)  # who is in debt with nothing waiting, and since when
+    credit: dict[str, float] = field(default_factory=dict)
+    idle_debt_since: dict[str, int] = field(default_factory=dict)  # names in debt with nothing waiting
 
-    def settle(self, weights: Mapping[str, float]) -> None:
-        """The weights of all tenants from now on; one that is gone waits for nothing any more."""
+    def set_weights(self, weights: Mapping[str, float]) -> None:
+        """Sets the weights of all names. Names that are not listed any more are forgotten."""
         self.weights = dict(weights)
         self.waiting = OrderedDict((name, None) for name in self.waiting if name in weights)
-        self.left = {name: left for name, left in self.left.items() if name in weights}
-        self.since = {name: at for name, at in self.since.items() if name in weights}
+        self.credit = {name: credit for name, credit in self.credit.items() if name in weights}
+        self.idle_debt_since = {name: since for name, since in self.idle_debt_since.items() if name in weights}
 
     def _weight(self, name: str) -> float:
-        return self.weights.get(name, self.others)
+        return self.weights.get(name, self.default_weight)
 
-    def ready(self, now: int, name: str) -> None:
-        """It has something waiting."""
+    def enqueue(self, now: int, name: str) -> None:
+        """Notes that the name has work waiting."""
         if name in self.waiting or not self._weight(name):
             return
-        if now - self.since.pop(name, now) >= self.forget:
-            self.left.pop(name, None)
-        self.left.setdefault(name, 0.0)
+        if now - self.idle_debt_since.pop(name, now) >= self.debt_expiry_ns:
+            self.credit.pop(name, None)
+        self.credit.setdefault(name, 0.0)
         self.waiting[name] = None
 
-    def next(self) -> str | None:
-        """Whose turn it is; None if nobody waits."""
+    def next_turn(self) -> str | None:
+        """Returns the name whose turn it is, or None if nothing is waiting."""
         if not self.waiting:
             return None
         for again in (False, True):
             for _ in range(len(self.waiting)):
                 name = next(iter(self.waiting))
-                if self.left[name] > 0:
+                if self.credit[name] > 0:
                     return name
                 self.waiting.move_to_end(name)
             if not again:
-                self._rounds()
+                self._start_rounds()
         raise AssertionError
 
-    def _rounds(self) -> None:
-        """As many rounds at once as bring the first of them out of its debt; they pay off who waits for nothing too."""
-        due = min(-self.left[name] / (self.quantum * self._weight(name)) for name in self.waiting)
+    def _start_rounds(self) -> None:
+        """Starts as many rounds at once as it takes until a waiting name is out of debt.
+
+        The rounds also pay off the debts of names with nothing waiting.
+        """
+        due = min(-self.credit[name] / (self.quantum * self._weight(name)) for name in self.waiting)
         quantum = (int(due) + 1) * self.quantum
         for name in self.waiting:
-            self.left[name] += quantum * self._weight(name)
-        for name in list(self.since):
-            self.left[name] += quantum * self._weight(name)
-            if self.left[name] >= 0:
-                del self.since[name], self.left[name]
-
-    def spent(self, now: int, name: str, took: int, more: bool) -> None:
-        """Its turn took so long; `more`: it still has something waiting."""
-        if name not in self.left:
-            return  # gone in its turn
-        self.left[name] -= took
+            self.credit[name] += quantum * self._weight(name)
+        for name in list(self.idle_debt_since):
+            self.credit[name] += quantum * self._weight(name)
+            if self.credit[name] >= 0:
+                del self.idle_debt_since[name], self.credit[name]
+
+    def end_turn(self, now: int, name: str, took: int, more: bool) -> None:
+        """Charges a turn of `took` nanoseconds; `more` says whether the name still has work waiting."""
+        if name not in self.credit:
+            return  # removed during its turn
+        self.credit[name] -= took
         if not more and name in self.waiting:
             del self.waiting[name]
-            if self.left[name] >= 0:
-                del self.left[name]
+            if self.credit[name] >= 0:
+                del self.credit[name]
             else:
-                self.since[name] = now
-        elif self.left[name] <= 0 and name in self.waiting:
+                self.idle_debt_since[name] = now
+        elif self.credit[name] <= 0 and name in self.waiting:
             self.waiting.move_to_end(name)
 
     def charge(self, now: int, name: str, took: int) -> None:
-        """It took so long outside its turns. While nobody waits the time was nobody else's."""
+        """Charges time spent outside the name's turns. While nothing waits, the time is free: nobody else wanted it."""
         if not self.waiting or not self._weight(name):
             return
-        self.left[name] = self.left.get(name, 0.0) - took
+        self.credit[name] = self.credit.get(name, 0.0) - took
         if name not in self.waiting:
-            self.since.setdefault(name, now)
+            self.idle_debt_since.setdefault(name, now)
 
-    def drop(self, name: str) -> None:
-        """It is gone."""
+    def remove(self, name: str) -> None:
+        """Forgets the name."""
         self.waiting.pop(name, None)
-        self.left.pop(name, None)
-        self.since.pop(name, None)
+        self.credit.pop(name, None)
+        self.idle_debt_since.pop(name, None)
 
-    def sweep(self, now: int) -> None:
-        """Debts that are forgotten leave the table."""
-        for name in [name for name, at in self.since.items() if now - at >= self.forget]:
-            del self.since[name]
-            self.left.pop(name, None)
+    def expire_debts(self, now: int) -> None:
+        """Forgets debts that are older than `debt_expiry_ns`."""
+        for name in [name for name, since in self.idle_debt_since.items() if now - since >= self.debt_expiry_ns]:
+            del self.idle_debt_since[name]
+            self.credit.pop(name, None)
 
 
 @dataclass(slots=True)
-class Ceiling:
-    """The most that one gets of the loop's time, whether others want it or not; over spans of a tenth of a second."""
+class TimeCeiling:
+    """Caps the fraction of the event loop's time that a tenant may use, even when nobody else needs it.
+
+    The cap holds over windows of a tenth of a second.
+    """
 
-    most: float
-    span: int = SECOND // 10
-    left: float = field(init=False)
-    at: int = 0
+    fraction: float
+    window_ns: int = SECOND // 10
+    budget: float = field(init=False)
+    updated_at: int = 0
 
     def __post_init__(self) -> None:
-        self.left = self.most * self.span
-
-    def spent(self, now: int, took: int) -> None:
-        if self.most < 1.0:
-            self.left = min(self.most * self.span, self.left + self.most * max(0, now - self.at)) - took
-            self.at = max(self.at, now)
+        self.budget = self.fraction * self.window_ns
+
+    def charge(self, now: int, took: int) -> None:
+        """Charges `took` nanoseconds that ended at `now`."""
+        if self.fraction < 1.0:
+            self.budget = (
+                min(
+                    self.fraction * self.window_ns,
+                    self.budget + self.fraction * max(0, now - self.updated_at),
+                )
+                - took
+            )
+            self.updated_at = max(self.updated_at, now)
 
     def wait(self, now: int) -> int:
-        """Nought, or how long it has to pause."""
-        if self.most >= 1.0:
+        """Returns 0, or the nanoseconds for which the tenant has to pause."""
+        if self.fraction >= 1.0:
             return 0
-        left = self.left + self.most * max(0, now - self.at)
-        return 0 if left > 0 else int(-left / self.most) + 1
+        budget = self.budget + self.fraction * max(0, now - self.updated_at)
+        return 0 if budget > 0 else int(-budget / self.fraction) + 1
 
 
 @dataclass(slots=True)
-class Client:
-    """What one client (an address) of a tenant has left of its equal part, and has open."""
+class ClientState:
+    """The remaining tokens and the open transactions of one client address of a tenant."""
 
-    left: float
-    at: int
+    tokens: float
+    updated_at: int
     open: int = 0
 
 
 @dataclass(slots=True)
-class Dues:
-    """Which client of a tenant may have one more transaction now: its rate, in equal parts while several want it.
+class ClientLimiter:
+    """Divides a tenant's transaction rate equally among the client addresses that are active.
 
-    A client within its part is never turned away; what others leave of the rate is lent to whoever asks. Clients that
-    asked for nothing over the last second have no part. The table has a bound: who asked longest ago leaves first.
+    A client within its equal part is never refused; what others leave of the rate is lent to any client that asks. A
+    client that asked for nothing during the last second has no part. The table is bounded: the client that asked
+    longest ago is removed first.
     """
 
     rate: float
     burst: float
-    most: int = 4096
-    clients: "OrderedDict[str, Client]" = field(default_factory=OrderedDict)  # by when they last asked
-    whole: float = field(init=False)
-    at: int = 0
+    max_clients: int = 4096
+    clients: "OrderedDict[str, ClientState]" = field(default_factory=OrderedDict)  # in the order of their last request
+    shared_tokens: float = field(init=False)
+    updated_at: int = 0
     open: int = 0
 
     def __post_init__(self) -> None:
-        self.whole = self.burst
+        self.shared_tokens = self.burst
 
     def change(self, rate: float, burst: float) -> None:
-        self.rate, self.burst, self.whole = rate, burst, min(self.whole, burst)
+        """Applies new limits from now on. Shared tokens beyond the new burst are lost."""
+        self.rate, self.burst, self.shared_tokens = rate, burst, min(self.shared_tokens, burst)
 
-    def _client(self, now: int, who: str) -> Client:
-        client = self.clients.get(who)
+    def _touch(self, now: int, address: str) -> ClientState:
+        """Returns the state of a client that asks now, and removes clients that are idle or beyond the bound."""
+        client = self.clients.get(address)
         if client is None:
-            client = self.clients[who] = Client(1.0, now)
+            client = self.clients[address] = ClientState(1.0, now)
         else:
-            self.clients.move_to_end(who)
+            self.clients.move_to_end(address)
         while self.clients:
             first = next(iter(self.clients))
-            old = self.clients[first]
-            if first == who or old.open or (now - old.at < SECOND and len(self.clients) <= self.most):
+            oldest = self.clients[first]
+            if (
+                first == address
+                or oldest.open
+                or (now - oldest.updated_at < SECOND and len(self.clients) <= self.max_clients)
+            ):
                 break
             del self.clients[first]
         return client
 
-    def take(self, now: int, who: str) -> int:
-        """Nought if it may, and it is counted; else how long until it may."""
-        client = self._client(now, who)
-        many = len(self.clients)
-        if now > self.at:
-            self.whole = min(self.burst, self.whole + self.rate * (now - self.at) / SECOND)
-            self.at = now
-        part = self.rate / many
-        client.left = min(max(1.0, self.burst / many), client.left + part * max(0, now - client.at) / SECOND)
-        client.at = max(client.at, now)
-        if client.left >= 1.0:
-            client.left -= 1.0
-            # Whoever takes its part takes it from what would be lent.
-            self.whole = max(-self.burst, self.whole - 1.0)
+    def take(self, now: int, address: str) -> int:
+        """Admits a transaction and returns 0, or returns the nanoseconds until the client may try again."""
+        client = self._touch(now, address)
+        count = len(self.clients)
+        if now > self.updated_at:
+            self.shared_tokens = min(self.burst, self.shared_tokens + self.rate * (now - self.updated_at) / SECOND)
+            self.updated_at = now
+        client_rate = self.rate / count
+        client.tokens = min(
+            max(1.0, self.burst / count), client.tokens + client_rate * max(0, now - client.updated_at) / SECOND
+        )
+        client.updated_at = max(client.updated_at, now)
+        if client.tokens >= 1.0:
+            client.tokens -= 1.0
+            # A client that uses its own part leaves less to lend.
+            self.shared_tokens = max(-self.burst, self.shared_tokens - 1.0)
             return 0
-        if self.whole >= 1.0:
-            self.whole -= 1.0
+        if self.shared_tokens >= 1.0:
+            self.shared_tokens -= 1.0
             return 0
-        return int(min((1.0 - client.left) / part, (1.0 - self.whole) / self.rate) * SECOND) + 1
+        return int(min((1.0 - client.tokens) / client_rate, (1.0 - self.shared_tokens) / self.rate) * SECOND) + 1
 
-    def opened(self, who: str) -> None:
-        client = self.clients.get(who)
+    def opened(self, address: str) -> None:
+        """Counts a transaction that the client has opened."""
+        client = self.clients.get(address)
         if client is not None:
             client.open += 1
             self.open += 1
 
-    def closed(self, who: str) -> None:
-        client = self.clients.get(who)
+    def closed(self, address: str) -> None:
+        """Counts a transaction of the client that has ended."""
+        client = self.clients.get(address)
         if client is not None and client.open:
             client.open -= 1
             self.open -= 1
 
-    def part(self, whole: int) -> float:
-        """The equal part of so much of something, for each that asks for any."""
-        return whole / max(1, len(self.clients))
+    def equal_part(self, total: int) -> float:
+        """Returns the equal part of `total` for each active client."""
+        return total / max(1, len(self.clients))
 
-    def crowds(self, who: str, least: int, times: float) -> bool:
-        """Whether it has open more than its part, while others have some too."""
-        client = self.clients.get(who)
+    def crowds(self, address: str, least: int, factor: float) -> bool:
+        """Whether the client has at least `least` open and more than `factor` equal parts, and others have some too."""
+        client = self.clients.get(address)
         if client is None or client.open < least or client.open >= self.open:
             return False
-        return client.open > times * self.part(self.open)
+        return client.open > factor * self.equal_part(self.open)
--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -9,8 +9,8 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from ternquay.hosted.shared.fairness import Dues, Lent
-from ternquay.hosted.shared.scheduler import PIECE, Loop
+from ternquay.hosted.shared.fairness import ClientLimiter, SharedCapacity
+from ternquay.hosted.shared.scheduler import PIECE_NS, FairScheduler
 from ternquay.net import meta
 from ternquay.net.client import ClientConnection, Owed
 from ternquay.net.door import Door
@@ -35,27 +35,27 @@
 class TenantSockets(Sockets):
     """Counts one tenant's sockets, and all tenants' together."""
 
-    def __init__(self, limits: Limits, name: str, lent: Lent, hosts_most: int) -> None:
+    def __init__(self, limits: Limits, name: str, shared: SharedCapacity, hosts_most: int) -> None:
         super().__init__(limits)
-        self.name, self.lent, self.hosts_most = name, lent, hosts_most
+        self.name, self.shared, self.hosts_most = name, shared, hosts_most
 
     def room(self) -> int:
-        return min(self.limits.sockets, self.lent.room(self.name))
+        return min(self.limits.sockets, self.shared.current_limit(self.name))
 
     def client_came(self) -> bool:
-        self.lent.count(self.name, 1)
+        self.shared.adjust(self.name, 1)
         return super().client_came()
 
     def client_left(self) -> None:
-        self.lent.count(self.name, -1)
+        self.shared.adjust(self.name, -1)
         super().client_left()
 
     def host_opened(self) -> None:
-        self.lent.count(self.name, 1)
+        self.shared.adjust(self.name, 1)
         super().host_opened()
 
     def host_closed(self) -> None:
-        self.lent.count(self.name, -1)
+        self.shared.adjust(self.name, -1)
         super().host_closed()
 
     def may_open(self) -> bool:
@@ -94,8 +94,8 @@
         if self.waits or self.stuck:
             self.keep()
             self.hold_back()
-        elif front.loop.at_once(front.name):
-            if front.loop.timed(front.name, self.piece):
+        elif front.scheduler.may_run_now(front.name):
+            if front.scheduler.run_charged(front.name, self.run_piece):
                 self.wait()
         else:
             self.wait()
@@ -105,7 +105,7 @@
         self.front.busy(self)  # against closing it as one that rests, with a whole command in hand
         self.keep()
         self.hold_back()
-        self.front.loop.ready(self.front.name, self.address, self)
+        self.front.scheduler.enqueue(self.front.name, self.address, self)
 
     def _await_turn(self) -> None:
         self.waits, self.waits_since = True, self.front.door.now()
@@ -127,7 +127,7 @@
         # That it waits for its turn is no doing of the client's.
         return max(0, super().lay_unread(goes_on) - self.turn_wait)
 
-    def piece(self) -> bool:
+    def run_piece(self) -> bool:
         self.turn_wait = 0
         if self.waits:
             self.waits = False
@@ -135,8 +135,8 @@
             self.deadline.extend(self.turn_wait)
         if self.ended or self.closing:
             return False
-        clock = self.front.loop.clock
-        end = clock() + PIECE
+        clock = self.front.scheduler.clock
+        end = clock() + PIECE_NS
         while True:
             self.since, self.turn = self.unread_since, self.front.turn.count
             self.front.busy(self)
@@ -171,7 +171,7 @@
         if self.stuck and len(self.owed) < OWED_MOST // 2 and not self.ended:
             self.stuck = False
             self._await_turn()
-            self.front.loop.ready(self.front.name, self.address, self)
+            self.front.scheduler.enqueue(self.front.name, self.address, self)
 
     # ---- transactions ----
 
@@ -199,10 +199,18 @@
     """`shut`: nought, or how long what comes is told to wait, as the tenant takes nothing now."""
 
     def __init__(
-        self, reactor: Any, door: Door, limits: Limits, sockets: Sockets, turn: Turn, loop: Loop, name: str, dues: Dues
+        self,
+        reactor: Any,
+        door: Door,
+        limits: Limits,
+        sockets: Sockets,
+        turn: Turn,
+        scheduler: FairScheduler,
+        name: str,
+        dues: ClientLimiter,
     ) -> None:
         super().__init__(reactor, door, limits, sockets, turn)
-        self.loop, self.name, self.dues = loop, name, dues
+        self.scheduler, self.name, self.dues = scheduler, name, dues
         self.by_address: dict[str, dict[TenantClient, None]] = {}
         self.shut = self.open_most = self.busy_clients = 0
         self.fenced: Callable[[], int] | None = None  # nought, or how long: as `shut`, of a member of a fleet
@@ -271,7 +279,7 @@
             mine.pop(client, None)
             if not mine:
                 self.by_address.pop(client.address, None)
-            self.loop.drop(self.name, client.address, client)
+            self.scheduler.remove(self.name, client.address, client)
         super().left(client)
 
     def give_back(self, many: int) -> None:
@@ -295,7 +303,7 @@
     def full(self, client: TenantClient) -> bool:
         """Whether the tenant has as many open as it may, and this client its part of them."""
         mine = self.dues.clients.get(client.address)
-        return self.dues.open >= self.open_most and (mine is None or mine.open >= self.dues.part(self.open_most))
+        return self.dues.open >= self.open_most and (mine is None or mine.open >= self.dues.equal_part(self.open_most))
 
     def crowds(self, client: TenantClient) -> bool:
         """Whether it has so much open that what it adds may not make others wait."""
@@ -322,15 +330,15 @@
         return min(STEP, self.front.room())
 
     def doRead(self) -> None:
-        if self.front.loop.at_once(self.front.name):
-            self.front.loop.timed(self.front.name, self.accept)
+        if self.front.scheduler.may_run_now(self.front.name):
+            self.front.scheduler.run_charged(self.front.name, self.accept)
         else:
             self.stopReading()
             if not self.paused:
                 self.paused = True
-                self.front.loop.ready(self.front.name, ACCEPTS, self)
+                self.front.scheduler.enqueue(self.front.name, ACCEPTS, self)
 
-    def piece(self) -> bool:
+    def run_piece(self) -> bool:
         self.paused = False
         if self.connected and not self.disconnecting:
             self.accept()
@@ -343,7 +351,7 @@
 
         The library can't look at who comes before it has made all that a connection has.
         """
-        while self.front.crowded() and not self.front.loop.late(PIECE):
+        while self.front.crowded() and not self.front.scheduler.is_late(PIECE_NS):
             try:
                 client, address = self.socket.accept()
             except BlockingIOError:
--- a/ternquay/hosted/shared/scheduler.py
+++ b/ternquay/hosted/shared/scheduler.py
@@ -1,175 +1,187 @@
-"""The one loop, shared: what has bytes waiting gets its turns by tenant, by client of the tenant, then one by one.
+"""Schedules the reading of client data on the shared event loop: by tenant, by client of the tenant, then in order.
 
-While nobody waits, what comes is read at once. As soon as a turn of the reactor has lasted for a slice, the rest
-waits here and is read in pieces, whoever had least first. What a tenant costs elsewhere (answers of its cache hosts)
-is charged to it too, so that it reads less.
+While nothing is waiting, data is read as it arrives. Once a turn of the reactor has lasted longer than a slice, further
+work is queued here and done in short pieces, for the tenant that has used least time first. Time that a tenant uses
+elsewhere, such as for the answers of its cache hosts, is charged to it too, so that it reads less.
 """
 
 from collections import OrderedDict
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ternquay.hosted.shared.fairness import Ceiling, Turns
+from ternquay.hosted.shared.fairness import DeficitRoundRobin, TimeCeiling
 from ternquay.net.limits import MS, SECOND
 from ternquay.net.turn import Turn
 
-QUANTUM, CLIENT_QUANTUM = MS, MS // 2
-SLICE = 3 * MS // 2  # of one turn of the reactor; others' answers and timers come after it
-PIECE = MS // 2  # of one piece of work, unless one step of it takes longer
-# A step that took longer by the clock: the process did not run in it (it was stopped, or the machine had no time for
-# it), which is no tenant's doing. Charged whole, whoever's turn it was would sit out as long again.
-STEP_MOST = 20 * MS
+TENANT_QUANTUM_NS = MS
+CLIENT_QUANTUM_NS = MS // 2
+SLICE_NS = 3 * MS // 2  # of one turn of the reactor; answers of cache hosts and timers run after it
+PIECE_NS = MS // 2  # of one piece of work; a single step may take longer
+# A step that took longer by the clock means that the process did not run for a while, because it was stopped or the
+# machine was busy. That is no tenant's doing, so it is charged up to this limit only. Charged in full, the tenant whose
+# turn it was would sit out as long again.
+MAX_STEP_CHARGE_NS = 20 * MS
 
 
 class Work(Protocol):
-    """What has something to be read."""
+    """Something that has data to be read."""
 
-    def piece(self) -> bool:
-        """Does a short piece of it; whether there is more."""
+    def run_piece(self) -> bool:
+        """Does a short piece of the work; returns whether there is more."""
 
 
-class Part:
-    """One tenant's part in the loop: its clients by turns, what each has waiting one after the other."""
+class TenantQueue:
+    """The waiting work of one tenant: its clients take turns, and each client's work is done in order."""
 
-    def __init__(self, most: float) -> None:
-        self.turns = Turns(CLIENT_QUANTUM, others=1.0)
-        self.works: dict[str, OrderedDict[Work, None]] = {}
-        self.ceiling = Ceiling(most)
-        self.spent = 0  # of the loop, in all
+    def __init__(self, ceiling: float) -> None:
+        self.round_robin = DeficitRoundRobin(CLIENT_QUANTUM_NS, default_weight=1.0)
+        self.work_by_client: dict[str, OrderedDict[Work, None]] = {}
+        self.ceiling = TimeCeiling(ceiling)
+        self.total_ns = 0  # of the event loop's time since the tenant was added
 
-    def ready(self, now: int, who: str, work: Work) -> None:
-        self.works.setdefault(who, OrderedDict())[work] = None
-        self.turns.ready(now, who)
+    def enqueue(self, now: int, client: str, work: Work) -> None:
+        """Adds work of a client."""
+        self.work_by_client.setdefault(client, OrderedDict())[work] = None
+        self.round_robin.enqueue(now, client)
 
-    def piece(self, clock: Callable[[], int]) -> bool:
-        """The turn of one client; whether any has more."""
-        who = self.turns.next()
-        if who is None:
+    def run_piece(self, clock: Callable[[], int]) -> bool:
+        """Runs a piece of work for the client whose turn it is; returns whether any client has more."""
+        client = self.round_robin.next_turn()
+        if client is None:
             return False
         began = clock()
-        work, _ = self.works[who].popitem(last=False)
-        more = work.piece()
-        # What was done may have dropped others that waited beside it, and with the last of them their place.
-        works = self.works.setdefault(who, OrderedDict())
+        work, _ = self.work_by_client[client].popitem(last=False)
+        more = work.run_piece()
+        # The piece may have removed the client's other work, and with the last of it the client's queue.
+        queue = self.work_by_client.setdefault(client, OrderedDict())
         if more:
-            works[work] = None
+            queue[work] = None
         now = clock()
-        if not works:
-            del self.works[who]
-        self.turns.spent(now, who, min(STEP_MOST, now - began), bool(works))
-        if works:
-            self.turns.ready(now, who)
-        return bool(self.works)
+        if not queue:
+            del self.work_by_client[client]
+        self.round_robin.end_turn(now, client, min(MAX_STEP_CHARGE_NS, now - began), bool(queue))
+        if queue:
+            self.round_robin.enqueue(now, client)
+        return bool(self.work_by_client)
 
-    def drop(self, who: str, work: Work) -> None:
-        works = self.works.get(who)
-        if works is not None and work in works:
-            del works[work]
-            if not works:
-                del self.works[who]
-                self.turns.drop(who)
+    def remove(self, client: str, work: Work) -> None:
+        """Removes work of a client, if it is queued."""
+        queue = self.work_by_client.get(client)
+        if queue is not None and work in queue:
+            del queue[work]
+            if not queue:
+                del self.work_by_client[client]
+                self.round_robin.remove(client)
 
 
-class Loop:
-    """Times are whole nanoseconds on `clock`; `turn` knows when this turn of the reactor began."""
+class FairScheduler:
+    """Divides the event loop's time among tenants.
+
+    Times are whole nanoseconds on `clock`; `turn` knows when the current turn of the reactor began.
+    """
 
     def __init__(self, reactor: Any, clock: Callable[[], int], turn: Turn) -> None:
         self.reactor, self.clock, self.turn = reactor, clock, turn
-        self.turns = Turns(QUANTUM)
-        self.parts: dict[str, Part] = {}
-        self.held: set[str] = set()  # over their ceilings
-        self.due: Any = None
-
-    def settle(self, parts: dict[str, tuple[float, float]]) -> None:
-        """The weight and the ceiling of each tenant from now on."""
-        self.turns.settle({name: weight for name, (weight, _) in parts.items()})
-        for name, (_, most) in parts.items():
-            if name in self.parts:
-                self.parts[name].ceiling.most = most
+        self.round_robin = DeficitRoundRobin(TENANT_QUANTUM_NS)
+        self.queues: dict[str, TenantQueue] = {}
+        self.paused: set[str] = set()  # tenants that are over their ceilings
+        self.scheduled_run: Any = None
+
+    def set_shares(self, shares: dict[str, tuple[float, float]]) -> None:
+        """Sets the weight and the ceiling of each tenant."""
+        self.round_robin.set_weights({name: weight for name, (weight, _) in shares.items()})
+        for name, (_, ceiling) in shares.items():
+            if name in self.queues:
+                self.queues[name].ceiling.fraction = ceiling
             else:
-                self.parts[name] = Part(most)
-        for name in self.parts.keys() - parts.keys():
-            del self.parts[name]
-        self.held &= parts.keys()
-
-    def at_once(self, name: str) -> bool:
-        """Whether what comes for that tenant may be read now: nobody waits, and this turn is short so far."""
-        part = self.parts.get(name)
-        if self.turns.waiting or name in self.held or part is None:
+                self.queues[name] = TenantQueue(ceiling)
+        for name in self.queues.keys() - shares.keys():
+            del self.queues[name]
+        self.paused &= shares.keys()
+
+    def may_run_now(self, name: str) -> bool:
+        """Whether the tenant's data may be read at once: nothing is waiting, and this turn has been short so far."""
+        queue = self.queues.get(name)
+        if self.round_robin.waiting or name in self.paused or queue is None:
             return False
         now = self.clock()
-        return now - self.turn.began < SLICE and not part.ceiling.wait(now)
+        return now - self.turn.began < SLICE_NS and not queue.ceiling.wait(now)
 
-    def late(self, more: int) -> bool:
-        """Whether this turn of the reactor has lasted a slice and so much more."""
-        return self.clock() - self.turn.began > SLICE + more
+    def is_late(self, margin: int) -> bool:
+        """Whether this turn of the reactor has lasted longer than a slice and `margin` nanoseconds."""
+        return self.clock() - self.turn.began > SLICE_NS + margin
 
-    def ready(self, name: str, who: str, work: Work) -> None:
-        """It waits until its turn comes."""
-        part, now = self.parts.get(name), self.clock()
-        if part is None:
+    def enqueue(self, name: str, client: str, work: Work) -> None:
+        """Queues work until its turn comes."""
+        queue, now = self.queues.get(name), self.clock()
+        if queue is None:
             return
-        part.ready(now, who, work)
-        if name not in self.held:
-            self.turns.ready(now, name)
-        self._wake()
-
-    def drop(self, name: str, who: str, work: Work) -> None:
-        if name in self.parts:
-            self.parts[name].drop(who, work)
-
-    def timed(self, name: str, what: Callable[[], Any]) -> Any:
-        """Does something of that tenant outside its turns, and charges it."""
+        queue.enqueue(now, client, work)
+        if name not in self.paused:
+            self.round_robin.enqueue(now, name)
+        self._schedule_run()
+
+    def remove(self, name: str, client: str, work: Work) -> None:
+        """Removes work, if it is queued."""
+        if name in self.queues:
+            self.queues[name].remove(client, work)
+
+    def run_charged(self, name: str, action: Callable[[], Any]) -> Any:
+        """Runs an action of the tenant outside its turns and charges the time to the tenant."""
         began = self.clock()
-        found = what()
+        result = action()
         self.charge_since(name, began)
-        return found
+        return result
 
     def charge_since(self, name: str, began: int) -> None:
-        self.charge(name, min(STEP_MOST, self.clock() - began))
+        """Charges the time since `began` to the tenant."""
+        self.charge(name, min(MAX_STEP_CHARGE_NS, self.clock() - began))
 
     def charge(self, name: str, took: int) -> None:
-        part = self.parts.get(name)
-        if part is not None:
+        """Charges `took` nanoseconds outside its turns to the tenant."""
+        queue = self.queues.get(name)
+        if queue is not None:
             now = self.clock()
-            part.spent += took
-            part.ceiling.spent(now, took)
-            self.turns.charge(now, name, took)
+            queue.total_ns += took
+            queue.ceiling.charge(now, took)
+            self.round_robin.charge(now, name, took)
 
-    def _wake(self) -> None:
-        if self.due is None:
-            self.due = self.reactor.callLater(0, self._run)
+    def _schedule_run(self) -> None:
+        if self.scheduled_run is None:
+            self.scheduled_run = self.reactor.callLater(0, self._run)
 
     def _run(self) -> None:
-        self.due = None
+        self.scheduled_run = None
         now = self.clock()
-        end = now + SLICE
-        while now < end and (name := self.turns.next()) is not None:
-            part = self.parts[name]
-            if wait := part.ceiling.wait(now):
-                self._hold(now, name, wait)
+        end = now + SLICE_NS
+        while now < end and (name := self.round_robin.next_turn()) is not None:
+            queue = self.queues[name]
+            if wait := queue.ceiling.wait(now):
+                self._pause(now, name, wait)
                 continue
-            more = part.piece(self.clock)
-            took, now = min(STEP_MOST, self.clock() - now), self.clock()
-            part.spent += took
-            part.ceiling.spent(now, took)
-            self.turns.spent(now, name, took, more)
-        if self.turns.waiting:
-            self._wake()
-
-    def _hold(self, now: int, name: str, wait: int) -> None:
-        self.turns.spent(now, name, 0, False)
-        self.held.add(name)
-        self.reactor.callLater(wait / SECOND, self._release, name)
-
-    def _release(self, name: str) -> None:
-        self.held.discard(name)
-        if name in self.parts and self.parts[name].works:
-            self.turns.ready(self.clock(), name)
-            self._wake()
-
-    def swept(self) -> None:
+            more = queue.run_piece(self.clock)
+            took, now = min(MAX_STEP_CHARGE_NS, self.clock() - now), self.clock()
+            queue.total_ns += took
+            queue.ceiling.charge(now, took)
+            self.round_robin.end_turn(now, name, took, more)
+        if self.round_robin.waiting:
+            self._schedule_run()
+
+    def _pause(self, now: int, name: str, wait: int) -> None:
+        """Suspends a tenant that is over its ceiling."""
+        self.round_robin.end_turn(now, name, 0, False)
+        self.paused.add(name)
+        self.reactor.callLater(wait / SECOND, self._resume, name)
+
+    def _resume(self, name: str) -> None:
+        self.paused.discard(name)
+        if name in self.queues and self.queues[name].work_by_client:
+            self.round_robin.enqueue(self.clock(), name)
+            self._schedule_run()
+
+    def sweep(self) -> None:
+        """Forgets expired debts; called periodically."""
         now = self.clock()
-        self.turns.sweep(now)
-        for part in self.parts.values():
-            part.turns.sweep(now)
+        self.round_robin.expire_debts(now)
+        for queue in self.queues.values():
+            queue.round_robin.expire_debts(now)
--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -10,9 +10,9 @@
 
 from ternquay import model as m
 from ternquay.facts import Names
-from ternquay.hosted.shared.fairness import Dues, Lent
+from ternquay.hosted.shared.fairness import ClientLimiter, SharedCapacity
 from ternquay.hosted.shared.front import CROWDING, TenantFront, TenantListener, TenantSockets
-from ternquay.hosted.shared.scheduler import Loop
+from ternquay.hosted.shared.scheduler import FairScheduler
 from ternquay.hosted.tenants.registry import TenantEntry
 from ternquay.hosted.tenants.shared_hosts import Ledger, Named
 from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Server, State, Tenant
@@ -48,9 +48,9 @@
 
     reactor: Any
     process: ProcessConfig
-    loop: Loop
+    scheduler: FairScheduler
     ledger: Ledger
-    sockets: Lent
+    sockets: SharedCapacity
     difference: Callable[[], int]  # the wall clock less ours
     retell: Callable[[set[str]], None] = lambda names: None
     wait: Callable[[str], int] | None = None  # of a member of a fleet: how long a tenant's new txs are told to wait
@@ -147,18 +147,18 @@
 
     def rawDataReceived(self, data: bytes) -> None:
         assert isinstance(self.pool, TenantPool)
-        loop = self.pool.loop
-        began = loop.clock()
+        scheduler = self.pool.scheduler
+        began = scheduler.clock()
         super().rawDataReceived(data)
-        loop.charge_since(self.pool.name, began)
+        scheduler.charge_since(self.pool.name, began)
 
 
 class TenantPool(Pool):
     connects = TenantConnection
 
-    def __init__(self, loop: Loop, name: str, *terms: Any) -> None:
+    def __init__(self, scheduler: FairScheduler, name: str, *terms: Any) -> None:
         super().__init__(*terms)
-        self.loop, self.name = loop, name
+        self.scheduler, self.name = scheduler, name
 
     def end(self) -> None:
         """Closes all there is, at once."""
@@ -244,13 +244,13 @@
         self.door = TenantDoor(reactor, started_of(common.process, tenant), names_of(tenant, self.zones), self.limits)
         self.door.told, self.door.machine_ended = self._told, self._machine_ended
         self.pool = self.door.pool = TenantPool(
-            common.loop, self.id, reactor, self.door, self.limits, self.sockets, True
+            common.scheduler, self.id, reactor, self.door, self.limits, self.sockets, True
         )
         self.turn = OwnTurn(turn, self.limits.turn_duration)
         self.door.stood_still = self.turn.stood_still
-        self.dues = Dues(tenant.limits.txs_a_second, tenant.limits.burst)
+        self.dues = ClientLimiter(tenant.limits.txs_a_second, tenant.limits.burst)
         self.front = TenantFront(
-            reactor, self.door, self.limits, self.sockets, self.turn, common.loop, self.id, self.dues
+            reactor, self.door, self.limits, self.sockets, self.turn, common.scheduler, self.id, self.dues
         )
         self.front.open_most = tenant.limits.open_txs
         self.front.gate = self._gate
@@ -420,13 +420,13 @@
         return self.door.held + self.front.kept + self.front.queued + self.pool.kept
 
     def use(self) -> dict[str, Any]:
-        part = self.common.loop.parts.get(self.id)
+        queue = self.common.scheduler.queues.get(self.id)
         return {
             "clients": self.sockets.clients,
             "host_connections": self.sockets.hosts,
             "open": len(self.door.txs),
             "held_bytes": self.held(),
-            "cpu_s": round(part.spent / SECOND, 3) if part else 0.0,
+            "cpu_s": round(queue.total_ns / SECOND, 3) if queue else 0.0,
             "servers": len(self.members),
         }
 
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -284,12 +284,12 @@
     waits = net.client()
     waits.feed(mg(1))
     assert waits.protocol.waits and not begun(net)
-    net.tenancy.common.loop.due.cancel()  # its turn does not come for 6 s
+    net.tenancy.common.scheduler.scheduled_run.cancel()  # its turn does not come for 6 s
     for _ in range(6):
         net.reactor.advance(1.0)
         net.front.swept()
         net.take()
     assert half.lost and not waits.lost, net.trace
-    assert not waits.protocol.piece()
+    assert not waits.protocol.run_piece()
     net.run(5)
     assert not waits.lost and "client 1 < b'SERVER_ERROR busy" in net.trace[-1], net.trace  # late, and answered
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -14,8 +14,15 @@
 from ternquay.hosted.administration.openapi import description
 from ternquay.hosted.administration.plan import planned
 from ternquay.hosted.administration.routes import ROUTES
-from ternquay.hosted.shared.fairness import SECOND, Ceiling, Dues, Lent, Part, Turns
-from ternquay.hosted.shared.scheduler import Loop
+from ternquay.hosted.shared.fairness import (
+    SECOND,
+    Allocation,
+    ClientLimiter,
+    DeficitRoundRobin,
+    SharedCapacity,
+    TimeCeiling,
+)
+from ternquay.hosted.shared.scheduler import FairScheduler
 from ternquay.hosted.tenants.documents import TenantDocument, decoded, document_of, plain, read, tenant_of
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.shared_hosts import FAILS, GONE_KEPT, Ledger, Named
@@ -32,7 +39,7 @@
 
 
 def test_a_client_within_its_part_is_never_turned_away_by_one_that_asks_without_end() -> None:
-    dues = Dues(100.0, 20.0)
+    dues = ClientLimiter(100.0, 20.0)
     taken = {"flood": 0, "calm": 0}
     away = 0
     for n in range(10_000):  # ten seconds; the flood asks each millisecond, the other 40 times a second
@@ -46,14 +53,14 @@
 
 
 def test_what_nobody_else_asks_for_is_lent_and_the_wait_that_is_told_is_long_enough() -> None:
-    dues = Dues(100.0, 10.0)
+    dues = ClientLimiter(100.0, 10.0)
     assert sum(dues.take(n * MS, "one") == 0 for n in range(5000)) >= 500
     wait = dues.take(5 * SECOND, "one")
     assert wait > 0 and dues.take(5 * SECOND + wait, "one") == 0
 
 
 def test_the_table_of_clients_has_a_bound_and_who_has_something_open_stays() -> None:
-    dues = Dues(1e6, 1e6, most=50)
+    dues = ClientLimiter(1e6, 1e6, max_clients=50)
     dues.take(0, "first")
     dues.opened("first")
     for n in range(500):
@@ -67,13 +74,13 @@
 
 
 def test_who_has_most_open_crowds_others_but_not_itself_alone() -> None:
-    dues = Dues(1e6, 1e6)
+    dues = ClientLimiter(1e6, 1e6)
     for who, many in (("flood", 200), ("a", 2), ("b", 3)):
         for _ in range(many):
             dues.take(1, who)
             dues.opened(who)
     assert dues.crowds("flood", 8, 1.5) and not dues.crowds("a", 8, 1.5) and not dues.crowds("nobody", 8, 1.5)
-    alone = Dues(1e6, 1e6)
+    alone = ClientLimiter(1e6, 1e6)
     for _ in range(100):
         alone.take(1, "one")
         alone.opened("one")
@@ -81,51 +88,51 @@
 
 
 def test_a_ceiling_holds_over_time_and_tells_how_long_to_pause() -> None:
-    ceiling, now, had = Ceiling(0.25), 0, 0
+    ceiling, now, had = TimeCeiling(0.25), 0, 0
     while now < 10 * SECOND:
         if wait := ceiling.wait(now):
             now += wait
             continue
         now += 3 * MS
         had += 3 * MS
-        ceiling.spent(now, 3 * MS)
+        ceiling.charge(now, 3 * MS)
     assert 0.24 <= had / now <= 0.27
-    assert Ceiling(1.0).wait(0) == 0
+    assert TimeCeiling(1.0).wait(0) == 0
 
 
 def test_time_outside_of_turns_is_charged_only_while_others_wait_and_rounds_pay_it_off() -> None:
-    turns = Turns(MS)
-    turns.settle({"a": 1.0, "b": 1.0})
+    turns = DeficitRoundRobin(MS)
+    turns.set_weights({"a": 1.0, "b": 1.0})
     turns.charge(0, "a", 50 * MS)
-    assert "a" not in turns.left  # nobody waited
-    turns.ready(0, "b")
+    assert "a" not in turns.credit  # nobody waited
+    turns.enqueue(0, "b")
     turns.charge(0, "a", 5 * MS)
-    turns.ready(0, "a")
+    turns.enqueue(0, "a")
     order = []
     for n in range(14):
-        who = turns.next()
+        who = turns.next_turn()
         assert who is not None
         order.append(who)
-        turns.spent(n * MS, who, MS, more=True)
+        turns.end_turn(n * MS, who, MS, more=True)
     assert order[:5] == ["b"] * 5 and order.count("a") >= 4
-    turns.spent(0, "a", 0, more=False)
+    turns.end_turn(0, "a", 0, more=False)
     turns.charge(0, "a", 3 * MS)
     for n in range(10):
-        who = turns.next()
+        who = turns.next_turn()
         assert who == "b"
-        turns.spent(n, who, MS, more=True)
-    assert "a" not in turns.since  # rounds of the other have paid for it
+        turns.end_turn(n, who, MS, more=True)
+    assert "a" not in turns.idle_debt_since  # rounds of the other have paid for it
 
 
 def test_room_that_others_left_is_lent_and_what_is_there_counts_whatever_the_parts_say() -> None:
-    lent = Lent(100, {"a": Part(20, 80), "b": Part(30, 100)})
-    assert (lent.room("a"), lent.room("b"), lent.room("nobody")) == (80, 100, 0)
-    lent.count("a", 75)
-    assert lent.room("b") == 30 and lent.room("a") == 80  # b's own part, and a's most with 25 left
-    lent.count("b", 30)
-    assert lent.owed() == [("a", 5)]
-    lent.count("a", -200)
-    assert lent.total == 30
+    lent = SharedCapacity(100, {"a": Allocation(20, 80), "b": Allocation(30, 100)})
+    assert (lent.current_limit("a"), lent.current_limit("b"), lent.current_limit("nobody")) == (80, 100, 0)
+    lent.adjust("a", 75)
+    assert lent.current_limit("b") == 30 and lent.current_limit("a") == 80  # b's own part, and a's most with 25 left
+    lent.adjust("b", 30)
+    assert lent.reclaimable() == [("a", 5)]
+    lent.adjust("a", -200)
+    assert lent.total_used == 30
 
 
 # ---- machines that several tenants name ----
@@ -442,7 +449,7 @@
         self.at = 0
         self.calls: list[tuple[int, Any, tuple[Any, ...]]] = []
         self.turn = Turn(SECOND)
-        self.loop = Loop(self, self.now, self.turn)
+        self.scheduler = FairScheduler(self, self.now, self.turn)
         self.had: dict[str, int] = {}
 
     def now(self) -> int:
@@ -468,7 +475,7 @@
     def __init__(self, time: Time, name: str, took: int, most: int = 1 << 30) -> None:
         self.time, self.name, self.took, self.most = time, name, took, most
 
-    def piece(self) -> bool:
+    def run_piece(self) -> bool:
         self.time.at += self.took
         self.time.had[self.name] = self.time.had.get(self.name, 0) + self.took
         self.most -= 1
@@ -477,11 +484,11 @@
 
 def test_tenants_that_flood_share_the_loop_by_weight_and_clients_of_one_evenly() -> None:
     time = Time()
-    time.loop.settle({"a": (1.0, 1.0), "b": (3.0, 1.0)})
+    time.scheduler.set_shares({"a": (1.0, 1.0), "b": (3.0, 1.0)})
     for _ in range(50):  # one client with fifty connections, and one with one
-        time.loop.ready("a", "many", Endless(time, "many", MS // 2))
-    time.loop.ready("a", "few", Endless(time, "few", 2 * MS))
-    time.loop.ready("b", "x", Endless(time, "b", MS))
+        time.scheduler.enqueue("a", "many", Endless(time, "many", MS // 2))
+    time.scheduler.enqueue("a", "few", Endless(time, "few", 2 * MS))
+    time.scheduler.enqueue("b", "x", Endless(time, "b", MS))
     time.run(2000)
     whole = sum(time.had.values())
     assert abs(time.had["b"] / whole - 0.75) < 0.02
@@ -490,15 +497,15 @@
 
 def test_one_that_comes_now_and_then_is_read_before_the_floods_next_pieces() -> None:
     time = Time()
-    time.loop.settle({"flood": (1.0, 1.0), "calm": (1.0, 1.0)})
+    time.scheduler.set_shares({"flood": (1.0, 1.0), "calm": (1.0, 1.0)})
     for _ in range(20):
-        time.loop.ready("flood", "f", Endless(time, "flood", 3 * MS))
+        time.scheduler.enqueue("flood", "f", Endless(time, "flood", 3 * MS))
     time.run(50)
     waits = []
     for _ in range(30):
-        assert not time.loop.at_once("calm")  # as others wait, it waits for its turn too
+        assert not time.scheduler.may_run_now("calm")  # as others wait, it waits for its turn too
         began, before = time.now(), time.had.get("calm", 0)
-        time.loop.ready("calm", "c", Endless(time, "calm", MS, most=1))
+        time.scheduler.enqueue("calm", "c", Endless(time, "calm", MS, most=1))
         while time.had.get("calm", 0) == before:
             time.run(1)
         waits.append(time.now() - began)
@@ -510,34 +517,34 @@
 def test_a_process_that_was_stopped_in_a_tenants_turn_charges_it_for_no_more_than_a_step(at_once: bool) -> None:
     """0.8 s in which nothing ran were charged to whoever's turn it was, which then sat out 0.75 s."""
     time = Time()
-    time.loop.settle({"a": (1.0, 0.9), "b": (1.0, 0.9)})
+    time.scheduler.set_shares({"a": (1.0, 0.9), "b": (1.0, 0.9)})
 
     def stopped() -> bool:
         time.at += 800 * MS
         return False
 
     if at_once:
-        time.loop.timed("a", stopped)
+        time.scheduler.run_charged("a", stopped)
     else:
         work = Endless(time, "a", MS)
-        work.piece = stopped  # type: ignore[method-assign]
-        time.loop.ready("a", "x", work)
+        work.run_piece = stopped  # type: ignore[method-assign]
+        time.scheduler.enqueue("a", "x", work)
         time.run(1)
     time.run(1, 40 * MS)
-    assert time.loop.at_once("a")
+    assert time.scheduler.may_run_now("a")
 
 
 def test_a_tenant_at_its_ceiling_pauses_and_what_it_costs_elsewhere_counts() -> None:
     time = Time()
-    time.loop.settle({"a": (1.0, 0.2)})
-    assert time.loop.at_once("a")
-    time.loop.ready("a", "x", Endless(time, "a", MS))
+    time.scheduler.set_shares({"a": (1.0, 0.2)})
+    assert time.scheduler.may_run_now("a")
+    time.scheduler.enqueue("a", "x", Endless(time, "a", MS))
     began = time.now()
     time.run(3000, MS)
     part = time.had["a"] / (time.now() - began)
     assert 0.17 <= part <= 0.22
-    time.loop.charge("a", SECOND)
-    assert not time.loop.at_once("a") and time.loop.parts["a"].spent >= SECOND
+    time.scheduler.charge("a", SECOND)
+    assert not time.scheduler.may_run_now("a") and time.scheduler.queues["a"].total_ns >= SECOND
     before = time.had["a"]
     time.run(10)
     assert time.had["a"] - before <= 2 * MS
@@ -545,36 +552,36 @@
 
 def test_what_is_dropped_while_it_waits_is_not_read_and_a_tenant_that_is_gone_leaves_nothing() -> None:
     time = Time()
-    time.loop.settle({"a": (1.0, 1.0), "b": (1.0, 1.0)})
+    time.scheduler.set_shares({"a": (1.0, 1.0), "b": (1.0, 1.0)})
     work = Endless(time, "dropped", MS)
-    time.loop.ready("a", "x", work)
-    time.loop.drop("a", "x", work)
-    time.loop.drop("a", "x", work)
-    time.loop.ready("b", "y", Endless(time, "b", MS, most=2))
+    time.scheduler.enqueue("a", "x", work)
+    time.scheduler.remove("a", "x", work)
+    time.scheduler.remove("a", "x", work)
+    time.scheduler.enqueue("b", "y", Endless(time, "b", MS, most=2))
     time.run(20)
-    assert time.had == {"b": 2 * MS} and not time.loop.turns.waiting
-    time.loop.ready("b", "y", Endless(time, "gone", MS))
-    time.loop.settle({"a": (1.0, 1.0)})
-    time.loop.ready("b", "y", Endless(time, "gone", MS))
-    time.loop.charge("b", MS)
+    assert time.had == {"b": 2 * MS} and not time.scheduler.round_robin.waiting
+    time.scheduler.enqueue("b", "y", Endless(time, "gone", MS))
+    time.scheduler.set_shares({"a": (1.0, 1.0)})
+    time.scheduler.enqueue("b", "y", Endless(time, "gone", MS))
+    time.scheduler.charge("b", MS)
     time.run(20)
-    assert "gone" not in time.had and set(time.loop.parts) == {"a"} and not time.loop.at_once("b")
+    assert "gone" not in time.had and set(time.scheduler.queues) == {"a"} and not time.scheduler.may_run_now("b")
 
 
 def test_a_work_that_drops_the_others_beside_it_goes_on_alone() -> None:
     time = Time()
-    time.loop.settle({"a": (1.0, 1.0)})
+    time.scheduler.set_shares({"a": (1.0, 1.0)})
     other = Endless(time, "other", MS)
 
     class Dropping(Endless):
-        def piece(self) -> bool:
-            time.loop.drop("a", "x", other)
-            return super().piece()
+        def run_piece(self) -> bool:
+            time.scheduler.remove("a", "x", other)
+            return super().run_piece()
 
-    time.loop.ready("a", "x", Dropping(time, "it", MS, most=5))
-    time.loop.ready("a", "x", other)
+    time.scheduler.enqueue("a", "x", Dropping(time, "it", MS, most=5))
+    time.scheduler.enqueue("a", "x", other)
     time.run(20)
-    assert time.had == {"it": 5 * MS} and not time.loop.parts["a"].works
+    assert time.had == {"it": 5 * MS} and not time.scheduler.queues["a"].work_by_client
 
 
 # ---- a part of a cold host's budget ----
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -205,11 +205,11 @@
     host.begin()
     tenancy = host.runtimes["sur"]
     tenancy.pool._dial(next(iter(tenancy.pool.places.values())))
-    assert host.reactor.tcpClients and host.lent.total == 1
+    assert host.reactor.tcpClients and host.sockets.total_used == 1
     host.change(SetState("sur", State.ENDING))
     host.change(RemoveTenant("sur"))
-    assert not host.runtimes and not host.runtimes_by_id and host.lent.total == 0
-    assert tenancy.id not in host.loop.parts and tenancy.id not in host.common.ledger.lists
+    assert not host.runtimes and not host.runtimes_by_id and host.sockets.total_used == 0
+    assert tenancy.id not in host.scheduler.queues and tenancy.id not in host.common.ledger.lists
     connector = host.reactor.connectors[0]
     assert connector.stoppedConnecting
     over(host)
