--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -256,7 +256,7 @@
         lame = serve_on = leave = flush = 0
         for tenancy in self.runtimes.values():
             limits = tenancy.limits
-            tenancy.door.ends_at = now + limits.last_answer_after
+            tenancy.dispatcher.ends_at = now + limits.last_answer_after
             lame, leave = max(lame, limits.accept_grace), max(leave, limits.stop_after)
             serve_on, flush = max(serve_on, limits.leave_after), max(flush, limits.flush_timeout)
         self.flush = flush
@@ -265,7 +265,7 @@
         self.reactor.callLater(leave / SECOND, self._stop)
 
     def _open(self) -> int:
-        return sum(not tx.answered for tenancy in self.runtimes.values() for tx in tenancy.door.txs.values())
+        return sum(not tx.answered for tenancy in self.runtimes.values() for tx in tenancy.dispatcher.txs.values())
 
     def _close(self) -> None:
         closed = [tenancy.close_ports(not tenancy.front.leaving) for tenancy in self.runtimes.values()]
@@ -350,7 +350,7 @@
                 from ternquay.hosted.fleet.store import FleetStore
 
                 store = member = FleetStore(self.service.store)
-                life = member.begin_life()
+                life = member.begin_boot()
             else:
                 store = Store(self.service.store)
                 if store.belongs_to_fleet():
@@ -365,17 +365,17 @@
         self.keeper = Keeper(self.reactor, Api(self.service.operators), self.host, self.stored, time.time_ns)
         self.host.remove = self.keeper.remove
         if fellows is not None:
-            from ternquay.hosted.fleet.member import Fleet
+            from ternquay.hosted.fleet.member import FleetMember
 
             assert life is not None
-            self.fleet = Fleet(self.reactor, fellows, self.host, self.stored, member, life)
+            self.fleet = FleetMember(self.reactor, fellows, self.host, self.stored, member, life)
             self.keeper.join(self.fleet)
-            self.host.common.wait = self.fleet.wait
+            self.host.common.wait = self.fleet.admission_delay
 
     def begin(self) -> None:
         try:
             if self.fleet is not None:
-                self.fleet.begin()  # before any tenant takes anything
+                self.fleet.start()  # before any tenant takes anything
             self.host.begin()
             if self.service.api is not None:
                 from ternquay.hosted.administration.http import ApiPort
@@ -411,12 +411,12 @@
         if self.keeper is not None:
             self.keeper.end()
         if self.fleet is not None:
-            self.fleet.resign()
+            self.fleet.step_down()
         self.host.end()  # a member votes, and renews its lease, while it finishes what it has
 
     def over(self) -> None:
         if self.fleet is not None:
-            self.fleet.end()
+            self.fleet.stop()
         if self.stored is not None:
             self.stored.end()
 
--- a/ternquay/hosted/service.py
+++ b/ternquay/hosted/service.py
@@ -27,7 +27,7 @@
 from ternquay.hosted.tenants.runtime import ProcessConfig
 from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Key, Scope, Tenant, check_endpoint
 from ternquay.net.launch import descriptors
-from ternquay.peers.frames import KEY_LEAST
+from ternquay.peers.frames import MIN_KEY_BYTES
 
 MS = 1_000_000
 FELLOWS_MOST = 15
@@ -234,8 +234,8 @@
         key = (path.parent / told.key_file).read_bytes().strip()
     except OSError as fault:
         raise InvalidField("peers.key_file", f"{told.key_file}: {fault.strerror}") from fault
-    if len(key) < KEY_LEAST:
-        raise InvalidField("peers.key_file", f"{KEY_LEAST} bytes at least are wanted")
+    if len(key) < MIN_KEY_BYTES:
+        raise InvalidField("peers.key_file", f"{MIN_KEY_BYTES} bytes at least are wanted")
     return key
 
 
--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -13,7 +13,7 @@
 from ternquay.hosted.shared.scheduler import PIECE_NS, FairScheduler
 from ternquay.net import meta
 from ternquay.net.client import ClientConnection, Owed
-from ternquay.net.door import Door
+from ternquay.net.dispatcher import Dispatcher
 from ternquay.net.front import Front
 from ternquay.net.limits import Limits
 from ternquay.net.listener import Listener
@@ -42,13 +42,13 @@
     def room(self) -> int:
         return min(self.limits.sockets, self.shared.current_limit(self.name))
 
-    def client_came(self) -> bool:
+    def client_opened(self) -> bool:
         self.shared.adjust(self.name, 1)
-        return super().client_came()
+        return super().client_opened()
 
-    def client_left(self) -> None:
+    def client_closed(self) -> None:
         self.shared.adjust(self.name, -1)
-        super().client_left()
+        super().client_closed()
 
     def host_opened(self) -> None:
         self.shared.adjust(self.name, 1)
@@ -58,8 +58,8 @@
         self.shared.adjust(self.name, -1)
         super().host_closed()
 
-    def may_open(self) -> bool:
-        return self.hosts < self.hosts_most and super().may_open()
+    def may_open_host(self) -> bool:
+        return self.hosts < self.hosts_most and super().may_open_host()
 
 
 class TenantClient(ClientConnection):
@@ -71,7 +71,7 @@
         super().__init__(front)
         self.address = ""
         self.open = 0  # transactions
-        self.waits = self.unreading = self.stuck = False
+        self.waits = self.reading_paused = self.stuck = False
         self.unread_since = 0  # since when the oldest that is not read may be here
         self.paused_at = 0
         self.waits_since = 0  # for its turn to be read
@@ -108,7 +108,7 @@
         self.front.scheduler.enqueue(self.front.name, self.address, self)
 
     def _await_turn(self) -> None:
-        self.waits, self.waits_since = True, self.front.door.now()
+        self.waits, self.waits_since = True, self.front.dispatcher.now()
 
     def held_by_us(self) -> bool:
         return self.waits or self.stuck or super().held_by_us()
@@ -119,8 +119,8 @@
         return not held and super().stalled()
 
     def hold_back(self) -> None:
-        if not self.unreading and not self.ended and (len(self.machine.buffer) > BACKLOG or self.stuck):
-            self.unreading, self.paused_at = True, self.front.door.now()
+        if not self.reading_paused and not self.ended and (len(self.machine.buffer) > BACKLOG or self.stuck):
+            self.reading_paused, self.paused_at = True, self.front.dispatcher.now()
             self.transport.pauseProducing()
 
     def lay_unread(self, goes_on: bool) -> int:
@@ -131,7 +131,7 @@
         self.turn_wait = 0
         if self.waits:
             self.waits = False
-            self.turn_wait = self.front.door.now() - self.waits_since
+            self.turn_wait = self.front.dispatcher.now() - self.waits_since
             self.deadline.extend(self.turn_wait)
         if self.ended or self.closing:
             return False
@@ -158,8 +158,8 @@
     def read_all(self) -> None:
         """All that is whole was read. What lies in the system's buffer may be as old as this pause."""
         self.unread_since = 0
-        if self.unreading:
-            self.unreading = False
+        if self.reading_paused:
+            self.reading_paused = False
             self.unread_since = self.paused_at
             self.transport.resumeProducing()
 
@@ -178,7 +178,7 @@
     def arrives(self, command: meta.Command, owed: Owed, unread: int) -> None:
         if self.front.full(self):
             self.front.safety.refuses(RefuseReason.SHARE, owed.id)
-            owed.roll_back(self.front.door.about(self.front.limits.retry_after))
+            owed.roll_back(self.front.dispatcher.about(self.front.limits.retry_after))
             return
         owed.counted = True
         self.open += 1
@@ -201,7 +201,7 @@
     def __init__(
         self,
         reactor: Any,
-        door: Door,
+        dispatcher: Dispatcher,
         limits: Limits,
         sockets: Sockets,
         turn: Turn,
@@ -209,7 +209,7 @@
         name: str,
         dues: ClientLimiter,
     ) -> None:
-        super().__init__(reactor, door, limits, sockets, turn)
+        super().__init__(reactor, dispatcher, limits, sockets, turn)
         self.scheduler, self.name, self.dues = scheduler, name, dues
         self.by_address: dict[str, dict[TenantClient, None]] = {}
         self.shut = self.open_most = self.busy_clients = 0
@@ -268,7 +268,7 @@
             if closed < most:
                 if client in self.resting:
                     closed += self.close_resting(client)
-                elif client.untouched():
+                elif client.nothing_unread():
                     self.drop(client, CloseReason.NO_REQUEST)
                     closed += 1
         return closed
@@ -298,7 +298,7 @@
     def over(self, client: TenantClient) -> int:
         """Nought, or how long its next command is told to wait, without being read."""
         shut = self.shut or (self.fenced() if self.fenced is not None else 0)
-        return self.door.about(shut) or self.dues.take(self.door.now(), client.address)
+        return self.dispatcher.about(shut) or self.dues.take(self.dispatcher.now(), client.address)
 
     def full(self, client: TenantClient) -> bool:
         """Whether the tenant has as many open as it may, and this client its part of them."""
