--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -121,7 +121,7 @@
 
 class Dispatcher:
     def __init__(
-        self, clock: Clock, start: m.Started, names: Names, limits: Limits, decisions: type[Balancer] = Balancer
+        self, clock: Clock, start: m.Config, names: Names, limits: Limits, decisions: type[Balancer] = Balancer
     ) -> None:
         self.clock, self.names, self.limits = clock, names, limits
         self.start = start
@@ -129,7 +129,7 @@
         self.safety = Safety(self.now, self.tell)
         self.balancer = decisions(start)
         self.timer: DelayedCall | None = None  # the decisions' one
-        self.draw = Random(f"{start.seed}.{start.number}")
+        self.draw = Random(f"{start.seed}.{start.balancer_index}")
         self.pool: HopTransport
         self.stood_still: Callable[[int], bool] = lambda now: False
         self.watch: Callable[[], None] = lambda: None
@@ -187,13 +187,13 @@
                     self._failed(action)
         if failed and isinstance(event, m.TxArrived):
             self._abandon(event.tx)
-            self.events.append(m.TxGone(event.tx))
+            self.events.append(m.ClientGone(event.tx))
 
     def _failed(self, a: m.SendHop) -> None:
         """A hop that could not be sent has ended, as far as anything of it is out."""
         tx = self.txs.get(a.tx)
         if tx is not None and tx.hops and not tx.hops[-1].ended:
-            self.hop_ended(tx.hops[-1], m.End.RESET if tx.hops[-1].written else m.End.SKIPPED)
+            self.hop_ended(tx.hops[-1], m.HopOutcome.RESET if tx.hops[-1].written else m.HopOutcome.SKIPPED)
 
     def _act(self, a: m.Action) -> None:
         if isinstance(a, m.SendHop):
@@ -213,7 +213,7 @@
         elif isinstance(a, m.CancelHop):
             tx = self.txs.get(a.tx)
             if tx is not None and not tx.hops[a.hop].ended:
-                self._give_up(tx.hops[a.hop], m.End.CANCELLED)
+                self._give_up(tx.hops[a.hop], m.HopOutcome.CANCELLED)
         else:
             self.watch()
 
@@ -268,7 +268,7 @@
             if not hop.ended:
                 hop.sent, hop.not_past = now, hop.not_past + now - tx.came
                 self._time(hop)
-        self.happened(m.TxWhole(tx.id))
+        self.happened(m.TxFullyReceived(tx.id))
 
     def gone(self, number: int) -> None:
         """The client has gone away: no answer is owed any more."""
@@ -278,14 +278,14 @@
             if not tx.whole:
                 # The rest of it never comes, whatever may be cancelled: what is half written is cut off.
                 for hop in [hop for hop in tx.hops if not hop.ended]:
-                    self._give_up(hop, m.End.CANCELLED)
-            self.happened(m.TxGone(number))
+                    self._give_up(hop, m.HopOutcome.CANCELLED)
+            self.happened(m.ClientGone(number))
 
     def _overdue(self, tx: OpenTx) -> None:
         if not tx.answered:
             self.tell("ERROR", "a transaction was not answered by its hard limit")
             self._abandon(tx.id)
-            self.happened(m.TxGone(tx.id))
+            self.happened(m.ClientGone(tx.id))
 
     def _abandon(self, number: int) -> None:
         tx = self.txs.get(number)
@@ -306,11 +306,11 @@
         tx, now = self.txs.get(a.tx), self.now()
         if tx is None:
             return
-        hop = OutgoingHop(tx, len(tx.hops), a.host, now, a.not_past, a.begin_by)
+        hop = OutgoingHop(tx, len(tx.hops), a.host, now, a.deadline, a.begin_by)
         tx.hops.append(hop)
         tx.out += 1
-        if tx.answered or hop.number >= self.start.most_hops or a.not_past <= now:
-            self.hop_ended(hop, m.End.SKIPPED)
+        if tx.answered or hop.number >= self.start.max_hops or a.deadline <= now:
+            self.hop_ended(hop, m.HopOutcome.SKIPPED)
             return
         if tx.whole:
             self._time(hop)
@@ -354,27 +354,27 @@
         return False
 
     def _time(self, hop: OutgoingHop) -> None:
-        hop.call = self.later(hop.not_past + 1000, self._give_up, hop, m.End.TIMED_OUT)
+        hop.call = self.later(hop.not_past + 1000, self._give_up, hop, m.HopOutcome.TIMED_OUT)
 
-    def _give_up(self, hop: OutgoingHop, end: m.End) -> None:
+    def _give_up(self, hop: OutgoingHop, end: m.HopOutcome) -> None:
         hop.ended = True
         self.pool.give_up(hop)
         if not hop.written:
             # It has provably not run, whatever kept it; that its client went tells nothing of the cache host.
-            end = m.End.SKIPPED if end is m.End.CANCELLED else m.End.UNREACHABLE
+            end = m.HopOutcome.SKIPPED if end is m.HopOutcome.CANCELLED else m.HopOutcome.UNREACHABLE
         self._ended(hop, end)
 
-    def hop_ended(self, hop: OutgoingHop, end: m.End, answer: Any = None, note: int = 0) -> None:
+    def hop_ended(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
         """From the pool; what comes after the end, as a late answer, is dropped."""
         if not hop.ended:
             hop.ended = True
             self._ended(hop, end, answer, note)
 
-    def _ended(self, hop: OutgoingHop, end: m.End, answer: Any = None, note: int = 0) -> None:
+    def _ended(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
         cancel_call(hop.call)
         tx = hop.tx
         tx.out -= 1
-        if end is m.End.DONE and not tx.answered:
+        if end is m.HopOutcome.DONE and not tx.answered:
             self._answered(tx)
             tx.requester.commit(answer)
         else:
@@ -386,24 +386,24 @@
 
     # ---- figures and the list ----
 
-    def refigured(self, start: m.Started, names: Names, limits: Limits) -> None:
+    def refigured(self, start: m.Config, names: Names, limits: Limits) -> None:
         """Other profiles, rules or limits from now on; what is open ends by those that it was taken with."""
         self.start, self.names, self.limits = start, names, limits
         self.happened(start)
 
     def list_told(self, whole: bool, members: tuple[Member, ...]) -> None:
-        doubted: tuple[m.Listed, ...] = ()
-        if self.start.gone_is_advice:
+        doubted: tuple[m.ListedHost, ...] = ()
+        if self.start.gone_is_advisory:
             members, doubted = self._advised(whole, members)
             whole = False
-        gone = {member.id for member in members if member.standing is m.Standing.GONE} & self.hosts.keys()
+        gone = {member.id for member in members if member.standing is m.HostStatus.GONE} & self.hosts.keys()
         if whole:
             gone |= self.hosts.keys() - {member.id for member in members}
         # One that is gone and never was known here is nobody's: ids are ever new, and would be kept for ever.
-        members = tuple(x for x in members if x.standing is not m.Standing.GONE or x.id in gone)
+        members = tuple(x for x in members if x.standing is not m.HostStatus.GONE or x.id in gone)
         lines = tuple(self._line(member) for member in members)
         for line, member in zip(lines, members, strict=True):
-            self.pool.listed(line.host, member.where, line.standing is m.Standing.READY)
+            self.pool.listed(line.host, member.where, line.status is m.HostStatus.READY)
         if whole:
             self.members = {}
         self.members.update((member.id, member) for member in members)
@@ -425,12 +425,12 @@
             if self.crowded:
                 logger.warning("more cache hosts than sockets for them: {} and {}", len(self.hosts), room)
 
-    def _advised(self, whole: bool, members: tuple[Member, ...]) -> tuple[tuple[Member, ...], tuple[m.Listed, ...]]:
+    def _advised(self, whole: bool, members: tuple[Member, ...]) -> tuple[tuple[Member, ...], tuple[m.ListedHost, ...]]:
         """Where gone is advice: what the list names, and lines for what it lacks or calls gone.
 
         The decisions are told of those; here they stay as they are, and can be reached, until they are forgotten.
         """
-        named = {x.id for x in members if x.standing is not m.Standing.GONE}
+        named = {x.id for x in members if x.standing is not m.HostStatus.GONE}
         lacks = ({x.id for x in members} - named) & self.hosts.keys() | (self.hosts.keys() - named if whole else set())
         for name in named:
             self.doubted.pop(name, None)
@@ -438,7 +438,7 @@
             self.later(self.now() + FORGET + SECOND, self._forget)
         for name in lacks:
             self.doubted.setdefault(name, self.now())
-        lines = tuple(replace(self._line(self.members[name]), standing=m.Standing.GONE) for name in sorted(lacks))
+        lines = tuple(replace(self._line(self.members[name]), status=m.HostStatus.GONE) for name in sorted(lacks))
         return tuple(x for x in members if x.id in named), lines
 
     def _forget(self) -> None:
@@ -456,19 +456,19 @@
             self.part = part
             self.list_told(True, tuple(self.members.values()))
 
-    def _line(self, member: Member) -> m.Listed:
+    def _line(self, member: Member) -> m.ListedHost:
         # The id stands for the host: it is the same at every balancer, where the address may differ.
         if member.id not in self.hosts:
             self.hosts[member.id] = self.next_host
             self.next_host += 1
-        return m.Listed(
+        return m.ListedHost(
             host=self.hosts[member.id],
             address=member.id,
             zone=self.names.zones.get(member.zone, -1),
             kind=self.names.kinds.get(member.kind, -1),
             cell=member.cell,
-            standing=member.standing,
-            hint=member.hint,
-            since=member.since,
-            part=member.part * self.part,
+            status=member.standing,
+            weight=member.hint,
+            started_at=member.since,
+            cold_fraction=member.part * self.part,
         )
