--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -26,7 +26,7 @@
     VersionConflict,
 )
 from ternquay.hosted.tenants.runtime import PreparedListeners, ProcessResources, TenantRuntime, bound
-from ternquay.hosted.tenants.shared_hosts import Ledger
+from ternquay.hosted.tenants.shared_hosts import SharedHostTable
 from ternquay.hosted.tenants.tenant import Guarantee, InvalidField, State, Tenant
 from ternquay.net import library_log
 from ternquay.net.closing import once_paid
@@ -55,7 +55,7 @@
             reactor,
             service.process,
             self.scheduler,
-            Ledger(),
+            SharedHostTable(),
             self.sockets,
             lambda: time.time_ns() - int(reactor.seconds() * SECOND),
             self._retell,
@@ -169,7 +169,7 @@
             allocations[tenancy.id] = share_of(limits.sockets, self.sockets.capacity)
         self.scheduler.set_shares(parts)
         self.sockets.set_allocations(allocations)
-        self._retell(self.common.ledger.settle(weights))
+        self._retell(self.common.shared_hosts.set_weights(weights))
 
     def _retell(self, ids: set[str]) -> None:
         """Lists that are others by what other tenants' lists say; told in a turn of their own, once each."""
@@ -188,7 +188,7 @@
     def _sweep(self) -> None:
         self.reactor.callLater(SWEEP / SECOND, self._sweep)
         self.scheduler.sweep()
-        self._retell(self.common.ledger.due(int(self.reactor.seconds() * SECOND)))
+        self._retell(self.common.shared_hosts.expire(int(self.reactor.seconds() * SECOND)))
         for tenancy in list(self.runtimes.values()):
             tenancy.swept()
             name = tenancy.entry.tenant.name
--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -14,7 +14,7 @@
 from ternquay.hosted.shared.front import CROWDING, TenantFront, TenantListener, TenantSockets
 from ternquay.hosted.shared.scheduler import FairScheduler
 from ternquay.hosted.tenants.registry import TenantEntry
-from ternquay.hosted.tenants.shared_hosts import Ledger, Named
+from ternquay.hosted.tenants.shared_hosts import ListEntry, SharedHostTable
 from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Server, State, Tenant
 from ternquay.net.closing import all_accepted
 from ternquay.net.discovery import Discovery
@@ -49,7 +49,7 @@
     reactor: Any
     process: ProcessConfig
     scheduler: FairScheduler
-    ledger: Ledger
+    shared_hosts: SharedHostTable
     sockets: SharedCapacity
     difference: Callable[[], int]  # the wall clock less ours
     retell: Callable[[set[str]], None] = lambda names: None
@@ -347,7 +347,7 @@
         for client in list(self.front.all):
             self.front.drop(client, CloseReason.REMOVED)
         self.pool.end()
-        self.common.retell(self.common.ledger.left(self.dispatcher.now(), self.id))
+        self.common.retell(self.common.shared_hosts.remove_tenant(self.dispatcher.now(), self.id))
 
     # ---- its cache hosts ----
 
@@ -385,9 +385,11 @@
         # Where two lines have one place, the machine there is the one that is still listed.
         self.members = {id: member for id, member in kept.items() if id not in gone}
         taken = {_place(member.where) for member in self.members.values()}
-        named = {id: Named(_place(member.where), member.standing, member.since) for id, member in self.members.items()}
+        named = {
+            id: ListEntry(_place(member.where), member.standing, member.since) for id, member in self.members.items()
+        }
         source = self.entry.tenant.source is not None
-        told = self.common.ledger.told(
+        told = self.common.shared_hosts.update_list(
             self.dispatcher.now(), self.id, named, [place for place in places if source and place not in taken]
         )
         self.settle()
@@ -395,17 +397,21 @@
 
     def settle(self) -> None:
         """Its list as the ledger has it goes to the decisions."""
-        lines = self.common.ledger.lines(self.dispatcher.now(), self.id)
+        lines = self.common.shared_hosts.views(self.dispatcher.now(), self.id)
         members = tuple(
             replace(
-                member, standing=lines[id].standing, since=lines[id].since, part=lines[id].part, zone=member.zone or id
+                member,
+                standing=lines[id].status,
+                since=lines[id].started_at,
+                part=lines[id].cold_fraction,
+                zone=member.zone or id,
             )
             for id, member in self.members.items()
         )
-        self.dispatcher.settled(members, {id: line.place for id, line in lines.items() if line.shared})
+        self.dispatcher.settled(members, {id: line.endpoint for id, line in lines.items() if line.shared})
 
     def _machine_ended(self, place: Endpoint, end: m.HopOutcome) -> None:
-        told = self.common.ledger.ended(self.dispatcher.now(), place, end)
+        told = self.common.shared_hosts.hop_ended(self.dispatcher.now(), place, end)
         if told:
             self.common.retell(told)
 
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -25,7 +25,7 @@
 from ternquay.hosted.shared.scheduler import FairScheduler
 from ternquay.hosted.tenants.documents import TenantDocument, decoded, document_of, plain, read, tenant_of
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
-from ternquay.hosted.tenants.shared_hosts import FAILS, GONE_KEPT, Ledger, Named
+from ternquay.hosted.tenants.shared_hosts import FAILURES_TO_EJECT, GONE_RETENTION_NS, ListEntry, SharedHostTable
 from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, InvalidField, Key, Scope
 from ternquay.net.turn import Turn
 from tests.helper import START, T0
@@ -138,59 +138,74 @@
 # ---- machines that several tenants name ----
 
 
-PLACE, OTHER = Endpoint("10.0.0.1", 80), Endpoint("10.0.0.2", 80)
+ENDPOINT, OTHER = Endpoint("10.0.0.1", 80), Endpoint("10.0.0.2", 80)
 
 
-def named(place: Endpoint = PLACE, standing: m.HostStatus = m.HostStatus.READY, since: int = 0) -> Named:
-    return Named(place, standing, since)
+def entry(endpoint: Endpoint = ENDPOINT, status: m.HostStatus = m.HostStatus.READY, started_at: int = 0) -> ListEntry:
+    return ListEntry(endpoint, status, started_at)
 
 
 def test_one_machine_of_two_tenants_has_one_budget_one_start_and_one_drain() -> None:
-    ledger = Ledger({"a": 1.0, "b": 3.0})
-    assert ledger.told(0, "a", {"x": named()}) == {"a"}
-    assert ledger.lines(0, "a")["x"].part == 1.0 and not ledger.lines(0, "a")["x"].shared
-    assert ledger.told(0, "b", {"y": named(since=50), "z": named(OTHER)}) == {"a", "b"}
-    a, b = ledger.lines(0, "a")["x"], ledger.lines(0, "b")["y"]
-    assert (a.part, b.part, a.since, a.shared) == (0.25, 0.75, 50, True) and ledger.lines(0, "b")["z"].part == 1.0
-    assert ledger.told(0, "b", {"y": named(standing=m.HostStatus.DRAINING, since=50), "z": named(OTHER)}) == {"a", "b"}
-    assert ledger.lines(0, "a")["x"].standing is m.HostStatus.DRAINING
-    assert ledger.left(0, "b") == {"a"}
-    assert ledger.lines(0, "a")["x"] == replace(a, part=1.0, since=0, shared=False)
-    assert ledger.left(0, "a") == set() and not ledger.machines and not ledger.lists
+    table = SharedHostTable({"a": 1.0, "b": 3.0})
+    assert table.update_list(0, "a", {"x": entry()}) == {"a"}
+    assert table.views(0, "a")["x"].cold_fraction == 1.0 and not table.views(0, "a")["x"].shared
+    assert table.update_list(0, "b", {"y": entry(started_at=50), "z": entry(OTHER)}) == {"a", "b"}
+    a, b = table.views(0, "a")["x"], table.views(0, "b")["y"]
+    assert (a.cold_fraction, b.cold_fraction, a.started_at, a.shared) == (0.25, 0.75, 50, True) and table.views(0, "b")[
+        "z"
+    ].cold_fraction == 1.0
+    assert table.update_list(0, "b", {"y": entry(status=m.HostStatus.DRAINING, started_at=50), "z": entry(OTHER)}) == {
+        "a",
+        "b",
+    }
+    assert table.views(0, "a")["x"].status is m.HostStatus.DRAINING
+    assert table.remove_tenant(0, "b") == {"a"}
+    assert table.views(0, "a")["x"] == replace(a, cold_fraction=1.0, started_at=0, shared=False)
+    assert table.remove_tenant(0, "a") == set() and not table.hosts and not table.lists
 
 
 def test_a_machine_that_one_tenants_source_calls_gone_gets_nothing_of_another() -> None:
-    ledger = Ledger()
-    ledger.told(0, "a", {"x": named()})
-    ledger.told(0, "b", {"y": named()})
-    assert ledger.told(5, "a", {}, [PLACE]) == {"a", "b"}
-    assert ledger.lines(5, "b")["y"].standing is m.HostStatus.DRAINING
-    assert ledger.due(5 + GONE_KEPT) == {"b"} and ledger.lines(5 + GONE_KEPT, "b")["y"].standing is m.HostStatus.READY
-    ledger.told(9, "a", {"x": named()})
-    ledger.told(9, "a", {}, [PLACE])
-    ledger.told(9, "b", {"y": named(since=7)})  # another start of it: that is another machine
-    assert ledger.lines(9, "b")["y"].standing is m.HostStatus.READY
+    table = SharedHostTable()
+    table.update_list(0, "a", {"x": entry()})
+    table.update_list(0, "b", {"y": entry()})
+    assert table.update_list(5, "a", {}, [ENDPOINT]) == {"a", "b"}
+    assert table.views(5, "b")["y"].status is m.HostStatus.DRAINING
+    assert (
+        table.expire(5 + GONE_RETENTION_NS) == {"b"}
+        and table.views(5 + GONE_RETENTION_NS, "b")["y"].status is m.HostStatus.READY
+    )
+    table.update_list(9, "a", {"x": entry()})
+    table.update_list(9, "a", {}, [ENDPOINT])
+    table.update_list(9, "b", {"y": entry(started_at=7)})  # another start of it: that is another machine
+    assert table.views(9, "b")["y"].status is m.HostStatus.READY
 
 
 def test_a_machine_that_answers_nobody_rests_for_all_and_one_that_answers_any_does_not() -> None:
-    ledger = Ledger()
-    ledger.told(0, "a", {"x": named()})
-    assert not any(ledger.ended(n, PLACE, m.HopOutcome.RESET) for n in range(20))  # one tenant's own judges its health
-    ledger.told(0, "b", {"y": named()})
-    for n in range(FAILS - 1):
-        assert not ledger.ended(n, PLACE, m.HopOutcome.TIMED_OUT)
-    assert not ledger.ended(5, PLACE, m.HopOutcome.DONE)
-    for n in range(FAILS - 1):
-        assert not ledger.ended(n, PLACE, (m.HopOutcome.RESET, m.HopOutcome.UNREACHABLE, m.HopOutcome.TIMED_OUT)[n])
-    assert ledger.ended(10, PLACE, m.HopOutcome.CANCELLED) == set()
-    assert ledger.ended(10, PLACE, m.HopOutcome.RESET) == {"a", "b"}
-    assert ledger.lines(11, "a")["x"].standing is ledger.lines(11, "b")["y"].standing is m.HostStatus.DRAINING
-    assert ledger.due(SECOND) == set() and ledger.due(SECOND + 10) == {"a", "b"}
-    assert ledger.lines(SECOND + 10, "a")["x"].standing is m.HostStatus.READY
-    ledger.ended(SECOND + 20, PLACE, m.HopOutcome.RESET)
-    assert ledger.ended(SECOND + 30, PLACE, m.HopOutcome.RESET) == {"a", "b"}  # sooner after a rest, and for longer
-    assert ledger.due(3 * SECOND) == set() and ledger.due(3 * SECOND + 30) == {"a", "b"}
-    assert ledger.ended(0, OTHER, m.HopOutcome.RESET) == set()
+    table = SharedHostTable()
+    table.update_list(0, "a", {"x": entry()})
+    assert not any(
+        table.hop_ended(n, ENDPOINT, m.HopOutcome.RESET) for n in range(20)
+    )  # one tenant's own judges its health
+    table.update_list(0, "b", {"y": entry()})
+    for n in range(FAILURES_TO_EJECT - 1):
+        assert not table.hop_ended(n, ENDPOINT, m.HopOutcome.TIMED_OUT)
+    assert not table.hop_ended(5, ENDPOINT, m.HopOutcome.DONE)
+    for n in range(FAILURES_TO_EJECT - 1):
+        assert not table.hop_ended(
+            n, ENDPOINT, (m.HopOutcome.RESET, m.HopOutcome.UNREACHABLE, m.HopOutcome.TIMED_OUT)[n]
+        )
+    assert table.hop_ended(10, ENDPOINT, m.HopOutcome.CANCELLED) == set()
+    assert table.hop_ended(10, ENDPOINT, m.HopOutcome.RESET) == {"a", "b"}
+    assert table.views(11, "a")["x"].status is table.views(11, "b")["y"].status is m.HostStatus.DRAINING
+    assert table.expire(SECOND) == set() and table.expire(SECOND + 10) == {"a", "b"}
+    assert table.views(SECOND + 10, "a")["x"].status is m.HostStatus.READY
+    table.hop_ended(SECOND + 20, ENDPOINT, m.HopOutcome.RESET)
+    assert table.hop_ended(SECOND + 30, ENDPOINT, m.HopOutcome.RESET) == {
+        "a",
+        "b",
+    }  # sooner after a rest, and for longer
+    assert table.expire(3 * SECOND) == set() and table.expire(3 * SECOND + 30) == {"a", "b"}
+    assert table.hop_ended(0, OTHER, m.HopOutcome.RESET) == set()
 
 
 # ---- documents ----
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -209,7 +209,7 @@
     host.change(SetState("sur", State.ENDING))
     host.change(RemoveTenant("sur"))
     assert not host.runtimes and not host.runtimes_by_id and host.sockets.total_used == 0
-    assert tenancy.id not in host.scheduler.queues and tenancy.id not in host.common.ledger.lists
+    assert tenancy.id not in host.scheduler.queues and tenancy.id not in host.common.shared_hosts.lists
     connector = host.reactor.connectors[0]
     assert connector.stoppedConnecting
     over(host)
