--- a/ternquay/hosted/shared/scheduler.py
+++ b/ternquay/hosted/shared/scheduler.py
@@ -11,7 +11,7 @@
 
 from ternquay.hosted.shared.fairness import DeficitRoundRobin, TimeCeiling
 from ternquay.net.limits import MS, SECOND
-from ternquay.net.turn import Turn
+from ternquay.net.loop_timing import LoopTiming
 
 TENANT_QUANTUM_NS = MS
 CLIENT_QUANTUM_NS = MS // 2
@@ -77,11 +77,11 @@
 class FairScheduler:
     """Divides the event loop's time among tenants.
 
-    Times are whole nanoseconds on `clock`; `turn` knows when the current turn of the reactor began.
+    Times are whole nanoseconds on `clock`; `loop_timing` knows when the current turn of the reactor began.
     """
 
-    def __init__(self, reactor: Any, clock: Callable[[], int], turn: Turn) -> None:
-        self.reactor, self.clock, self.turn = reactor, clock, turn
+    def __init__(self, reactor: Any, clock: Callable[[], int], loop_timing: LoopTiming) -> None:
+        self.reactor, self.clock, self.loop_timing = reactor, clock, loop_timing
         self.round_robin = DeficitRoundRobin(TENANT_QUANTUM_NS)
         self.queues: dict[str, TenantQueue] = {}
         self.paused: set[str] = set()  # tenants that are over their ceilings
@@ -105,11 +105,11 @@
         if self.round_robin.waiting or name in self.paused or queue is None:
             return False
         now = self.clock()
-        return now - self.turn.began < SLICE_NS and not queue.ceiling.wait(now)
+        return now - self.loop_timing.began < SLICE_NS and not queue.ceiling.wait(now)
 
     def is_late(self, margin: int) -> bool:
         """Whether this turn of the reactor has lasted longer than a slice and `margin` nanoseconds."""
-        return self.clock() - self.turn.began > SLICE_NS + margin
+        return self.clock() - self.loop_timing.began > SLICE_NS + margin
 
     def enqueue(self, name: str, client: str, work: Work) -> None:
         """Queues work until its turn comes."""
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -27,7 +27,7 @@
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.shared_hosts import FAILURES_TO_EJECT, GONE_RETENTION_NS, ListEntry, SharedHostTable
 from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, InvalidField, Key, Scope
-from ternquay.net.turn import Turn
+from ternquay.net.loop_timing import LoopTiming
 from tests.helper import START, T0
 from tests.hosted_helper import document
 from tests.test_registry import LIMITS, made, tenant
@@ -463,8 +463,8 @@
     def __init__(self) -> None:
         self.at = 0
         self.calls: list[tuple[int, Any, tuple[Any, ...]]] = []
-        self.turn = Turn(SECOND)
-        self.scheduler = FairScheduler(self, self.now, self.turn)
+        self.loop_timing = LoopTiming(SECOND)
+        self.scheduler = FairScheduler(self, self.now, self.loop_timing)
         self.had: dict[str, int] = {}
 
     def now(self) -> int:
@@ -477,7 +477,7 @@
     def run(self, turns: int, pause: int = 0) -> None:
         for _ in range(turns):
             self.at += pause
-            self.turn.begins(self.at)
+            self.loop_timing.begins(self.at)
             due = [call for call in self.calls if call[0] <= self.at]
             self.calls = [call for call in self.calls if call[0] > self.at]
             for _, what, terms in due:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,9 +18,9 @@
 from ternquay.net.discovery import Discovery
 from ternquay.net.launch import LaunchError, read_launch
 from ternquay.net.listing import Address, ToldWrong
+from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.serve import Service
 from ternquay.net.start_times import StartTimes
-from ternquay.net.turn import Turn
 from tests.helper import FACTS, Net, Wire, member
 
 
@@ -178,7 +178,7 @@
 
 def test_at_the_limit_idle_sockets_go_first_and_then_work_is_turned_away() -> None:
     net = Net(limits={"sockets": 4, "clients": 2, "spare": 1})
-    net.front.gate = lambda accept: net.say("accepts on" if accept else "accepts no more")
+    net.frontend.gate = lambda accept: net.say("accepts on" if accept else "accepts no more")
     first, second = net.client(), net.client()
     first.feed(mg(1))
     net.accept().feed(va(1))
@@ -196,7 +196,7 @@
     assert fourth.lost
     fifth = net.client()
     net.run(1300)  # silent for so long that it is closed for the next one
-    net.front.shed()
+    net.frontend.shed()
     net.take()
     assert fifth.lost
     net.matches("net_full")
@@ -235,7 +235,7 @@
     client.feed(mg(1))
     net.accept().feed(va(1, b"x" * 65536))
     net.run(5500)
-    assert client.lost and not net.front.queued
+    assert client.lost and not net.frontend.queued
     many = net.client()
     many.take = lambda: None  # type: ignore[method-assign]
     for number in range(2, 8):
@@ -244,7 +244,7 @@
             net.accept()
         hosts = [w for w in net.wires if w.name.startswith("host") and not w.lost]
         hosts[-1].feed(va(number, b"x" * 65536)) if not many.lost else None
-    assert many.lost and not net.front.queued
+    assert many.lost and not net.frontend.queued
 
 
 def test_half_a_command_does_not_hold_its_place_for_ever() -> None:
@@ -254,7 +254,7 @@
     big.feed(b"ms k 2000 O1 Pc=once,d=9\r\n" + b"x" * 1500)
     assert big.lost and not slow.lost
     net.run(5500)
-    assert slow.lost and not net.front.kept
+    assert slow.lost and not net.frontend.kept
 
 
 def test_more_held_than_there_is_room_for_is_turned_away() -> None:
@@ -362,7 +362,7 @@
         host.feed(va(10 + number))
         net.run(100)
     assert [client.lost for client in clients] == [False, True, True, False]
-    assert len(net.front.asked) == len(net.front.resting) == 2
+    assert len(net.frontend.asked) == len(net.frontend.resting) == 2
 
 
 def test_an_unreadable_list_changes_nothing() -> None:
@@ -530,7 +530,7 @@
     net = Net()
     reactor = net.reactor
     service = Service(reactor, read_launch(str(path), {}))
-    net.front, net.dispatcher = service.front, service.dispatcher
+    net.frontend, net.dispatcher = service.frontend, service.dispatcher
     service.begin()
     reactor.running = True
     reactor.tcpClients.clear()
@@ -572,25 +572,25 @@
     # Before, a balancer with twice the load that it can carry answered a third of it, much past the hard limit.
     net = Net()
     start = net.dispatcher.now()
-    net.turn.begins(start)
+    net.loop_timing.begins(start)
     client = net.client()
     client.feed(mg(1))
     host = net.accept()
     host.feed(va(1))
-    net.turn.begins(start + 300_000_000)
+    net.loop_timing.begins(start + 300_000_000)
     net.reactor.advance(0.3)
     client.feed(mg(2, ttl=600))  # may have come just after the poll before
     host.feed(va(2))
     net.reactor.advance(net.limits.turn_duration / 1e9 + 0.001)
     client.feed(mg(3))
-    net.turn.begins(net.dispatcher.now())
+    net.loop_timing.begins(net.dispatcher.now())
     client.feed(mg(4))
     host.feed(va(4))
     net.matches("net_long_turn")
 
 
 def test_a_client_that_waited_to_be_accepted_has_waited_since_the_last_look_at_all() -> None:
-    turn = Turn(10)
+    turn = LoopTiming(10)
     turn.begins(100)
     assert (turn.unread(105, 0), turn.waits_since()) == (5, 100)
     turn.begins(200)
@@ -604,7 +604,7 @@
 
 
 def test_what_comes_while_the_loop_stands_idle_has_not_waited() -> None:
-    turn = Turn(1_000_000)
+    turn = LoopTiming(1_000_000)
     turn.begins(1_000_000_000)
     # The poll had nothing to tell for 250 ms, and came back at once when there was something.
     turn.begins(1_250_000_000, asked=1_000_200_000)
@@ -617,10 +617,10 @@
     net = Net(sockets=64)
     most = net.limits.sockets + net.limits.spare
     while not net.sockets.full():
-        for _ in range(net.front.room()):
+        for _ in range(net.frontend.room()):
             net.client()
         assert net.sockets.clients <= most
-    assert net.sockets.clients == most and net.front.room() == 1
+    assert net.sockets.clients == most and net.frontend.room() == 1
 
 
 def test_a_drain_told_while_a_hop_is_half_written_lets_it_end_and_sends_nothing_new() -> None:
