--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -13,10 +13,10 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.web.client import ResponseDone
 
-from ternquay.hosted.host import Host
+from ternquay.hosted.host import TenantHost
 from ternquay.hosted.shared.front import TenantFrontend
 from ternquay.hosted.tenants.registry import ReplaceTenant, SetState
-from ternquay.hosted.tenants.tenancy import Prepared, Process
+from ternquay.hosted.tenants.runtime import PreparedListeners, ProcessConfig
 from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, State
 from tests.helper import Net, Wire, member
 from tests.hosted_helper import Hosted
@@ -30,7 +30,7 @@
 
 @pytest.fixture(autouse=True)
 def nothing_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ternquay.hosted.host.bound", lambda *_: Prepared())
+    monkeypatch.setattr("ternquay.hosted.host.bound", lambda *_: PreparedListeners())
 
 
 class HostedNet(Net):
@@ -42,10 +42,10 @@
         self.wires: list[Wire] = []
         self.reactor.advance(1000.0)
         self.reactor.running = True
-        service: Any = SimpleNamespace(name="h", process=Process(256, 96), fellows=None)
-        self.host = Host(self.reactor, service, made(tenant("sur", **terms)))
+        service: Any = SimpleNamespace(name="h", process=ProcessConfig(256, 96), fellows=None)
+        self.host = TenantHost(self.reactor, service, made(tenant("sur", **terms)))
         self.host.begin()
-        self.tenancy = self.host.tenancies["sur"]
+        self.tenancy = self.host.runtimes["sur"]
         self.limits, self.sockets = self.tenancy.limits, self.tenancy.sockets
         self.dispatcher, self.pool = self.tenancy.dispatcher, self.tenancy.pool
         self.frontend: TenantFrontend = self.tenancy.frontend
@@ -284,12 +284,12 @@
     waits = net.client()
     waits.feed(mg(1))
     assert waits.protocol.waits and not begun(net)
-    net.tenancy.common.loop.due.cancel()  # its turn does not come for 6 s
+    net.tenancy.common.scheduler.scheduled_run.cancel()  # its turn does not come for 6 s
     for _ in range(6):
         net.reactor.advance(1.0)
         net.frontend.swept()
         net.take()
     assert half.lost and not waits.lost, net.trace
-    assert not waits.protocol.piece()
+    assert not waits.protocol.run_piece()
     net.run(5)
     assert not waits.lost and "client 1 < b'SERVER_ERROR busy" in net.trace[-1], net.trace  # late, and answered
