--- a/ternquay/hosted/administration/api.py
+++ b/ternquay/hosted/administration/api.py
@@ -30,7 +30,7 @@
     TenantEntry,
     VersionConflict,
 )
-from ternquay.hosted.tenants.tenant import InvalidField, Key, Scope, Server, State, Tenant
+from ternquay.hosted.tenants.tenant import ApiKey, InvalidField, Scope, Server, State, Tenant
 
 SECOND = 1_000_000_000
 PAGE, PAGE_MOST, WAIT_MOST = 50, 200, 60
@@ -170,7 +170,7 @@
     return {"version": entry.version, "state": entry.tenant.state.value, "tenant": d.plain(d.document_of(entry.tenant))}
 
 
-def shown_key(key: Key) -> dict[str, Any]:
+def shown_key(key: ApiKey) -> dict[str, Any]:
     return {
         "name": key.name,
         "scope": key.scope.value,
@@ -182,7 +182,7 @@
 class Api:
     """`operators` are the keys that belong to no tenant; `make` makes tokens."""
 
-    def __init__(self, operators: tuple[Key, ...], make: Callable[[str, str], str] = keys.made) -> None:
+    def __init__(self, operators: tuple[ApiKey, ...], make: Callable[[str, str], str] = keys.made) -> None:
         self.operators, self.make = operators, make
 
     def handle(self, call: Call, registry: Registry, now: int) -> Outcome:
@@ -405,7 +405,7 @@
         self,
         who: Who,
         entry: TenantEntry,
-        left: tuple[Key, ...],
+        left: tuple[ApiKey, ...],
         name: str,
         scope: Scope,
         now: int,
@@ -414,7 +414,7 @@
     ) -> Proposal:
         tenant = entry.tenant.name
         token = self.make(tenant, name)
-        key = Key(name, keys.digest_of(token), scope, now, until)
+        key = ApiKey(name, keys.digest_of(token), scope, now, until)
         return self._proposal(
             who,
             SetKeys(tenant, (*left, key), entry.version),
--- a/ternquay/hosted/administration/keys.py
+++ b/ternquay/hosted/administration/keys.py
@@ -12,7 +12,7 @@
 from secrets import token_urlsafe
 
 from ternquay.hosted.tenants.registry import Registry
-from ternquay.hosted.tenants.tenant import Key, Scope
+from ternquay.hosted.tenants.tenant import ApiKey, Scope
 
 TOKEN = re.compile(r"tq1\.(-|[a-z][a-z0-9-]{0,47})\.([a-z][a-z0-9-]{0,47})\.([A-Za-z0-9_-]{43})")
 NOBODY = bytes(32)
@@ -47,7 +47,7 @@
     return f"tq1.{tenant or '-'}.{name}.{token_urlsafe(32)}"
 
 
-def who(token: str, registry: Registry, operators: tuple[Key, ...], now: int) -> Who:
+def who(token: str, registry: Registry, operators: tuple[ApiKey, ...], now: int) -> Who:
     """Whose token it is at `now`, in wall-clock nanoseconds. Raises Denied."""
     found = TOKEN.fullmatch(token)
     tenant, name = (found[1], found[2]) if found else ("-", "")
--- a/ternquay/hosted/service.py
+++ b/ternquay/hosted/service.py
@@ -25,7 +25,7 @@
 )
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.runtime import ProcessConfig
-from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Key, Scope, Tenant, check_endpoint
+from ternquay.hosted.tenants.tenant import ApiKey, Endpoint, InvalidField, Scope, Tenant, check_endpoint
 from ternquay.net.launch import descriptors
 from ternquay.peers.frames import MIN_KEY_BYTES
 
@@ -138,7 +138,7 @@
     store: str
     api: ApiDocument | None
     listen: Endpoint | None
-    operators: tuple[Key, ...]
+    operators: tuple[ApiKey, ...]
     log: LogDocument
     registry: Registry  # of the file, where there is no store
     fellows: FleetConfig | None = None
@@ -270,12 +270,12 @@
     return place
 
 
-def _operators(told: ApiDocument | None) -> tuple[Key, ...]:
+def _operators(told: ApiDocument | None) -> tuple[ApiKey, ...]:
     found = []
     for i, one in enumerate(told.operators if told is not None else ()):
         if one.until_ms and one.until_ms <= one.since_ms:
             raise InvalidField(f"api.operators[{i}].until_ms", "is not after it begins")
-        found.append(Key(one.name, bytes.fromhex(one.digest), Scope.OPERATOR, one.since_ms * MS, one.until_ms * MS))
+        found.append(ApiKey(one.name, bytes.fromhex(one.digest), Scope.OPERATOR, one.since_ms * MS, one.until_ms * MS))
     names = [key.name for key in found]
     if len(set(names)) != len(names):
         raise InvalidField("api.operators", "a name stands there twice")
--- a/ternquay/hosted/store.py
+++ b/ternquay/hosted/store.py
@@ -19,7 +19,7 @@
 
 from ternquay.hosted.tenants.documents import StoredKey, StoredTenant, document_of, state_of, tenant_of
 from ternquay.hosted.tenants.registry import Registry, TenantEntry
-from ternquay.hosted.tenants.tenant import InvalidField, Key, Scope, Tenant
+from ternquay.hosted.tenants.tenant import ApiKey, InvalidField, Scope, Tenant
 
 FORMAT = 1
 SECOND = 1_000_000_000
@@ -105,10 +105,10 @@
     """Raises StoreError: what is stored and can't be read is not passed over."""
     try:
         told = msgspec.json.decode(body, type=StoredTenant)
-        keys = tuple(Key(k.name, k.digest, Scope(k.scope), k.since, k.until) for k in told.keys)
+        keys = tuple(ApiKey(k.name, k.digest, Scope(k.scope), k.since, k.until) for k in told.keys)
         return replace(tenant_of(told.tenant), keys=keys, state=state_of(told.state))
     except (msgspec.DecodeError, InvalidField, ValueError) as fault:
-        raise StoreError(f"a stored tenant can't be read: {fault}") from fault
+        raise StoreError(f"a tenant that is kept can't be read: {fault}") from fault
 
 
 class Store:
--- a/ternquay/hosted/tenants/documents.py
+++ b/ternquay/hosted/tenants/documents.py
@@ -18,13 +18,13 @@
     Guarantee,
     InvalidField,
     NamedProfile,
-    RuleFigures,
+    RuleSettings,
     Server,
     Share,
     State,
     Tenant,
     TenantLimits,
-    fit,
+    validate,
 )
 
 MS = 1_000_000
@@ -247,13 +247,13 @@
     )
 
 
-def rules_of(told: RulesDocument) -> RuleFigures:
-    return RuleFigures(
+def rules_of(told: RulesDocument) -> RuleSettings:
+    return RuleSettings(
         told.drain_grace_ms * MS, told.cold_share, told.warm_within_ms * MS, told.tip_multiple, told.tip_window_ms * MS
     )
 
 
-def rules_document(rules: RuleFigures) -> RulesDocument:
+def rules_document(rules: RuleSettings) -> RulesDocument:
     return RulesDocument(
         rules.drain_grace // MS, rules.cold_share, rules.warm_within // MS, rules.tip_multiple, rules.tip_window // MS
     )
@@ -271,7 +271,7 @@
         tuple(Share(one.name, one.txs_a_second) for one in told.shares),
         source=parse_endpoint(told.source, "source") if told.source is not None else None,
     )
-    fit(tenant)
+    validate(tenant)
     return tenant
 
 
--- a/ternquay/hosted/tenants/registry.py
+++ b/ternquay/hosted/tenants/registry.py
@@ -1,21 +1,31 @@
-"""All tenants of a process as one value: a change is checked whole against all others, then made in one step.
+"""All tenants of a process as one immutable value.
 
     registry = Registry()
     registry = registry.with_change(CreateTenant(tenant))  # raises InvalidField, NotFound or VersionConflict
-    registry.tenants["archivo-sur"].version    # the version of the last change to that tenant
+    registry.tenants["archivo-sur"].version                # of the last change to that tenant
 
-No I/O and no clock. Versions only rise, over all tenants together; a tenant that is made again under an old name
-is another incarnation, so that nothing of the old one is taken for its own.
+A change is checked as a whole against all other tenants and then applied in one step. No I/O and no clock. Versions
+only rise, over all tenants together. A tenant that is created again under an old name has another incarnation, so that
+nothing of the old one is taken for its own.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 from types import MappingProxyType
 
-from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Key, Server, State, Tenant, TenantLimits, fit
+from ternquay.hosted.tenants.tenant import (
+    ApiKey,
+    Endpoint,
+    InvalidField,
+    Server,
+    State,
+    Tenant,
+    TenantLimits,
+    validate,
+)
 
-TENANTS_MOST = 1000
-PARTS = ("cpu", "sockets", "memory")
+MAX_TENANTS = 1000
+RESOURCES = ("cpu", "sockets", "memory")
 
 
 class NotFound(LookupError):
@@ -32,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantEntry:
-    """A tenant as it stands; `incarnation` is the version that it was first made at."""
+    """A tenant with its current version; `incarnation` is the version at which it was created."""
 
     tenant: Tenant
     version: int
@@ -41,14 +51,17 @@
 
 @dataclass(slots=True, frozen=True)
 class CreateTenant:
-    """A tenant that is not there yet."""
+    """Creates a tenant; its name must be free."""
 
     tenant: Tenant
 
 
 @dataclass(slots=True, frozen=True)
 class ReplaceTenant:
-    """All of a tenant but its state, which goes by its own change. `expected_version`: for that version, 0 for any."""
+    """Replaces all of a tenant except its state, which SetState changes.
+
+    With `expected_version`, here and below, the change applies to that version only; 0 means any version.
+    """
 
     tenant: Tenant
     expected_version: int = 0
@@ -56,6 +69,8 @@
 
 @dataclass(slots=True, frozen=True)
 class SetServers:
+    """Replaces the cache hosts of a tenant."""
+
     name: str
     servers: tuple[Server, ...]
     expected_version: int = 0
@@ -63,6 +78,8 @@
 
 @dataclass(slots=True, frozen=True)
 class SetLimits:
+    """Replaces the limits of a tenant."""
+
     name: str
     limits: TenantLimits
     expected_version: int = 0
@@ -70,13 +87,17 @@
 
 @dataclass(slots=True, frozen=True)
 class SetKeys:
+    """Replaces the API keys of a tenant."""
+
     name: str
-    keys: tuple[Key, ...]
+    keys: tuple[ApiKey, ...]
     expected_version: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class SetState:
+    """Changes the state of a tenant."""
+
     name: str
     state: State
     expected_version: int = 0
@@ -84,7 +105,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RemoveTenant:
-    """A tenant that is ending and has nothing open any more."""
+    """Removes a tenant that is ending and has nothing open any more."""
 
     name: str
     expected_version: int = 0
@@ -92,8 +113,8 @@
 
 Change = CreateTenant | ReplaceTenant | SetServers | SetLimits | SetKeys | SetState | RemoveTenant
 NO_TENANTS: Mapping[str, TenantEntry] = MappingProxyType({})
-# From which state which others may follow; what is ending does not come back.
-FOLLOWS = {
+# The states that may follow each state. A tenant that is ending does not come back.
+ALLOWED_TRANSITIONS = {
     State.ACTIVE: {State.SUSPENDED, State.ENDING},
     State.SUSPENDED: {State.ACTIVE, State.ENDING},
     State.ENDING: set(),
@@ -102,47 +123,51 @@
 
 @dataclass(slots=True, frozen=True)
 class Registry:
+    """The tenants by name."""
+
     tenants: Mapping[str, TenantEntry] = field(default_factory=lambda: NO_TENANTS)
-    version: int = 0  # of the last change of any
+    version: int = 0  # of the last change to any tenant
 
     def with_change(self, change: Change) -> "Registry":
         """Returns the registry after the change. Raises InvalidField, NotFound, VersionConflict."""
         if isinstance(change, RemoveTenant):
-            return self._removed(change)
-        tenant = self._wanted(change)
-        fit(tenant)
-        self._beside(tenant)
+            return self._without(change)
+        tenant = self._changed_tenant(change)
+        validate(tenant)
+        self._check_conflicts(tenant)
         version = self.version + 1
         incarnation = version if isinstance(change, CreateTenant) else self.tenants[tenant.name].incarnation
         entry = TenantEntry(tenant, version, incarnation)
         return Registry(MappingProxyType({**self.tenants, tenant.name: entry}), version)
 
-    def _wanted(self, change: Change) -> Tenant:
-        """The tenant as the change would have it."""
+    def _changed_tenant(self, change: Change) -> Tenant:
+        """Returns the tenant after the change."""
         if isinstance(change, CreateTenant):
             if change.tenant.name in self.tenants:
                 raise InvalidField("name", f"{change.tenant.name} is there already")
-            if len(self.tenants) >= TENANTS_MOST:
-                raise InvalidField("name", f"there are {TENANTS_MOST} tenants, which is the most")
+            if len(self.tenants) >= MAX_TENANTS:
+                raise InvalidField("name", f"there are {MAX_TENANTS} tenants, which is the most")
             return change.tenant
         if isinstance(change, ReplaceTenant):
-            there = self._there(change.tenant.name, change.expected_version)
-            if change.tenant.state is not there.state:
+            current = self._current(change.tenant.name, change.expected_version)
+            if change.tenant.state is not current.state:
                 raise InvalidField("state", "is changed by itself")
             return change.tenant
         assert not isinstance(change, RemoveTenant)
-        there = self._there(change.name, change.expected_version)
+        current = self._current(change.name, change.expected_version)
         if isinstance(change, SetState):
-            if change.state is not there.state and change.state not in FOLLOWS[there.state]:
-                raise InvalidField("state", f"{change.state.value} does not follow {there.state.value}")
-            return replace(there, state=change.state)
+            if change.state is not current.state and change.state not in ALLOWED_TRANSITIONS[current.state]:
+                raise InvalidField("state", f"{change.state.value} does not follow {current.state.value}")
+            return replace(current, state=change.state)
         if isinstance(change, SetServers):
-            return replace(there, servers=change.servers)
+            return replace(current, servers=change.servers)
         return (
-            replace(there, limits=change.limits) if isinstance(change, SetLimits) else replace(there, keys=change.keys)
+            replace(current, limits=change.limits)
+            if isinstance(change, SetLimits)
+            else replace(current, keys=change.keys)
         )
 
-    def _there(self, name: str, expected_version: int) -> Tenant:
+    def _current(self, name: str, expected_version: int) -> Tenant:
         entry = self.tenants.get(name)
         if entry is None:
             raise NotFound(name)
@@ -150,37 +175,37 @@
             raise VersionConflict(name, expected_version, entry.version)
         return entry.tenant
 
-    def _removed(self, change: RemoveTenant) -> "Registry":
-        there = self._there(change.name, change.expected_version)
-        if there.state is not State.ENDING:
-            raise InvalidField("state", f"{change.name} is {there.state.value}, and only what is ending is removed")
-        left = {name: entry for name, entry in self.tenants.items() if name != change.name}
-        return Registry(MappingProxyType(left), self.version + 1)
+    def _without(self, change: RemoveTenant) -> "Registry":
+        current = self._current(change.name, change.expected_version)
+        if current.state is not State.ENDING:
+            raise InvalidField("state", f"{change.name} is {current.state.value}, and only what is ending is removed")
+        remaining = {name: entry for name, entry in self.tenants.items() if name != change.name}
+        return Registry(MappingProxyType(remaining), self.version + 1)
 
-    def _beside(self, tenant: Tenant) -> None:
-        """Raises InvalidField where a tenant can't stand beside the others."""
+    def _check_conflicts(self, tenant: Tenant) -> None:
+        """Checks the tenant against all others. Raises InvalidField."""
         others = [entry.tenant for name, entry in self.tenants.items() if name != tenant.name]
-        taken = {place: other.name for other in others for place in other.listeners}
+        taken = {endpoint: other.name for other in others for endpoint in other.listeners}
         own: set[Endpoint] = set()
-        for i, place in enumerate(tenant.listeners):
-            if place in taken or place in own:
+        for i, endpoint in enumerate(tenant.listeners):
+            if endpoint in taken or endpoint in own:
                 raise InvalidField(
-                    f"listeners[{i}]", f"{place.host}:{place.port} is taken by {taken.get(place, tenant.name)}"
+                    f"listeners[{i}]", f"{endpoint.host}:{endpoint.port} is taken by {taken.get(endpoint, tenant.name)}"
                 )
-            own.add(place)
+            own.add(endpoint)
         for i, server in enumerate(tenant.servers):
             if server.endpoint in taken or server.endpoint in own:
-                # Against a balancer that sends what it takes to itself, round and round.
+                # Otherwise the balancer would send its own traffic to itself in a loop.
                 raise InvalidField(f"servers[{i}].place", "is a listener of this process")
         hosts = {server.endpoint for other in others for server in other.servers}
-        for i, place in enumerate(tenant.listeners):
-            if place in hosts:
+        for i, endpoint in enumerate(tenant.listeners):
+            if endpoint in hosts:
                 raise InvalidField(f"listeners[{i}]", "another tenant has it as a cache host")
         digests = {key.digest for other in others for key in other.keys}
         for i, key in enumerate(tenant.keys):
             if key.digest in digests:
                 raise InvalidField(f"keys[{i}]", "is another tenant's too")
-        for part in PARTS:
-            least = sum(getattr(one.limits, part).least for one in (*others, tenant))
+        for resource in RESOURCES:
+            least = sum(getattr(one.limits, resource).least for one in (*others, tenant))
             if least > 1 + 1e-9:
-                raise InvalidField(f"limits.{part}.least", f"with it {least:.3f} of the process would be promised")
+                raise InvalidField(f"limits.{resource}.least", f"with it {least:.3f} of the process would be promised")
--- a/ternquay/hosted/tenants/tenant.py
+++ b/ternquay/hosted/tenants/tenant.py
@@ -1,7 +1,7 @@
-"""What one tenant is: where it listens, its cache hosts, profiles, rules, limits and keys, and in which state.
+"""The configuration of one tenant: listeners, cache hosts, profiles, rules, limits and API keys, and its state.
 
-A *tenant* is a hosted archive; what one deployment's own settings call tenants are its *shares*. All of it is
-values: a change makes another one. Times are whole nanoseconds, sizes bytes.
+A *tenant* is a hosted archive; what the configuration of a single balancer calls tenants are the *shares* of one.
+Everything here is an immutable value: a change makes a new one. Times are whole nanoseconds, sizes are bytes.
 """
 
 import re
@@ -11,19 +11,25 @@
 
 from ternquay import model as m
 
-NAME = re.compile(r"[a-z](?:[a-z0-9-]{0,46}[a-z0-9])?")
-DIGEST = 32  # of a key: the key itself is never kept
-PROFILES_MOST, HOSTS_MOST, LISTENERS_MOST, KEYS_MOST, SHARES_MOST = 64, 1024, 16, 64, 256
+NAME_PATTERN = re.compile(r"[a-z](?:[a-z0-9-]{0,46}[a-z0-9])?")
+KEY_DIGEST_BYTES = 32  # an API key is stored as its digest only
+MAX_PROFILES = 64
+MAX_SERVERS = 1024
+MAX_LISTENERS = 16
+MAX_KEYS = 64
+MAX_SHARES = 256
 
 
 class State(Enum):
+    """The state of a tenant."""
+
     ACTIVE = "active"
-    SUSPENDED = "suspended"  # new transactions are rolled back at once with a wait, open ones finished
-    ENDING = "ending"  # drained, and gone after that
+    SUSPENDED = "suspended"  # new transactions are rolled back at once with a wait, open ones are finished
+    ENDING = "ending"  # it drains and is removed after that
 
 
 class Scope(Enum):
-    """What a key allows; an operator's belongs to no tenant."""
+    """What an API key permits. A key of scope OPERATOR belongs to no tenant."""
 
     OPERATOR = "operator"
     ADMINISTRATOR = "administrator"
@@ -32,16 +38,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
+    """An IP address and a port."""
+
     host: str
     port: int
 
 
 @dataclass(slots=True, frozen=True)
 class Server:
-    """One cache host by the tenant's own name for it. Two that have one place are one machine.
+    """One cache host under the tenant's own name for it. Two entries with the same endpoint are the same host.
 
-    `started` is when its copies began to be filled, in wall-clock nanoseconds, 0 for long ago: till it is warm
-    it is spared as rule 4 has it. What is `draining` gets nothing new.
+    `started` is the wall-clock time in nanoseconds at which the host began to fill its cache, 0 for long ago. Until it
+    is warm, it gets less load, by rule 4. A host that is `draining` gets no new transactions.
     """
 
     name: str
@@ -54,13 +62,15 @@
 
 @dataclass(slots=True, frozen=True)
 class NamedProfile:
+    """A profile under the name that clients use for it."""
+
     name: str
     profile: m.Profile
 
 
 @dataclass(slots=True, frozen=True)
-class RuleFigures:
-    """The figures of rules 3 and 4."""
+class RuleSettings:
+    """The settings of rules 3 (drains) and 4 (cold hosts)."""
 
     drain_grace: int
     cold_share: float
@@ -71,7 +81,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Guarantee:
-    """Parts of the process: what is always there for a tenant, and the most that it gets when others leave room."""
+    """A tenant's part of a resource, as fractions of the process.
+
+    `least` is guaranteed; up to `most` is lent while other tenants leave it unused.
+    """
 
     least: float
     most: float
@@ -79,10 +92,12 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantLimits:
+    """What a tenant may use of the process."""
+
     txs_a_second: float
     burst: int
     open_txs: int
-    held: int
+    held: int  # bytes of incomplete and unanswered requests
     clients: int
     host_connections: int
     cpu: Guarantee
@@ -92,13 +107,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Share:
+    """A named part of a tenant's traffic with its own transaction rate."""
+
     name: str
     txs_a_second: float
 
 
 @dataclass(slots=True, frozen=True)
-class Key:
-    """A bearer token by its digest; with `until` nought it does not expire."""
+class ApiKey:
+    """A bearer token, stored by its digest. With `until` 0 it does not expire. Times are wall-clock nanoseconds."""
 
     name: str
     digest: bytes
@@ -109,16 +126,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
+    """The whole configuration of a tenant."""
+
     name: str
     listeners: tuple[Endpoint, ...]
     servers: tuple[Server, ...]
     profiles: tuple[NamedProfile, ...]
-    rules: RuleFigures
+    rules: RuleSettings
     limits: TenantLimits
     shares: tuple[Share, ...] = ()
-    keys: tuple[Key, ...] = ()
+    keys: tuple[ApiKey, ...] = ()
     state: State = State.ACTIVE
-    source: Endpoint | None = None  # where the list of cache hosts is followed, instead of `servers`
+    source: Endpoint | None = None  # of the discovery service that lists the cache hosts, instead of `servers`
 
 
 class InvalidField(ValueError):
@@ -129,18 +148,18 @@
         self.field, self.reason = field, reason
 
 
-def named(name: str, field: str) -> None:
-    if not NAME.fullmatch(name):
+def check_name(name: str, field: str) -> None:
+    if not NAME_PATTERN.fullmatch(name):
         raise InvalidField(field, f"a name of up to 48 small letters, digits and dashes is wanted, not {name!r:.60}")
 
 
-def counted(many: int, field: str, least: int, most: int) -> None:
-    if not least <= many <= most:
-        raise InvalidField(field, f"from {least} to {most} are wanted, not {many}")
+def check_count(count: int, field: str, least: int, most: int) -> None:
+    if not least <= count <= most:
+        raise InvalidField(field, f"from {least} to {most} are wanted, not {count}")
 
 
-def once(names: list[str], field: str) -> None:
-    """Each name stands once."""
+def check_unique(names: list[str], field: str) -> None:
+    """Checks that no name occurs twice."""
     seen: set[str] = set()
     for i, name in enumerate(names):
         if name in seen:
@@ -148,86 +167,88 @@
         seen.add(name)
 
 
-def check_endpoint(place: Endpoint, field: str) -> None:
+def check_endpoint(endpoint: Endpoint, field: str) -> None:
     try:
-        ip_address(place.host)
+        ip_address(endpoint.host)
     except ValueError as fault:
-        raise InvalidField(f"{field}.host", f"an address is wanted, not {place.host!r:.60}") from fault
-    if not 0 < place.port < 65536:
-        raise InvalidField(f"{field}.port", f"a port is wanted, not {place.port}")
+        raise InvalidField(f"{field}.host", f"an address is wanted, not {endpoint.host!r:.60}") from fault
+    if not 0 < endpoint.port < 65536:
+        raise InvalidField(f"{field}.port", f"a port is wanted, not {endpoint.port}")
 
 
-def positive(value: float, field: str) -> None:
-    # Written so that what is no number at all is not positive either.
+def check_positive(value: float, field: str) -> None:
+    # Written this way round so that NaN is refused too.
     if not 0 < value < float("inf"):
         raise InvalidField(field, f"more than nought is wanted, not {value}")
 
 
-def fit(tenant: Tenant) -> None:
-    """Raises InvalidField at the first thing that is wrong with a tenant by itself."""
-    named(tenant.name, "name")
-    counted(len(tenant.listeners), "listeners", 1, LISTENERS_MOST)
+def validate(tenant: Tenant) -> None:
+    """Checks a tenant by itself. Raises InvalidField for the first invalid field."""
+    check_name(tenant.name, "name")
+    check_count(len(tenant.listeners), "listeners", 1, MAX_LISTENERS)
     for i, listener in enumerate(tenant.listeners):
         check_endpoint(listener, f"listeners[{i}]")
-    counted(len(tenant.servers), "servers", 0, HOSTS_MOST)
+    check_count(len(tenant.servers), "servers", 0, MAX_SERVERS)
     for i, server in enumerate(tenant.servers):
-        named(server.name, f"servers[{i}].name")
+        check_name(server.name, f"servers[{i}].name")
         check_endpoint(server.endpoint, f"servers[{i}].place")
-        positive(server.weight, f"servers[{i}].weight")
+        check_positive(server.weight, f"servers[{i}].weight")
         if server.started < 0:
             raise InvalidField(f"servers[{i}].started", f"a time is wanted, not {server.started}")
-    once([server.name for server in tenant.servers], "servers")
-    once([f"{server.endpoint.host}:{server.endpoint.port}" for server in tenant.servers], "servers")
+    check_unique([server.name for server in tenant.servers], "servers")
+    check_unique([f"{server.endpoint.host}:{server.endpoint.port}" for server in tenant.servers], "servers")
     if tenant.source is not None:
         check_endpoint(tenant.source, "source")
         if tenant.servers:
             raise InvalidField("servers", "are listed by the source")
-    _fit_profiles(tenant)
-    _fit_rules(tenant.rules)
-    _fit_limits(tenant.limits)
-    counted(len(tenant.shares), "shares", 0, SHARES_MOST)
+    _validate_profiles(tenant)
+    _validate_rules(tenant.rules)
+    _validate_limits(tenant.limits)
+    check_count(len(tenant.shares), "shares", 0, MAX_SHARES)
     for i, share in enumerate(tenant.shares):
-        positive(share.txs_a_second, f"shares[{i}].txs_a_second")
-    once([share.name for share in tenant.shares], "shares")
-    _fit_keys(tenant.keys)
+        check_positive(share.txs_a_second, f"shares[{i}].txs_a_second")
+    check_unique([share.name for share in tenant.shares], "shares")
+    _validate_keys(tenant.keys)
 
 
-def _fit_profiles(tenant: Tenant) -> None:
-    counted(len(tenant.profiles), "profiles", 1, PROFILES_MOST)
-    for i, named_one in enumerate(tenant.profiles):
-        profile, field = named_one.profile, f"profiles[{i}]"
-        named(named_one.name, f"{field}.name")
-        positive(profile.service_goal, f"{field}.service_goal")
+def _validate_profiles(tenant: Tenant) -> None:
+    check_count(len(tenant.profiles), "profiles", 1, MAX_PROFILES)
+    for i, named in enumerate(tenant.profiles):
+        profile, field = named.profile, f"profiles[{i}]"
+        check_name(named.name, f"{field}.name")
+        check_positive(profile.service_goal, f"{field}.service_goal")
         if profile.hard_limit < profile.service_goal:
             raise InvalidField(f"{field}.hard_limit", "is before the service goal")
         if profile.semantics is m.Semantics.JOURNALLED and profile.dedup_window <= 0:
             raise InvalidField(f"{field}.memory", "a journalled profile needs the time for which its mark is known")
-    once([one.name for one in tenant.profiles], "profiles")
+    check_unique([one.name for one in tenant.profiles], "profiles")
 
 
-def _fit_rules(rules: RuleFigures) -> None:
+def _validate_rules(rules: RuleSettings) -> None:
     for name in ("drain_grace", "warm_within", "tip_multiple", "tip_window"):
-        positive(getattr(rules, name), f"rules.{name}")
+        check_positive(getattr(rules, name), f"rules.{name}")
     if not 0 < rules.cold_share <= 1:
         raise InvalidField("rules.cold_share", f"a part of one is wanted, not {rules.cold_share}")
 
 
-def _fit_limits(limits: TenantLimits) -> None:
+def _validate_limits(limits: TenantLimits) -> None:
     for name in ("txs_a_second", "burst", "open_txs", "held", "clients", "host_connections"):
-        positive(getattr(limits, name), f"limits.{name}")
+        check_positive(getattr(limits, name), f"limits.{name}")
     for name in ("cpu", "sockets", "memory"):
-        part: Guarantee = getattr(limits, name)
-        if not 0 <= part.least <= part.most <= 1 or part.most <= 0:
-            raise InvalidField(f"limits.{name}", f"0 <= least <= most <= 1 is wanted, not {part.least} and {part.most}")
+        guarantee: Guarantee = getattr(limits, name)
+        if not 0 <= guarantee.least <= guarantee.most <= 1 or guarantee.most <= 0:
+            raise InvalidField(
+                f"limits.{name}", f"0 <= least <= most <= 1 is wanted, not {guarantee.least} and {guarantee.most}"
+            )
 
 
-def _fit_keys(keys: tuple[Key, ...]) -> None:
-    counted(len(keys), "keys", 0, KEYS_MOST)
-    once([key.name for key in keys], "keys")
+def _validate_keys(keys: tuple[ApiKey, ...]) -> None:
+    check_count(len(keys), "keys", 0, MAX_KEYS)
+    check_unique([key.name for key in keys], "keys")
     for i, key in enumerate(keys):
-        named(key.name, f"keys[{i}].name")
-        if len(key.digest) != DIGEST:
-            raise InvalidField(f"keys[{i}].digest", f"{DIGEST} bytes are wanted")
+        check_name(key.name, f"keys[{i}].name")
+        if len(key.digest) != KEY_DIGEST_BYTES:
+            raise InvalidField(f"keys[{i}].digest", f"{KEY_DIGEST_BYTES} bytes are wanted")
         if key.scope is Scope.OPERATOR:
             raise InvalidField(f"keys[{i}].scope", "a tenant has no operator's key")
         if key.until and key.until <= key.since:
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -23,7 +23,7 @@
 from tests.test_endings import Ending, begun, drained, ready
 from tests.test_hosted import Host as CacheHost
 from tests.test_net import Agent, mg
-from tests.test_registry import LIMITS, made, tenant
+from tests.test_registry import LIMITS, registry_of, tenant
 
 HELLO = b"mn\r\n"
 
@@ -43,7 +43,7 @@
         self.reactor.advance(1000.0)
         self.reactor.running = True
         service: Any = SimpleNamespace(name="h", process=ProcessConfig(256, 96), fellows=None)
-        self.host = TenantHost(self.reactor, service, made(tenant("sur", **terms)))
+        self.host = TenantHost(self.reactor, service, registry_of(tenant("sur", **terms)))
         self.host.begin()
         self.tenancy = self.host.runtimes["sur"]
         self.limits, self.sockets = self.tenancy.limits, self.tenancy.sockets
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -26,11 +26,11 @@
 from ternquay.hosted.tenants.documents import TenantDocument, decoded, document_of, plain, read, tenant_of
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.shared_hosts import FAILURES_TO_EJECT, GONE_RETENTION_NS, ListEntry, SharedHostTable
-from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, InvalidField, Key, Scope
+from ternquay.hosted.tenants.tenant import ApiKey, Endpoint, Guarantee, InvalidField, Scope
 from ternquay.net.loop_timing import LoopTiming
 from tests.helper import START, T0
 from tests.hosted_helper import document
-from tests.test_registry import LIMITS, made, tenant
+from tests.test_registry import LIMITS, registry_of, tenant
 
 MS = 1_000_000
 
@@ -257,7 +257,7 @@
 NOW = 1_800_000_000 * SECOND
 OPERATOR = keys.made("", "main")
 ADMINISTRATOR, READER, OLD = (keys.made("sur", name) for name in ("admin", "reader", "old"))
-OPERATORS = (Key("main", keys.digest_of(OPERATOR), Scope.OPERATOR, 0),)
+OPERATORS = (ApiKey("main", keys.digest_of(OPERATOR), Scope.OPERATOR, 0),)
 
 
 LITTLE = Guarantee(0.01, 1.0)
@@ -266,11 +266,11 @@
 
 def world() -> tuple[Api, Registry]:
     its = (
-        Key("admin", keys.digest_of(ADMINISTRATOR), Scope.ADMINISTRATOR, 0),
-        Key("reader", keys.digest_of(READER), Scope.READER, 0),
-        Key("old", keys.digest_of(OLD), Scope.ADMINISTRATOR, 0, NOW),
+        ApiKey("admin", keys.digest_of(ADMINISTRATOR), Scope.ADMINISTRATOR, 0),
+        ApiKey("reader", keys.digest_of(READER), Scope.READER, 0),
+        ApiKey("old", keys.digest_of(OLD), Scope.ADMINISTRATOR, 0, NOW),
     )
-    return Api(OPERATORS), made(tenant("sur", 1, keys=its), tenant("norte", 2))
+    return Api(OPERATORS), registry_of(tenant("sur", 1, keys=its), tenant("norte", 2))
 
 
 def handled(method: str, path: str, token: str = OPERATOR, body: Any = None, **headers: str) -> Any:
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry of tenants: a change is all or nothing, checked against all others, and versions only rise."""
+"""The registry of tenants: a change applies as a whole or not at all, and versions only rise."""
 
 from dataclasses import replace
 from typing import Any
@@ -19,12 +19,12 @@
     VersionConflict,
 )
 from ternquay.hosted.tenants.tenant import (
+    ApiKey,
     Endpoint,
     Guarantee,
     InvalidField,
-    Key,
     NamedProfile,
-    RuleFigures,
+    RuleSettings,
     Scope,
     Server,
     Share,
@@ -45,24 +45,24 @@
             (Endpoint("127.0.0.1", 7000 + number),),
             (Server("one", Endpoint(f"127.0.1.{number}", 11211)),),
             (NamedProfile("read", READ), NamedProfile("mark", MARKED)),
-            RuleFigures(S // 2, 0.2, 20 * S, 4.0, S),
+            RuleSettings(S // 2, 0.2, 20 * S, 4.0, S),
             LIMITS,
             (Share("school", 5.0),),
-            (Key("main", bytes([number]) * 32, Scope.ADMINISTRATOR, 1),),
+            (ApiKey("main", bytes([number]) * 32, Scope.ADMINISTRATOR, 1),),
         ),
         **terms,
     )
 
 
-def made(*tenants: Tenant) -> Registry:
+def registry_of(*tenants: Tenant) -> Registry:
     registry = Registry()
     for one in tenants:
         registry = registry.with_change(CreateTenant(one))
     return registry
 
 
-def test_versions_only_rise_and_a_tenant_made_again_is_another_one() -> None:
-    registry = made(tenant("sur"), tenant("norte", 2))
+def test_versions_only_rise_and_a_recreated_tenant_has_a_new_incarnation() -> None:
+    registry = registry_of(tenant("sur"), tenant("norte", 2))
     seen = [registry.version]
     first = registry.tenants["sur"].incarnation
     for change in (
@@ -78,17 +78,17 @@
     assert registry.tenants["sur"].incarnation == 7 != first and registry.tenants["norte"].version == 2
 
 
-def test_a_change_meant_for_another_version_changes_nothing() -> None:
-    registry = made(tenant("sur"))
+def test_a_change_that_expects_another_version_changes_nothing() -> None:
+    registry = registry_of(tenant("sur"))
     one = registry.with_change(SetLimits("sur", replace(LIMITS, burst=7), expected_version=1))
-    with pytest.raises(VersionConflict) as told:
+    with pytest.raises(VersionConflict) as raised:
         one.with_change(SetServers("sur", (), expected_version=1))
-    assert (told.value.expected, told.value.current) == (1, 2)
+    assert (raised.value.expected, raised.value.current) == (1, 2)
     assert one.tenants["sur"].tenant.limits.burst == 7 and len(one.tenants["sur"].tenant.servers) == 1
-    assert registry.tenants["sur"].tenant.limits.burst == 50  # the value before is what it was
+    assert registry.tenants["sur"].tenant.limits.burst == 50  # the earlier registry is unchanged
 
 
-UNFIT: list[tuple[Change, str]] = [
+INVALID_CHANGES: list[tuple[Change, str]] = [
     (CreateTenant(tenant("sur", 9)), "name"),
     (CreateTenant(tenant("Ñandú", 9)), "name"),
     (CreateTenant(tenant("x" * 49, 9)), "name"),
@@ -105,10 +105,10 @@
     (SetLimits("sur", replace(LIMITS, cpu=Guarantee(0.9, 1.0))), "limits.cpu.least"),
     (SetLimits("sur", replace(LIMITS, memory=Guarantee(0.5, 0.4))), "limits.memory"),
     (SetLimits("sur", replace(LIMITS, open_txs=0)), "limits.open_txs"),
-    (SetKeys("sur", (Key("k", b"\2" * 32, Scope.READER, 1),)), "keys[0]"),
-    (SetKeys("sur", (Key("k", b"short", Scope.READER, 1),)), "keys[0].digest"),
-    (SetKeys("sur", (Key("k", b"\5" * 32, Scope.OPERATOR, 1),)), "keys[0].scope"),
-    (SetKeys("sur", (Key("k", b"\5" * 32, Scope.READER, 5, 5),)), "keys[0].until"),
+    (SetKeys("sur", (ApiKey("k", b"\2" * 32, Scope.READER, 1),)), "keys[0]"),
+    (SetKeys("sur", (ApiKey("k", b"short", Scope.READER, 1),)), "keys[0].digest"),
+    (SetKeys("sur", (ApiKey("k", b"\5" * 32, Scope.OPERATOR, 1),)), "keys[0].scope"),
+    (SetKeys("sur", (ApiKey("k", b"\5" * 32, Scope.READER, 5, 5),)), "keys[0].until"),
     (ReplaceTenant(tenant("sur", state=State.ENDING)), "state"),
     (ReplaceTenant(tenant("sur", profiles=())), "profiles"),
     (
@@ -119,35 +119,37 @@
         ReplaceTenant(tenant("sur", profiles=(NamedProfile("r", replace(READ, hard_limit=1)),))),
         "profiles[0].hard_limit",
     ),
-    (ReplaceTenant(tenant("sur", rules=RuleFigures(S, 1.5, S, 4.0, S))), "rules.cold_share"),
+    (ReplaceTenant(tenant("sur", rules=RuleSettings(S, 1.5, S, 4.0, S))), "rules.cold_share"),
     (ReplaceTenant(tenant("sur", shares=(Share("a", 1.0),) * 2)), "shares[1]"),
     (RemoveTenant("sur"), "state"),
     (SetState("este", State.ACTIVE), "state"),
 ]
 
 
-@pytest.mark.parametrize(("change", "field"), UNFIT, ids=lambda x: x if isinstance(x, str) else type(x).__name__)
-def test_what_does_not_fit_names_its_field_and_changes_nothing(change: Change, field: str) -> None:
-    registry = made(tenant("sur"), tenant("norte", 2))
+@pytest.mark.parametrize(
+    ("change", "field"), INVALID_CHANGES, ids=lambda x: x if isinstance(x, str) else type(x).__name__
+)
+def test_an_invalid_change_names_its_field_and_changes_nothing(change: Change, field: str) -> None:
+    registry = registry_of(tenant("sur"), tenant("norte", 2))
     if isinstance(change, SetState):
         registry = registry.with_change(CreateTenant(tenant("este", 3))).with_change(SetState("este", State.ENDING))
     before = dict(registry.tenants)
-    with pytest.raises(InvalidField) as told:
+    with pytest.raises(InvalidField) as raised:
         registry.with_change(change)
-    assert told.value.field == field and dict(registry.tenants) == before
+    assert raised.value.field == field and dict(registry.tenants) == before
 
 
-def test_two_tenants_may_name_one_machine_but_not_promise_more_than_there_is() -> None:
+def test_two_tenants_may_share_a_host_but_guarantees_must_not_exceed_the_process() -> None:
     shared = (Server("same", Endpoint("127.0.1.1", 11211)),)
-    registry = made(tenant("sur"), tenant("norte", 2, servers=shared), *(tenant(f"t{n}", n) for n in (3, 4, 5)))
-    with pytest.raises(InvalidField) as told:
+    registry = registry_of(tenant("sur"), tenant("norte", 2, servers=shared), *(tenant(f"t{n}", n) for n in (3, 4, 5)))
+    with pytest.raises(InvalidField) as raised:
         registry.with_change(CreateTenant(tenant("sexto", 6)))
-    assert told.value.field == "limits.cpu.least" and "1.200 of the process" in told.value.reason
+    assert raised.value.field == "limits.cpu.least" and "1.200 of the process" in raised.value.reason
     freed = registry.with_change(SetState("t5", State.ENDING)).with_change(RemoveTenant("t5"))
     assert "sexto" in freed.with_change(CreateTenant(tenant("sexto", 6))).tenants
 
 
-def test_what_is_not_there_can_not_be_changed() -> None:
+def test_a_tenant_that_does_not_exist_can_not_be_changed() -> None:
     for change in (
         SetState("sur", State.ACTIVE),
         RemoveTenant("sur"),
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -19,13 +19,13 @@
 from ternquay.hosted.administration.changes import Keeper
 from ternquay.hosted.store import AuditRecord, ChangeRecord, Commit, Store, StoreError
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
-from ternquay.hosted.tenants.tenant import Key, Scope
+from ternquay.hosted.tenants.tenant import ApiKey, Scope
 from tests.hosted_helper import document
 from tests.test_hosted_parts import SMALL
 from tests.test_registry import tenant
 
 OPERATOR = keys.made("", "main")
-OPERATORS = (Key("main", keys.digest_of(OPERATOR), Scope.OPERATOR, 0),)
+OPERATORS = (ApiKey("main", keys.digest_of(OPERATOR), Scope.OPERATOR, 0),)
 NOW = 1_800_000_000 * 10**9
 
 
