--- a/ternquay/hosted/administration/admin.py
+++ b/ternquay/hosted/administration/admin.py
@@ -19,7 +19,7 @@
 from ternquay.hosted.administration.caller import BAD, Caller, CallFailed, Target
 from ternquay.hosted.administration.plan import Step, planned
 from ternquay.hosted.service import ListedTenantDocument, ServiceConfigError, read_tables, tenant_from_listed
-from ternquay.hosted.tenants.documents import TenantDocument, plain, read
+from ternquay.hosted.tenants.documents import TenantDocument, convert_document, to_json_value
 from ternquay.hosted.tenants.tenant import InvalidField
 
 DIFFERS = 7
@@ -427,13 +427,13 @@
     told = read_tables(path).get("tenants", [])
     found: list[tuple[TenantDocument, str]] = []
     for i, one in enumerate(told if isinstance(told, list) else [told]):
-        entry = read(ListedTenantDocument, one, f"tenants[{i}]")
+        entry = convert_document(ListedTenantDocument, one, f"tenants[{i}]")
         try:
             tenant_from_listed(entry)
         except InvalidField as fault:
             raise InvalidField(f"tenants[{i}].{fault.field}", fault.reason) from fault
-        whole = plain(entry)
-        found.append((read(TenantDocument, {n: v for n, v in whole.items() if n != "state"}), entry.state))
+        whole = to_json_value(entry)
+        found.append((convert_document(TenantDocument, {n: v for n, v in whole.items() if n != "state"}), entry.state))
     return found
 
 
--- a/ternquay/hosted/administration/api.py
+++ b/ternquay/hosted/administration/api.py
@@ -167,7 +167,11 @@
 
 
 def shown(entry: TenantEntry) -> dict[str, Any]:
-    return {"version": entry.version, "state": entry.tenant.state.value, "tenant": d.plain(d.document_of(entry.tenant))}
+    return {
+        "version": entry.version,
+        "state": entry.tenant.state.value,
+        "tenant": d.to_json_value(d.tenant_to_document(entry.tenant)),
+    }
 
 
 def shown_key(key: ApiKey) -> dict[str, Any]:
@@ -219,7 +223,7 @@
             kind = call.headers.get("content-type", "application/json").partition(";")[0].strip().lower()
             if kind != "application/json":
                 raise Turned(problem(415, "application/json is wanted", "Content-Type"))
-        told = d.decoded(route.takes, call.body) if route.takes is not None else None
+        told = d.decode_document(route.takes, call.body) if route.takes is not None else None
         do: Callable[..., Outcome] = getattr(self, f"_{route.name}")
         if "tenant" not in names:
             return do(call, registry, who, now, told)
@@ -255,7 +259,7 @@
         return Reply(200, shown(entry), tag(entry.version))
 
     def _part(self, entry: TenantEntry, name: str) -> Reply:
-        document = d.plain(d.document_of(entry.tenant))
+        document = d.to_json_value(d.tenant_to_document(entry.tenant))
         body = {name: document[name]} if name in ("servers", "profiles") else document[name]
         return Reply(200, body, tag(entry.version))
 
@@ -331,7 +335,9 @@
     def _make_tenant(self, call: Call, registry: Registry, who: Who, now: int, told: d.TenantDocument) -> Outcome:
         if told.name in registry.tenants:
             raise Turned(problem(409, f"{told.name} is there already", "name"))
-        return self._proposal(who, CreateTenant(d.tenant_of(told)), "make", told.name, d.plain(told), 201)
+        return self._proposal(
+            who, CreateTenant(d.tenant_from_document(told)), "make", told.name, d.to_json_value(told), 201
+        )
 
     def _replaced(self, who: Who, entry: TenantEntry, tenant: Tenant, kind: str, detail: Any, now: int) -> Proposal:
         old = entry.tenant
@@ -343,7 +349,7 @@
     ) -> Outcome:
         if told.name != entry.tenant.name:
             raise InvalidField("name", "a tenant keeps its name")
-        return self._replaced(who, entry, d.tenant_of(told), "replace", d.plain(told), now)
+        return self._replaced(who, entry, d.tenant_from_document(told), "replace", d.to_json_value(told), now)
 
     def _end_tenant(
         self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry
@@ -360,18 +366,20 @@
     def _set_servers(
         self, call: Call, registry: Registry, who: Who, now: int, told: d.ServersDocument, entry: TenantEntry
     ) -> Outcome:
-        return self._servers(who, entry, d.servers_of(told.servers), now, d.plain(told))
+        return self._servers(who, entry, d.servers_from_documents(told.servers), now, d.to_json_value(told))
 
     def _set_server(
         self, call: Call, registry: Registry, who: Who, now: int, told: d.ServerDocument, entry: TenantEntry, name: str
     ) -> Outcome:
         if told.name != name:
             raise InvalidField("name", "is another than the path's")
-        one = d.server_of(told, "server")
+        one = d.server_from_document(told, "server")
         there = entry.tenant.servers
         if any(server.name == name for server in there):
-            return self._servers(who, entry, tuple(one if s.name == name else s for s in there), now, d.plain(told))
-        return self._servers(who, entry, (*there, one), now, d.plain(told))
+            return self._servers(
+                who, entry, tuple(one if s.name == name else s for s in there), now, d.to_json_value(told)
+            )
+        return self._servers(who, entry, (*there, one), now, d.to_json_value(told))
 
     def _remove_server(
         self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry, name: str
@@ -384,20 +392,20 @@
     def _set_limits(
         self, call: Call, registry: Registry, who: Who, now: int, told: d.LimitsDocument, entry: TenantEntry
     ) -> Outcome:
-        change = SetLimits(entry.tenant.name, d.limits_of(told), entry.version)
-        return self._proposal(who, change, "limits", entry.tenant.name, d.plain(told))
+        change = SetLimits(entry.tenant.name, d.limits_from_document(told), entry.version)
+        return self._proposal(who, change, "limits", entry.tenant.name, d.to_json_value(told))
 
     def _set_profiles(
         self, call: Call, registry: Registry, who: Who, now: int, told: d.ProfilesDocument, entry: TenantEntry
     ) -> Outcome:
-        tenant = replace(entry.tenant, profiles=tuple(map(d.profile_of, told.profiles)))
-        return self._replaced(who, entry, tenant, "profiles", d.plain(told), now)
+        tenant = replace(entry.tenant, profiles=tuple(map(d.profile_from_document, told.profiles)))
+        return self._replaced(who, entry, tenant, "profiles", d.to_json_value(told), now)
 
     def _set_state(
         self, call: Call, registry: Registry, who: Who, now: int, told: d.StateDocument, entry: TenantEntry
     ) -> Outcome:
-        change = SetState(entry.tenant.name, d.state_of(told.state), entry.version)
-        return self._proposal(who, change, "state", entry.tenant.name, d.plain(told))
+        change = SetState(entry.tenant.name, d.parse_state(told.state), entry.version)
+        return self._proposal(who, change, "state", entry.tenant.name, d.to_json_value(told))
 
     # ---- keys ----
 
--- a/ternquay/hosted/administration/plan.py
+++ b/ternquay/hosted/administration/plan.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ternquay.hosted.tenants.documents import TenantDocument, plain
+from ternquay.hosted.tenants.documents import TenantDocument, to_json_value
 
 
 @dataclass(slots=True, frozen=True)
@@ -71,7 +71,7 @@
 
 
 def _of(document: TenantDocument, state: str, there: dict[str, Any] | None) -> list[Step]:
-    name, body = document.name, plain(document)
+    name, body = document.name, to_json_value(document)
     path = f"/v1/tenants/{name}"
     if there is None:
         steps = [Step("make", name, "POST", "/v1/tenants", body, 0, tuple(differing({}, body)))]
--- a/ternquay/hosted/service.py
+++ b/ternquay/hosted/service.py
@@ -13,15 +13,15 @@
 from ternquay.hosted.tenants.documents import (
     Document,
     EndpointText,
-    Millis,
+    Milliseconds,
     Name,
     TenantDocument,
-    Wall,
+    WallClockMilliseconds,
+    convert_document,
     parse_endpoint,
-    plain,
-    read,
-    state_of,
-    tenant_of,
+    parse_state,
+    tenant_from_document,
+    to_json_value,
 )
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.runtime import ProcessConfig
@@ -59,8 +59,8 @@
 class OperatorDocument(Document, frozen=True):
     name: Name
     digest: Annotated[str, msgspec.Meta(pattern="^[0-9a-f]{64}$")]
-    since_ms: Wall = 0
-    until_ms: Wall = 0
+    since_ms: WallClockMilliseconds = 0
+    until_ms: WallClockMilliseconds = 0
 
 
 class ApiDocument(Document, frozen=True):
@@ -71,7 +71,7 @@
     burst: Bounded = 100
     connections: Bounded = 32
     body_bytes: Bounded = 1 << 19
-    idle_ms: Millis = 10_000
+    idle_ms: Milliseconds = 10_000
 
 
 class LogDocument(Document, frozen=True):
@@ -162,7 +162,7 @@
 def read_service(path: Path) -> ServiceConfig:
     """Raises ServiceConfigError."""
     try:
-        return _service(path, read(ServiceDocument, read_tables(path)))
+        return _service(path, convert_document(ServiceDocument, read_tables(path)))
     except InvalidField as fault:
         raise ServiceConfigError(f"{path}: {fault.field}: {fault.reason}") from fault
 
@@ -283,8 +283,10 @@
 
 
 def tenant_from_listed(told: ListedTenantDocument) -> Tenant:
-    document = read(TenantDocument, {name: value for name, value in plain(told).items() if name != "state"})
-    return replace(tenant_of(document), state=state_of(told.state))
+    document = convert_document(
+        TenantDocument, {name: value for name, value in to_json_value(told).items() if name != "state"}
+    )
+    return replace(tenant_from_document(document), state=parse_state(told.state))
 
 
 def registry_of(tenants: tuple[ListedTenantDocument, ...]) -> Registry:
--- a/ternquay/hosted/store.py
+++ b/ternquay/hosted/store.py
@@ -17,7 +17,13 @@
 
 import msgspec
 
-from ternquay.hosted.tenants.documents import StoredKey, StoredTenant, document_of, state_of, tenant_of
+from ternquay.hosted.tenants.documents import (
+    StoredKey,
+    StoredTenant,
+    parse_state,
+    tenant_from_document,
+    tenant_to_document,
+)
 from ternquay.hosted.tenants.registry import Registry, TenantEntry
 from ternquay.hosted.tenants.tenant import ApiKey, InvalidField, Scope, Tenant
 
@@ -98,7 +104,7 @@
 
 def encode_tenant(tenant: Tenant) -> bytes:
     keys = tuple(StoredKey(key.name, key.digest, key.scope.value, key.since, key.until) for key in tenant.keys)
-    return msgspec.json.encode(StoredTenant(document_of(tenant), tenant.state.value, keys))
+    return msgspec.json.encode(StoredTenant(tenant_to_document(tenant), tenant.state.value, keys))
 
 
 def decode_tenant(body: bytes) -> Tenant:
@@ -106,7 +112,7 @@
     try:
         told = msgspec.json.decode(body, type=StoredTenant)
         keys = tuple(ApiKey(k.name, k.digest, Scope(k.scope), k.since, k.until) for k in told.keys)
-        return replace(tenant_of(told.tenant), keys=keys, state=state_of(told.state))
+        return replace(tenant_from_document(told.tenant), keys=keys, state=parse_state(told.state))
     except (msgspec.DecodeError, InvalidField, ValueError) as fault:
         raise StoreError(f"a tenant that is kept can't be read: {fault}") from fault
 
--- a/ternquay/hosted/tenants/documents.py
+++ b/ternquay/hosted/tenants/documents.py
@@ -1,10 +1,11 @@
-"""Tenants as documents: what the administration API, the store and the operators' files hold, and how they are read.
+"""Tenants as documents: the form that the administration API, the store and the operators' files use.
 
-    tenant = read(TenantDocument, told)  # a decoded JSON or TOML object -> a document; raises InvalidField with a path
-    fit_for = tenant_of(document)  # -> a Tenant, checked by itself; raises InvalidField
-    document_of(tenant)  # -> a document again
+    document = convert_document(TenantDocument, value)  # from decoded JSON or TOML; raises InvalidField with the path
+    tenant = tenant_from_document(document)             # validated by itself; raises InvalidField
+    tenant_to_document(tenant)                          # a document again
 
-Times are whole milliseconds here and whole nanoseconds in a Tenant. Keys are no part of a tenant's document.
+Times are whole milliseconds in documents and whole nanoseconds in a Tenant. API keys are not part of a tenant's
+document. The class names and the fields of documents stand in the API description, and so would docstrings.
 """
 
 import re
@@ -27,36 +28,36 @@
     validate,
 )
 
-MS = 1_000_000
-KINDS = {
+MS = 1_000_000  # in nanoseconds
+SEMANTICS_BY_NAME = {
     "idempotent": m.Semantics.IDEMPOTENT,
     "journalled": m.Semantics.JOURNALLED,
     "non-idempotent": m.Semantics.NON_IDEMPOTENT,
 }
-SCOPES = {"all": m.DedupScope.ALL, "zone": m.DedupScope.ZONE, "cell": m.DedupScope.CELL}
-KIND_WORDS = {kind: word for word, kind in KINDS.items()}
-SCOPE_WORDS = {scope: word for word, scope in SCOPES.items()}
-WHERE = re.compile(r"(?:\[([0-9a-fA-F:.]{2,45})\]|([0-9.]{7,15})):([0-9]{1,5})")
-
-Millis = Annotated[int, msgspec.Meta(ge=0, le=10**9)]
-Wall = Annotated[int, msgspec.Meta(ge=0, le=10**13)]
-Part = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
-Amount = Annotated[float, msgspec.Meta(gt=0.0, le=1e9)]
+DEDUP_SCOPES_BY_NAME = {"all": m.DedupScope.ALL, "zone": m.DedupScope.ZONE, "cell": m.DedupScope.CELL}
+SEMANTICS_NAMES = {semantics: name for name, semantics in SEMANTICS_BY_NAME.items()}
+DEDUP_SCOPE_NAMES = {scope: name for name, scope in DEDUP_SCOPES_BY_NAME.items()}
+ENDPOINT_PATTERN = re.compile(r"(?:\[([0-9a-fA-F:.]{2,45})\]|([0-9.]{7,15})):([0-9]{1,5})")
+
+Milliseconds = Annotated[int, msgspec.Meta(ge=0, le=10**9)]
+WallClockMilliseconds = Annotated[int, msgspec.Meta(ge=0, le=10**13)]
+Fraction = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
+PositiveNumber = Annotated[float, msgspec.Meta(gt=0.0, le=1e9)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=10**9)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=48, pattern="^[a-z](?:[a-z0-9-]{0,46}[a-z0-9])?$")]
 EndpointText = Annotated[str, msgspec.Meta(min_length=3, max_length=60, description="An address and a port.")]
 
 
 class Document(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The base of all: what is not known is not passed over in silence."""
+    """Base class of all documents; an unknown field is an error."""
 
 
 class ServerDocument(Document, frozen=True):
     name: Name
     place: EndpointText
     zone: Annotated[str, msgspec.Meta(max_length=64)] = ""
-    weight: Amount = 1.0
-    started_ms: Wall = 0  # wall-clock; 0 for long ago, that is warm
+    weight: PositiveNumber = 1.0
+    started_ms: WallClockMilliseconds = 0  # on the wall clock; 0: long ago, so the host is warm
     draining: bool = False
 
 
@@ -66,25 +67,25 @@
     service_goal_ms: Count
     hard_limit_ms: Count
     scope: Literal["all", "zone", "cell"] = "all"
-    memory_ms: Millis = 0
+    memory_ms: Milliseconds = 0
     overdue_revenue: Annotated[float, msgspec.Meta(ge=0.0, le=1e9)] = 0.0
 
 
 class RulesDocument(Document, frozen=True):
     drain_grace_ms: Count = 500
-    cold_share: Part = 0.2
+    cold_share: Fraction = 0.2
     warm_within_ms: Count = 60_000
-    tip_multiple: Amount = 4.0
+    tip_multiple: PositiveNumber = 4.0
     tip_window_ms: Count = 1000
 
 
 class PartDocument(Document, frozen=True):
-    least: Part = 0.0
-    most: Part = 1.0
+    least: Fraction = 0.0
+    most: Fraction = 1.0
 
 
 class LimitsDocument(Document, frozen=True):
-    txs_a_second: Amount = 500.0
+    txs_a_second: PositiveNumber = 500.0
     burst: Count = 500
     open_txs: Count = 2000
     held_bytes: Count = 8 << 20
@@ -97,7 +98,7 @@
 
 class ShareDocument(Document, frozen=True):
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-    txs_a_second: Amount
+    txs_a_second: PositiveNumber
 
 
 class TenantDocument(Document, frozen=True):
@@ -126,7 +127,7 @@
 class KeyDocument(Document, frozen=True):
     name: Name
     scope: Literal["administrator", "reader"]
-    expires_in_s: Annotated[int, msgspec.Meta(ge=0, le=10**9)] = 0  # 0: it does not
+    expires_in_s: Annotated[int, msgspec.Meta(ge=0, le=10**9)] = 0  # 0: it does not expire
 
 
 class RotationDocument(Document, frozen=True):
@@ -134,21 +135,24 @@
     overlap_s: Annotated[int, msgspec.Meta(ge=0, le=10**7)] = 3600
 
 
-Read = TypeVar("Read")
+DocumentT = TypeVar("DocumentT")
 
 
-def read(kind: type[Read], told: Any, within: str = "") -> Read:
-    """An object as that kind of document. Raises InvalidField with the path to the field at fault."""
+def convert_document(kind: type[DocumentT], value: Any, within: str = "") -> DocumentT:
+    """Converts a decoded JSON or TOML value to a document of that kind.
+
+    Raises InvalidField with the path to the invalid field; `within` is the path to the value itself.
+    """
     try:
-        return msgspec.convert(told, kind)
+        return msgspec.convert(value, kind)
     except msgspec.ValidationError as fault:
         text, _, path = str(fault).partition(" - at `$")
         field = ".".join(part for part in (within, path.strip(".`")) if part)
         raise InvalidField(field or "the document", text) from fault
 
 
-def decoded(kind: type[Read], body: bytes) -> Read:
-    """The same, from the bytes of a JSON text. Raises InvalidField."""
+def decode_document(kind: type[DocumentT], body: bytes) -> DocumentT:
+    """Decodes a JSON text to a document of that kind. Raises InvalidField."""
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.ValidationError as fault:
@@ -159,80 +163,84 @@
 
 
 def parse_endpoint(text: str, field: str) -> Endpoint:
-    found = WHERE.fullmatch(text)
+    """Parses ADDRESS:PORT or [ADDRESS]:PORT. Raises InvalidField with `field`."""
+    found = ENDPOINT_PATTERN.fullmatch(text)
     if found is None:
         raise InvalidField(field, f"an address and a port are wanted, not {text!r:.80}")
     return Endpoint(found[1] or found[2], int(found[3]))
 
 
-def format_endpoint(place: Endpoint) -> str:
-    return f"[{place.host}]:{place.port}" if ":" in place.host else f"{place.host}:{place.port}"
+def format_endpoint(endpoint: Endpoint) -> str:
+    """Returns the text that parse_endpoint() reads."""
+    return f"[{endpoint.host}]:{endpoint.port}" if ":" in endpoint.host else f"{endpoint.host}:{endpoint.port}"
 
 
-def server_of(told: ServerDocument, field: str) -> Server:
+def server_from_document(document: ServerDocument, field: str) -> Server:
     return Server(
-        told.name,
-        parse_endpoint(told.place, f"{field}.place"),
-        told.zone,
-        told.weight,
-        told.started_ms * MS,
-        told.draining,
+        document.name,
+        parse_endpoint(document.place, f"{field}.place"),
+        document.zone,
+        document.weight,
+        document.started_ms * MS,
+        document.draining,
     )
 
 
-def servers_of(told: tuple[ServerDocument, ...]) -> tuple[Server, ...]:
-    return tuple(server_of(one, f"servers[{i}]") for i, one in enumerate(told))
+def servers_from_documents(documents: tuple[ServerDocument, ...]) -> tuple[Server, ...]:
+    return tuple(server_from_document(one, f"servers[{i}]") for i, one in enumerate(documents))
 
 
-def server_document(server: Server) -> ServerDocument:
+def server_to_document(server: Server) -> ServerDocument:
     return ServerDocument(
         server.name, format_endpoint(server.endpoint), server.zone, server.weight, server.started // MS, server.draining
     )
 
 
-def profile_of(told: ProfileDocument) -> NamedProfile:
+def profile_from_document(document: ProfileDocument) -> NamedProfile:
     return NamedProfile(
-        told.name,
+        document.name,
         m.Profile(
-            KINDS[told.kind],
-            SCOPES[told.scope],
-            told.memory_ms * MS,
-            told.service_goal_ms * MS,
-            told.hard_limit_ms * MS,
-            told.overdue_revenue,
+            SEMANTICS_BY_NAME[document.kind],
+            DEDUP_SCOPES_BY_NAME[document.scope],
+            document.memory_ms * MS,
+            document.service_goal_ms * MS,
+            document.hard_limit_ms * MS,
+            document.overdue_revenue,
         ),
     )
 
 
-def profile_document(one: NamedProfile) -> ProfileDocument:
-    p = one.profile
+def profile_to_document(named: NamedProfile) -> ProfileDocument:
+    profile = named.profile
     return ProfileDocument(
-        one.name,
-        KIND_WORDS[p.semantics],  # type: ignore[arg-type]
-        p.service_goal // MS,
-        p.hard_limit // MS,
-        SCOPE_WORDS[p.dedup_scope],  # type: ignore[arg-type]
-        p.dedup_window // MS,
-        p.overdue_revenue,
+        named.name,
+        SEMANTICS_NAMES[profile.semantics],  # type: ignore[arg-type]
+        profile.service_goal // MS,
+        profile.hard_limit // MS,
+        DEDUP_SCOPE_NAMES[profile.dedup_scope],  # type: ignore[arg-type]
+        profile.dedup_window // MS,
+        profile.overdue_revenue,
     )
 
 
-def limits_of(told: LimitsDocument) -> TenantLimits:
-    cpu, sockets, memory = (Guarantee(part.least, part.most) for part in (told.cpu, told.sockets, told.memory))
+def limits_from_document(document: LimitsDocument) -> TenantLimits:
+    cpu, sockets, memory = (
+        Guarantee(part.least, part.most) for part in (document.cpu, document.sockets, document.memory)
+    )
     return TenantLimits(
-        told.txs_a_second,
-        told.burst,
-        told.open_txs,
-        told.held_bytes,
-        told.clients,
-        told.host_connections,
+        document.txs_a_second,
+        document.burst,
+        document.open_txs,
+        document.held_bytes,
+        document.clients,
+        document.host_connections,
         cpu,
         sockets,
         memory,
     )
 
 
-def limits_document(limits: TenantLimits) -> LimitsDocument:
+def limits_to_document(limits: TenantLimits) -> LimitsDocument:
     cpu, sockets, memory = (PartDocument(part.least, part.most) for part in (limits.cpu, limits.sockets, limits.memory))
     return LimitsDocument(
         limits.txs_a_second,
@@ -247,48 +255,52 @@
     )
 
 
-def rules_of(told: RulesDocument) -> RuleSettings:
+def rules_from_document(document: RulesDocument) -> RuleSettings:
     return RuleSettings(
-        told.drain_grace_ms * MS, told.cold_share, told.warm_within_ms * MS, told.tip_multiple, told.tip_window_ms * MS
+        document.drain_grace_ms * MS,
+        document.cold_share,
+        document.warm_within_ms * MS,
+        document.tip_multiple,
+        document.tip_window_ms * MS,
     )
 
 
-def rules_document(rules: RuleSettings) -> RulesDocument:
+def rules_to_document(rules: RuleSettings) -> RulesDocument:
     return RulesDocument(
         rules.drain_grace // MS, rules.cold_share, rules.warm_within // MS, rules.tip_multiple, rules.tip_window // MS
     )
 
 
-def tenant_of(told: TenantDocument) -> Tenant:
-    """Raises InvalidField at the first thing that is wrong with it by itself."""
+def tenant_from_document(document: TenantDocument) -> Tenant:
+    """Returns the tenant, validated by itself. Raises InvalidField for the first invalid field."""
     tenant = Tenant(
-        told.name,
-        tuple(parse_endpoint(one, f"listeners[{i}]") for i, one in enumerate(told.listeners)),
-        servers_of(told.servers),
-        tuple(map(profile_of, told.profiles)),
-        rules_of(told.rules),
-        limits_of(told.limits),
-        tuple(Share(one.name, one.txs_a_second) for one in told.shares),
-        source=parse_endpoint(told.source, "source") if told.source is not None else None,
+        document.name,
+        tuple(parse_endpoint(one, f"listeners[{i}]") for i, one in enumerate(document.listeners)),
+        servers_from_documents(document.servers),
+        tuple(map(profile_from_document, document.profiles)),
+        rules_from_document(document.rules),
+        limits_from_document(document.limits),
+        tuple(Share(one.name, one.txs_a_second) for one in document.shares),
+        source=parse_endpoint(document.source, "source") if document.source is not None else None,
     )
     validate(tenant)
     return tenant
 
 
-def document_of(tenant: Tenant) -> TenantDocument:
+def tenant_to_document(tenant: Tenant) -> TenantDocument:
     return TenantDocument(
         tenant.name,
         tuple(map(format_endpoint, tenant.listeners)),
-        tuple(map(profile_document, tenant.profiles)),
-        tuple(map(server_document, tenant.servers)),
+        tuple(map(profile_to_document, tenant.profiles)),
+        tuple(map(server_to_document, tenant.servers)),
         format_endpoint(tenant.source) if tenant.source else None,
-        rules_document(tenant.rules),
-        limits_document(tenant.limits),
+        rules_to_document(tenant.rules),
+        limits_to_document(tenant.limits),
         tuple(ShareDocument(one.name, one.txs_a_second) for one in tenant.shares),
     )
 
 
-# ---- as the store keeps it: with keys (by their digests) and state ----
+# ---- stored form: with the API keys (by their digests) and the state ----
 
 
 class StoredKey(Document, frozen=True):
@@ -305,10 +317,11 @@
     keys: tuple[StoredKey, ...]
 
 
-def plain(what: Any) -> Any:
-    """As it comes back from JSON: objects and lists, no tuples."""
-    return msgspec.json.decode(msgspec.json.encode(what))
+def to_json_value(value: Any) -> Any:
+    """Returns the value as JSON decoding would give it: dicts and lists, no tuples or documents."""
+    return msgspec.json.decode(msgspec.json.encode(value))
 
 
-def state_of(word: str) -> State:
-    return State(word)
+def parse_state(name: str) -> State:
+    """Returns the state of that name. Raises ValueError."""
+    return State(name)
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -23,7 +23,14 @@
     TimeCeiling,
 )
 from ternquay.hosted.shared.scheduler import FairScheduler
-from ternquay.hosted.tenants.documents import TenantDocument, decoded, document_of, plain, read, tenant_of
+from ternquay.hosted.tenants.documents import (
+    TenantDocument,
+    convert_document,
+    decode_document,
+    tenant_from_document,
+    tenant_to_document,
+    to_json_value,
+)
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.shared_hosts import FAILURES_TO_EJECT, GONE_RETENTION_NS, ListEntry, SharedHostTable
 from ternquay.hosted.tenants.tenant import ApiKey, Endpoint, Guarantee, InvalidField, Scope
@@ -215,10 +222,10 @@
 
 
 def test_a_tenant_goes_through_its_document_and_back_unchanged() -> None:
-    one = tenant_of(read(TenantDocument, TOLD))
-    again = tenant_of(decoded(TenantDocument, msgspec.json.encode(document_of(one))))
+    one = tenant_from_document(convert_document(TenantDocument, TOLD))
+    again = tenant_from_document(decode_document(TenantDocument, msgspec.json.encode(tenant_to_document(one))))
     assert again == one and one.servers[1].endpoint == Endpoint("::1", 81)
-    assert plain(document_of(one))["limits"]["cpu"] == {"least": 0.1, "most": 0.8}
+    assert to_json_value(tenant_to_document(one))["limits"]["cpu"] == {"least": 0.1, "most": 0.8}
 
 
 @pytest.mark.parametrize(
@@ -238,7 +245,7 @@
 )
 def test_what_is_no_tenant_names_its_field(change: dict[str, Any], field: str) -> None:
     with pytest.raises(InvalidField) as fault:
-        tenant_of(read(TenantDocument, TOLD | change))
+        tenant_from_document(convert_document(TenantDocument, TOLD | change))
     assert fault.value.field == field
 
 
@@ -248,7 +255,7 @@
 @pytest.mark.parametrize("body", [b"", b"{", b"\xff\xfe", b"[" * 100_000, DEEP, b"null"])
 def test_what_can_not_be_read_is_unfit_and_nothing_worse(body: bytes) -> None:
     with pytest.raises(InvalidField):
-        decoded(TenantDocument, body)
+        decode_document(TenantDocument, body)
 
 
 # ---- keys and calls ----
@@ -362,7 +369,7 @@
 
 
 def test_a_change_wants_the_version_that_it_is_meant_for() -> None:
-    path, body = "/v1/tenants/sur/limits", plain(document_of(tenant("sur")))["limits"]
+    path, body = "/v1/tenants/sur/limits", to_json_value(tenant_to_document(tenant("sur")))["limits"]
     assert handled("PUT", path, body=body).status == 428
     stale = handled("PUT", path, body=body, if_match='"99"')
     assert stale.status == 412 and stale.headers["etag"] == '"1"'
@@ -439,8 +446,8 @@
 
 
 def test_a_plan_shows_what_differs_and_nothing_where_nothing_does() -> None:
-    file = read(TenantDocument, TOLD)
-    there = [{"version": 4, "state": "active", "tenant": plain(document_of(tenant_of(file)))}]
+    file = convert_document(TenantDocument, TOLD)
+    there = [{"version": 4, "state": "active", "tenant": to_json_value(tenant_to_document(tenant_from_document(file)))}]
     assert planned([(file, "active")], there) == []
     there[0]["tenant"]["servers"][0]["started_ms"] = 77  # stamped by the API; the file does not tell of it
     there[0]["tenant"]["limits"]["burst"] = 3
