--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -29,8 +29,16 @@
 from ternquay.consensus.messages import Member, Rejection, decode_message, encode
 from ternquay.hosted.administration.api import Call, Reply, problem
 from ternquay.hosted.fleet.store import Applied, FleetStore, Forgot, Founded, Job, Life, carried_of
-from ternquay.hosted.service import Fellows
-from ternquay.hosted.store import Answered, Commit, Logged, Noted, StoreError, kept, unkept
+from ternquay.hosted.service import FleetConfig
+from ternquay.hosted.store import (
+    AuditRecord,
+    ChangeRecord,
+    Commit,
+    StoredReply,
+    StoreError,
+    decode_tenant,
+    encode_tenant,
+)
 from ternquay.hosted.tenants.registry import Registry, TenantEntry
 from ternquay.hosted.tenants.tenant import InvalidField
 from ternquay.peers.frames import FRAME_VERSION, DurableState, Frame, FrameKind, FrameRejected, open_frame, seal
@@ -81,7 +89,7 @@
 
 
 def change_of(commit: Commit) -> Change:
-    one, answered, noted = commit.logged, commit.answered, commit.noted
+    one, answered, noted = commit.record, commit.reply, commit.audit
     return Change(
         one.tenant,
         one.version,
@@ -89,24 +97,24 @@
         one.who,
         one.kind,
         one.body,
-        (kept(commit.entry.tenant), commit.entry.version, commit.entry.incarnation) if commit.entry else None,
-        (answered.who, answered.key, answered.asked, answered.status, answered.body) if answered else None,
-        (noted.who, noted.peer, noted.call, noted.status, noted.why) if noted else None,
+        (encode_tenant(commit.entry.tenant), commit.entry.version, commit.entry.incarnation) if commit.entry else None,
+        (answered.who, answered.key_digest, answered.call_digest, answered.status, answered.body) if answered else None,
+        (noted.who, noted.peer, noted.call, noted.status, noted.reason) if noted else None,
     )
 
 
 def commit_of(told: Change) -> Commit:
     """Raises StoreError."""
-    entry = TenantEntry(unkept(told.entry[0]), *told.entry[1:]) if told.entry else None
+    entry = TenantEntry(decode_tenant(told.entry[0]), *told.entry[1:]) if told.entry else None
     answered = None
     if told.answered is not None:
         who, key, asked, status, body = told.answered
-        answered = Answered(who, key, asked, status, told.version, body)
+        answered = StoredReply(who, key, asked, status, told.version, body)
     return Commit(
-        Logged(told.version, told.at, told.who, told.tenant, told.kind, told.detail),
+        ChangeRecord(told.version, told.at, told.who, told.tenant, told.kind, told.detail),
         entry,
         answered,
-        Noted(told.at, *told.noted) if told.noted else None,
+        AuditRecord(told.at, *told.noted) if told.noted else None,
     )
 
 
@@ -118,7 +126,7 @@
     def __init__(
         self,
         reactor: Any,
-        fellows: Fellows,
+        fellows: FleetConfig,
         host: Any,
         stored: Any,
         store: FleetStore,
@@ -127,9 +135,9 @@
     ) -> None:
         self.reactor, self.fellows, self.host, self.stored, self.store = reactor, fellows, host, stored, store
         self.clock, self.random = clock, Random()
-        self.timing = Timing.for_lease(fellows.lease, fellows.go_on)
-        self.patience = PATIENCE + 3 * fellows.lease / SECOND
-        others = {name: place for name, place in fellows.places.items() if name != fellows.me}
+        self.timing = Timing.for_lease(fellows.lease_ns, fellows.serve_without_majority)
+        self.patience = PATIENCE + 3 * fellows.lease_ns / SECOND
+        others = {name: place for name, place in fellows.endpoints.items() if name != fellows.own_name}
         self.peer_table = PeerTable(tuple(others), SUSPECT)
         self.links = Links(
             reactor,
@@ -151,7 +159,7 @@
         self.unfit = ""  # why what is in force can't be had here
         self.unread = ""  # what of it can't be read here: for good, and all that follows waits for it
         self.waiters: dict[tuple[int, int], Deferred[None]] = {}
-        self.unsaved: dict[tuple[str, bytes], Answered] = {}  # answers that are not on disk yet
+        self.unsaved: dict[tuple[str, bytes], StoredReply] = {}  # answers that are not on disk yet
         self.passed: dict[int, tuple[str, Deferred[Reply]]] = {}  # to whom
         self.led = False  # as of the last look
         self.flushes: list[Deferred[None]] = []
@@ -165,13 +173,15 @@
         now = self.clock()
         self._unprepare()
         self.life, self.founded = life, life.founded
-        self.me = Member(self.fellows.me, life.disk)
+        self.me = Member(self.fellows.own_name, life.disk)
         self.core = Core(self.me, life.kept, self.timing, self.random, life.boot, now)
         self.durable = DurableState(
             life.kept.term, bool(life.kept.voted_for), life.kept.log.last_term, life.kept.log.last_index
         )
         empty = self.founded is None and not life.was_of_fleet and not self.core.log.last_index
-        self.founding = Founding(self.me, tuple(self.fellows.places), self.agreed_registry.version) if empty else None
+        self.founding = (
+            Founding(self.me, tuple(self.fellows.endpoints), self.agreed_registry.version) if empty else None
+        )
         self._hold()
 
     # ---- beginning and end ----
@@ -181,8 +191,10 @@
         try:
             self.links.start()
         except CannotListenError as fault:
-            raise InvalidField("peers.members", f"{self.fellows.me}: can't be bound: {fault.socketError}") from fault
-        many = len(self.fellows.places)
+            raise InvalidField(
+                "peers.members", f"{self.fellows.own_name}: can't be bound: {fault.socketError}"
+            ) from fault
+        many = len(self.fellows.endpoints)
         if many % 2 == 0 or many == 1:
             logger.warning("{} members bear the loss of {}, as {} would", many, (many - 1) // 2, max(1, many - 1))
         self._found()
@@ -395,8 +407,8 @@
         """Whether this machine can have it: its listeners are bound, and accept nothing yet."""
         try:
             commit = commit_of(_change.decode(body))
-            name = commit.logged.tenant
-            if commit.entry is None and name in self.host.tenancies and not self.host.tenancies[name].over():
+            name = commit.record.tenant
+            if commit.entry is None and name in self.host.runtimes and not self.host.runtimes[name].over():
                 raise InvalidField("state", "transactions of it are still open")
             self._unprepare()
             self.prepared[at] = name, self.host.prepare(self._after(commit), name)
@@ -412,10 +424,10 @@
         self.prepared.clear()
 
     def _after(self, commit: Commit) -> Registry:
-        tenants = {name: entry for name, entry in self.agreed_registry.tenants.items() if name != commit.logged.tenant}
+        tenants = {name: entry for name, entry in self.agreed_registry.tenants.items() if name != commit.record.tenant}
         if commit.entry is not None:
-            tenants[commit.logged.tenant] = commit.entry
-        return Registry(MappingProxyType(tenants), commit.logged.version)
+            tenants[commit.record.tenant] = commit.entry
+        return Registry(MappingProxyType(tenants), commit.record.version)
 
     def _outcome(self, one: Outcome) -> None:
         if self.unread:
@@ -437,14 +449,14 @@
             logger.error("a change that is in force can't be read here; nothing is taken until the next start")
             return
         self._in_force(commit, prepared)
-        if commit.answered is not None:
-            self.unsaved[(commit.answered.who, commit.answered.key)] = commit.answered
+        if commit.reply is not None:
+            self.unsaved[(commit.reply.who, commit.reply.key_digest)] = commit.reply
         self._carry(Applied(one.index, commit))
         if waiting is not None:
             waiting.callback(None)
 
     def _in_force(self, commit: Commit, prepared: Any) -> None:
-        logged = commit.logged
+        logged = commit.record
         self.agreed_registry = after = self._after(commit)
         try:
             if self.unfit:
@@ -487,8 +499,8 @@
         if self.ended:
             return
         self.unfit, there = "", self.agreed_registry
-        for name in sorted({*there.tenants, *self.host.tenancies}):
-            tenancy = self.host.tenancies.get(name)
+        for name in sorted({*there.tenants, *self.host.runtimes}):
+            tenancy = self.host.runtimes.get(name)
             if there.tenants.get(name) == (tenancy.entry if tenancy is not None else None):
                 continue
             try:
@@ -536,10 +548,10 @@
                         job.term, bool(job.voted_for), self.durable.last_term, self.durable.last
                     )
             elif isinstance(job, Applied):
-                if job.change is not None and job.change.answered is not None:
-                    self.unsaved.pop((job.change.answered.who, job.change.answered.key), None)
-                if job.index - self.core.log.base_index >= self.fellows.log_kept * 5 // 4:
-                    self._forget(job.index - self.fellows.log_kept)
+                if job.change is not None and job.change.reply is not None:
+                    self.unsaved.pop((job.change.reply.who, job.change.reply.key_digest), None)
+                if job.index - self.core.log.base_index >= self.fellows.retained_log_entries * 5 // 4:
+                    self._forget(job.index - self.fellows.retained_log_entries)
         if number:
             self.core.write_completed(number, self.clock())
             self._drive()
@@ -619,7 +631,7 @@
         if self.led and not self.core.is_leader():
             # Whether the next leader carries it on is mostly known by then; else whoever asked asks again.
             for key in self.waiters:
-                self.reactor.callLater(self.fellows.lease / SECOND, self._unknown, key)
+                self.reactor.callLater(self.fellows.lease_ns / SECOND, self._unknown, key)
         self.led = self.core.is_leader()
         for leader, reply in list(self.passed.values()):
             if self.core.leader not in ("", leader):
@@ -640,7 +652,7 @@
         reply: Deferred[Reply] = Deferred()
         self.passed[id] = leader, reply
         # A lost word is not waited for: whoever asked asks again, with its key, and is told what became of it.
-        timer = self.reactor.callLater(1 + self.fellows.lease / SECOND, reply.callback, UNKNOWN)
+        timer = self.reactor.callLater(1 + self.fellows.lease_ns / SECOND, reply.callback, UNKNOWN)
 
         def over(told: Reply) -> Reply:
             self.passed.pop(id, None)
@@ -671,7 +683,7 @@
         text = msgspec.msgpack.encode(Passed(id, None, (reply.status, body, dict(reply.headers))))
         self.links.send(to, self._frame(to, FrameKind.REPLY, text))
 
-    def pending_answer(self, who: str, key: bytes) -> Answered | None:
+    def pending_answer(self, who: str, key: bytes) -> StoredReply | None:
         return self.unsaved.get((who, key))
 
     def remove_member(self, name: str) -> Reply:
@@ -699,7 +711,7 @@
         membership = self.core.membership()
         disks = {one.name: one.disk_id for one in membership.members}
         rows = []
-        for name in sorted({*self.fellows.places, *disks}):
+        for name in sorted({*self.fellows.endpoints, *disks}):
             mine, ping = name == self.me.name, self.pings.get(name)
             why = self.why_not() if mine else ping.why_not if ping else ""
             rows.append(
@@ -726,8 +738,8 @@
             "committed": self.core.commit_index,
             "under_way": bool(open_at),
             "waits_for": self.core.waiting_for(now) if self.is_leader() else [],
-            "alone": "go-on" if self.fellows.go_on else "stop",
-            "lease_ms": self.fellows.lease // MS,
+            "alone": "go-on" if self.fellows.serve_without_majority else "stop",
+            "lease_ms": self.fellows.lease_ns // MS,
             "members": rows,
             "out": list(membership.removed),
             "dropped": dict(sorted(self.links.drop_counts.items())),
