--- a/ternquay/net/config.py
+++ b/ternquay/net/config.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ProcessConfig:
+class BalancerConfig:
     path: str  # the file, which may be read again
     name: str
     listen: Address
@@ -77,7 +77,7 @@
     return value
 
 
-def read_config(path: str = "", env: Mapping[str, str] = os.environ) -> ProcessConfig:
+def read_config(path: str = "", env: Mapping[str, str] = os.environ) -> BalancerConfig:
     """From the file named, or the one in EDGE_CONFIG; the file goes before the environment."""
     path = path or env.get("EDGE_CONFIG", "")
     told = read_file(path)
@@ -111,7 +111,7 @@
         discovery = parse_address(told.get("discovery", env.get("EDGE_DISCOVERY")), "discovery")
     except FieldError as fault:
         raise ConfigError(str(fault)) from fault
-    return ProcessConfig(
+    return BalancerConfig(
         path=path,
         name=str(told.get("name") or env.get("EDGE_NAME", "")),
         listen=listen,
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -19,7 +19,7 @@
 from ternquay.balance import Balancer
 from ternquay.net import library_log, meta
 from ternquay.net.closing import accept_all_waiting, after_answers_sent
-from ternquay.net.config import ConfigError, ProcessConfig, read_config
+from ternquay.net.config import BalancerConfig, ConfigError, read_config
 from ternquay.net.discovery import Discovery
 from ternquay.net.dispatcher import Dispatcher, cancel_call
 from ternquay.net.frontend import Frontend
@@ -68,7 +68,7 @@
 class Service:
     """The assembled balancer."""
 
-    def __init__(self, reactor: Any, config: ProcessConfig, decisions: type[Balancer] = Balancer) -> None:
+    def __init__(self, reactor: Any, config: BalancerConfig, decisions: type[Balancer] = Balancer) -> None:
         self.reactor, self.config, self.limits = reactor, config, config.limits
         self.start_times = StartTimes(lambda: time.time_ns() - int(reactor.seconds() * SECOND))
         self.sockets = sockets = Sockets(self.limits)
@@ -303,7 +303,7 @@
             self.reactor.stop()
 
 
-def run(config: ProcessConfig, decisions: type[Balancer] = Balancer) -> None:
+def run(config: BalancerConfig, decisions: type[Balancer] = Balancer) -> None:
     """Serves until it is told to end; other decisions than the product's are for comparisons."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to read again: never an end
     logger.remove()
