--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -425,7 +425,7 @@
     """Serves until SIGTERM. Raises ServiceConfigError if it can't begin."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to read again: never an end
     logs.begin(service.log.json, service.log.level)
-    library_log.begin()
+    library_log.install()
     reactor = MonotonicReactor()
     installReactor(reactor)
     running = ServiceProcess(reactor, service)
--- a/ternquay/net/listing.py
+++ b/ternquay/net/listing.py
@@ -8,12 +8,12 @@
 from ternquay.facts import choice, number
 from ternquay.net.limits import MS
 
-STANDINGS = {"up": m.HostStatus.READY, "draining": m.HostStatus.DRAINING, "removed": m.HostStatus.GONE}
-REVISION_MOST = 2**53  # what any reader of JSON still tells apart
-TIME_MOST = 253_402_300_799_999  # the year 9999, in milliseconds
+STATUS_BY_PHASE = {"up": m.HostStatus.READY, "draining": m.HostStatus.DRAINING, "removed": m.HostStatus.GONE}
+MAX_REVISION = 2**53  # what any reader of JSON still tells apart
+MAX_TIME_MS = 253_402_300_799_999  # the year 9999, in milliseconds
 
 
-class ToldWrong(ValueError):
+class FieldError(ValueError):
     """What was told from outside can't be used; the text names the field."""
 
 
@@ -27,22 +27,22 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Member:
+class HostEntry:
     """One line of the list of cache hosts, by its names."""
 
     id: str
-    where: Address
+    address: Address
     zone: str
     kind: str
     cell: int
-    standing: m.HostStatus
-    hint: float
-    since: int
-    part: float = 1.0
+    status: m.HostStatus
+    weight: float
+    started_at: int
+    cold_fraction: float = 1.0
 
 
-def address(text: Any, field: str) -> Address:
-    """Raises ToldWrong."""
+def parse_address(text: Any, field: str) -> Address:
+    """Raises FieldError."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     # More digits than a port has are not even converted, which would take long and may raise.
     good = port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536
@@ -52,47 +52,47 @@
     except ValueError:
         good = False
     if not good:
-        raise ToldWrong(f"{field}: an address and a port are wanted, not {text!r:.60}")
+        raise FieldError(f"{field}: an address and a port are wanted, not {text!r:.60}")
     return Address(host, int(port))
 
 
-def read_member(told: Any, at: str, since_offset: int) -> Member:
-    """Raises ToldWrong, KeyError or ValueError."""
+def parse_host_entry(told: Any, at: str, clock_offset: int) -> HostEntry:
+    """Raises FieldError, KeyError or ValueError."""
     if not isinstance(told, dict):
-        raise ToldWrong(f"{at}: an object is wanted, not {told!r:.40}")
+        raise FieldError(f"{at}: an object is wanted, not {told!r:.40}")
     name = told.get("id")
     if not isinstance(name, str) or not name:
-        raise ToldWrong(f"{at}.id: a name is wanted, not {name!r:.40}")
-    since = int(number(told, "up_since_ms", at, 0, TIME_MOST, 0))
-    return Member(
+        raise FieldError(f"{at}.id: a name is wanted, not {name!r:.40}")
+    started_ms = int(number(told, "up_since_ms", at, 0, MAX_TIME_MS, 0))
+    return HostEntry(
         id=name,
-        where=address(told.get("host_port"), f"{at}.host_port"),
+        address=parse_address(told.get("host_port"), f"{at}.host_port"),
         zone=str(told.get("locality", "")),
         kind=str(told.get("flavor", "")),
-        cell=int(number(told, "cell", at, 0, REVISION_MOST, 0)),
-        standing=choice(told, "phase", at, STANDINGS),
-        hint=float(number(told, "size", at, 0, 1e6, 0.0)),
-        since=since * MS - since_offset if since else 0,
+        cell=int(number(told, "cell", at, 0, MAX_REVISION, 0)),
+        status=choice(told, "phase", at, STATUS_BY_PHASE),
+        weight=float(number(told, "size", at, 0, 1e6, 0.0)),
+        started_at=started_ms * MS - clock_offset if started_ms else 0,
     )
 
 
-def read_list(told: Any, since_offset: int) -> tuple[int, bool, tuple[Member, ...]]:
-    """The revision, whether the list is whole, and its members. Raises ToldWrong."""
+def parse_list(told: Any, clock_offset: int) -> tuple[int, bool, tuple[HostEntry, ...]]:
+    """The revision, whether the list is whole, and its members. Raises FieldError."""
     if not isinstance(told, dict) or not isinstance(told.get("members"), list):
-        raise ToldWrong("members: a list is wanted")
+        raise FieldError("members: a list is wanted")
     if not isinstance(told.get("complete"), bool):
         # Against a word that counts as true: the list would seem whole, and all that it lacks gone.
-        raise ToldWrong(f"complete: true or false is wanted, not {told.get('complete')!r:.40}")
+        raise FieldError(f"complete: true or false is wanted, not {told.get('complete')!r:.40}")
     try:
-        revision = int(number(told, "revision", "", 0, REVISION_MOST))
-        members = tuple(read_member(one, f"members[{i}]", since_offset) for i, one in enumerate(told["members"]))
+        revision = int(number(told, "revision", "", 0, MAX_REVISION))
+        members = tuple(parse_host_entry(one, f"members[{i}]", clock_offset) for i, one in enumerate(told["members"]))
     except KeyError as fault:
-        raise ToldWrong(f"{fault.args[0]}: is missing") from fault
+        raise FieldError(f"{fault.args[0]}: is missing") from fault
     except ValueError as fault:
-        raise ToldWrong(str(fault)) from fault
+        raise FieldError(str(fault)) from fault
     seen: dict[str, int] = {}
     for i, member in enumerate(members):
         if seen.setdefault(member.id, i) != i:
             # Which of the two counts nobody can tell, and one of them may be a drain.
-            raise ToldWrong(f"members[{i}].id: {member.id!r:.40} is members[{seen[member.id]}] already")
+            raise FieldError(f"members[{i}].id: {member.id!r:.40} is members[{seen[member.id]}] already")
     return revision, told["complete"], members
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -9,7 +9,7 @@
 from ternquay import model as m
 from ternquay.balance import FORGET_HOST_AFTER_NS, SECOND
 from ternquay.facts import read_start
-from ternquay.net.launch import LaunchError, read_launch
+from ternquay.net.config import ConfigError, read_config
 from tests.helper import FACTS, Net, Play, line, member
 from tests.test_net import mg, va
 from tests.test_review_links import told
@@ -27,10 +27,10 @@
     path = tmp_path / "x.json"
     for value in (1, "true", None):
         path.write_text(json.dumps(told(1, 2, settings=facts(value))))
-        with pytest.raises(LaunchError, match=r"^settings: Invariants\.GoneIsAdvice: true or false is wanted"):
-            read_launch(str(path), {})
+        with pytest.raises(ConfigError, match=r"^settings: Invariants\.GoneIsAdvice: true or false is wanted"):
+            read_config(str(path), {})
     path.write_text(json.dumps(told(1, 2, settings=facts(True))))
-    assert read_launch(str(path), {}).start.gone_is_advisory
+    assert read_config(str(path), {}).settings.gone_is_advisory
 
 
 def sent(play: Play, many: int = 40) -> set[int]:
@@ -121,9 +121,7 @@
     client.feed(mg(2))
     [w for w in net.wires if w.name == "host 1" and not w.lost][-1].feed(va(2))
     net.run(FORGET_HOST_AFTER_NS // 1_000_000 + 3000)
-    assert (
-        not net.dispatcher.hosts and not net.dispatcher.members and not net.dispatcher.doubted and not net.pool.places
-    )
+    assert not net.dispatcher.hosts and not net.dispatcher.members and not net.dispatcher.doubted and not net.pool.hosts
     assert not net.dispatcher.balancer.hosts
     net.list(member(1))
     net.run(1)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -15,9 +15,9 @@
 from typer.testing import CliRunner
 
 from ternquay.cli import app
+from ternquay.net.config import ConfigError, read_config
 from ternquay.net.discovery import Discovery
-from ternquay.net.launch import LaunchError, read_launch
-from ternquay.net.listing import Address, ToldWrong
+from ternquay.net.listing import Address, FieldError
 from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.serve import Service
 from ternquay.net.start_times import StartTimes
@@ -290,10 +290,10 @@
         net.list(member(host), member(host - 1, "removed"))
         net.list(member(host + 100, "removed"))
     net.run(1)
-    assert idle.lost and list(net.pool.places) == [0, 38]
+    assert idle.lost and list(net.pool.hosts) == [0, 38]
     busy.feed(va(1))
     net.run(1)
-    assert busy.lost and len(net.pool.places) == len(net.dispatcher.hosts) == len(net.dispatcher.balancer.hosts) == 1
+    assert busy.lost and len(net.pool.hosts) == len(net.dispatcher.hosts) == len(net.dispatcher.balancer.hosts) == 1
     assert net.sockets.hosts == 0
     net.matches("net_gone")
 
@@ -322,9 +322,9 @@
     first, second = host, net.accept()
     first.feed(va(2, b"x" * 500_000)[:400_000], cut=65536)
     second.feed(va(3, b"x" * 500_000)[:400_000], cut=65536)
-    assert second.lost and not first.lost and 0 < net.pool.kept <= 400_000
+    assert second.lost and not first.lost and 0 < net.pool.buffered_bytes <= 400_000
     net.run(600)
-    assert first.lost and not net.pool.kept
+    assert first.lost and not net.pool.buffered_bytes
 
 
 def test_connections_idle_for_as_long_as_others_that_broke_are_not_used_for_a_while() -> None:
@@ -377,7 +377,7 @@
         {"revision": 1, "complete": True, "members": [member(1) | {"host_port": "nowhere"}]},
     )
     for told in odd:
-        with pytest.raises(ToldWrong):
+        with pytest.raises(FieldError):
             watch.take(told)
     net.client().feed(mg(1))
     assert len(net.reactor.tcpClients) == 1
@@ -472,8 +472,8 @@
 def test_a_bad_configuration_is_named(tmp_path: Path, change: dict[str, Any], named: str) -> None:
     path = tmp_path / "told.json"
     path.write_bytes(orjson.dumps(TOLD | change))
-    with pytest.raises(LaunchError, match=named):
-        read_launch(str(path), {})
+    with pytest.raises(ConfigError, match=named):
+        read_config(str(path), {})
 
 
 def test_the_command_line_says_what_is_wrong_in_one_line_and_with_a_status(tmp_path: Path) -> None:
@@ -487,8 +487,8 @@
 
 def test_no_configuration_at_all_is_named(tmp_path: Path) -> None:
     for env in ({}, {"EDGE_CONFIG": str(tmp_path / "none")}):
-        with pytest.raises(LaunchError, match="EDGE_CONFIG"):
-            read_launch("", env)
+        with pytest.raises(ConfigError, match="EDGE_CONFIG"):
+            read_config("", env)
 
 
 def test_a_new_configuration_moves_the_watch_and_a_bad_one_changes_nothing(
@@ -499,7 +499,7 @@
     net = Net()
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    service = Service(net.reactor, read_launch(str(path), {}))
+    service = Service(net.reactor, read_config(str(path), {}))
     reload = service.signals()[SIGHUP]
     service.begin()
     bad = b'{"discovery":', orjson.dumps(TOLD | {"discovery": 5}), orjson.dumps(TOLD | {"settings": 3})
@@ -511,10 +511,10 @@
     # What the old address had written by then counts as told; what it tells later is nobody's.
     net.run(101)
     agent.calls[0].callback(Response(200, orjson.dumps({"revision": 9, "complete": True, "members": []})))
-    assert not moved.ended and len(service.pool.places) == 1
+    assert not moved.ended and len(service.pool.hosts) == 1
     told_anew = {"revision": 2, "complete": True, "members": [member(2)]}
     agent.calls[1].callback(Response(200, orjson.dumps(told_anew)))
-    assert list(service.pool.places) == [1] and list(service.dispatcher.hosts) == ["h2"]
+    assert list(service.pool.hosts) == [1] and list(service.dispatcher.hosts) == ["h2"]
     agent.calls[-1].errback(connectionDone)
     net.run(1500)
     path.write_bytes(orjson.dumps(TOLD))
@@ -529,7 +529,7 @@
     path.write_bytes(orjson.dumps(TOLD))
     net = Net()
     reactor = net.reactor
-    service = Service(reactor, read_launch(str(path), {}))
+    service = Service(reactor, read_config(str(path), {}))
     net.frontend, net.dispatcher = service.frontend, service.dispatcher
     service.begin()
     reactor.running = True
