--- a/ternquay/hosted/service.py
+++ b/ternquay/hosted/service.py
@@ -13,20 +13,20 @@
 from ternquay.hosted.tenants.documents import (
     Document,
     EndpointText,
-    Millis,
+    Milliseconds,
     Name,
     TenantDocument,
-    Wall,
+    WallClockMilliseconds,
+    convert_document,
     parse_endpoint,
-    plain,
-    read,
-    state_of,
-    tenant_of,
+    parse_state,
+    tenant_from_document,
+    to_json_value,
 )
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
-from ternquay.hosted.tenants.tenancy import Process
-from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Key, Scope, Tenant, check_endpoint
-from ternquay.net.launch import descriptors
+from ternquay.hosted.tenants.runtime import ProcessConfig
+from ternquay.hosted.tenants.tenant import ApiKey, Endpoint, InvalidField, Scope, Tenant, check_endpoint
+from ternquay.net.config import descriptor_limit
 from ternquay.peers.frames import MIN_KEY_BYTES
 
 MS = 1_000_000
@@ -34,7 +34,7 @@
 Bounded = Annotated[int, msgspec.Meta(ge=1, le=10**6)]
 
 
-class ServiceError(ValueError):
+class ServiceConfigError(ValueError):
     """The file can't be used; the text names it and the field."""
 
 
@@ -59,8 +59,8 @@
 class OperatorDocument(Document, frozen=True):
     name: Name
     digest: Annotated[str, msgspec.Meta(pattern="^[0-9a-f]{64}$")]
-    since_ms: Wall = 0
-    until_ms: Wall = 0
+    since_ms: WallClockMilliseconds = 0
+    until_ms: WallClockMilliseconds = 0
 
 
 class ApiDocument(Document, frozen=True):
@@ -71,7 +71,7 @@
     burst: Bounded = 100
     connections: Bounded = 32
     body_bytes: Bounded = 1 << 19
-    idle_ms: Millis = 10_000
+    idle_ms: Milliseconds = 10_000
 
 
 class LogDocument(Document, frozen=True):
@@ -79,13 +79,13 @@
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
 
 
-class ListedDocument(TenantDocument, frozen=True):
+class ListedTenantDocument(TenantDocument, frozen=True):
     """A tenant in the file, where there is no store."""
 
     state: Literal["active", "suspended"] = "active"
 
 
-class FellowDocument(Document, frozen=True):
+class MemberDocument(Document, frozen=True):
     name: Name
     place: EndpointText
 
@@ -96,7 +96,7 @@
     fleet: Name
     me: Name
     key_file: Annotated[str, msgspec.Meta(min_length=1)]
-    members: tuple[FellowDocument, ...]
+    members: tuple[MemberDocument, ...]
     listen: EndpointText | None = None  # where the others' words come in, if not at its own place in `members`
     address: str = ""  # of this machine; what tenants' listeners on 0.0.0.0 are bound to
     lease_ms: Annotated[int, msgspec.Meta(ge=300, le=60_000)] = 1000
@@ -110,70 +110,70 @@
     store: StoreDocument | None = None
     api: ApiDocument | None = None
     log: LogDocument = LogDocument()
-    tenants: tuple[ListedDocument, ...] = ()
+    tenants: tuple[ListedTenantDocument, ...] = ()
     peers: PeersDocument | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Fellows:
+class FleetConfig:
     """The fleet as the file has it; `lease` in nanoseconds."""
 
     fleet: str
-    me: str
-    places: Mapping[str, Endpoint]
+    own_name: str
+    endpoints: Mapping[str, Endpoint]
     listen: Endpoint
     key: bytes
-    lease: int
-    go_on: bool
+    lease_ns: int
+    serve_without_majority: bool
     address: str
-    log_kept: int
+    retained_log_entries: int
 
 
-class Service(msgspec.Struct, frozen=True):
+class ServiceConfig(msgspec.Struct, frozen=True):
     """The file as it is used."""
 
     path: str
     name: str
-    process: Process
+    process: ProcessConfig
     store: str
     api: ApiDocument | None
     listen: Endpoint | None
-    operators: tuple[Key, ...]
+    operators: tuple[ApiKey, ...]
     log: LogDocument
     registry: Registry  # of the file, where there is no store
-    fellows: Fellows | None = None
+    fellows: FleetConfig | None = None
 
 
 def read_tables(path: Path) -> dict[str, Any]:
-    """Raises ServiceError."""
+    """Raises ServiceConfigError."""
     try:
         text = path.read_text(encoding="utf-8")
         told = tomllib.loads(text)
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as fault:
-        raise ServiceError(f"{path}: {fault}") from fault
+        raise ServiceConfigError(f"{path}: {fault}") from fault
     # Against a file that is half written: cut off between two tables it is TOML, and all that it lacks would be ended.
     lines = [line for line in (line.partition("#")[0].strip() for line in text.splitlines()) if line]
     if not lines or lines[-1] != "[end]":
-        raise ServiceError(f"{path}: end: the last line is not [end], so the file may be cut off")
+        raise ServiceConfigError(f"{path}: end: the last line is not [end], so the file may be cut off")
     del told["end"]
     return told
 
 
-def read_service(path: Path) -> Service:
-    """Raises ServiceError."""
+def read_service(path: Path) -> ServiceConfig:
+    """Raises ServiceConfigError."""
     try:
-        return _service(path, read(ServiceDocument, read_tables(path)))
+        return _service(path, convert_document(ServiceDocument, read_tables(path)))
     except InvalidField as fault:
-        raise ServiceError(f"{path}: {fault.field}: {fault.reason}") from fault
+        raise ServiceConfigError(f"{path}: {fault.field}: {fault.reason}") from fault
 
 
-def _service(path: Path, told: ServiceDocument) -> Service:
+def _service(path: Path, told: ServiceDocument) -> ServiceConfig:
     if told.store is not None and told.tenants:
         raise InvalidField("tenants", "stand in the store where there is one; `ternquay admin apply` brings them there")
     if told.api is not None and told.store is None:
         raise InvalidField("api", "a store is wanted, as what is acknowledged has to last")
     fellows = _fellows(path, told)
-    return Service(
+    return ServiceConfig(
         path=str(path),
         name=told.name,
         process=_process(told.process, fellows),
@@ -187,7 +187,7 @@
     )
 
 
-def _fellows(path: Path, told: ServiceDocument) -> Fellows | None:
+def _fellows(path: Path, told: ServiceDocument) -> FleetConfig | None:
     peers = told.peers
     if peers is None:
         return None
@@ -216,7 +216,7 @@
         address = str(ip_address(peers.address)) if peers.address else ""
     except ValueError as fault:
         raise InvalidField("peers.address", "an address is wanted") from fault
-    return Fellows(
+    return FleetConfig(
         peers.fleet,
         peers.me,
         places,
@@ -239,15 +239,15 @@
     return key
 
 
-def _process(told: ProcessDocument, fellows: Fellows | None) -> Process:
+def _process(told: ProcessDocument, fellows: FleetConfig | None) -> ProcessConfig:
     if fellows is not None:
         told = msgspec.structs.replace(
-            told, balancers=len(fellows.places), number=sorted(fellows.places).index(fellows.me)
+            told, balancers=len(fellows.endpoints), number=sorted(fellows.endpoints).index(fellows.own_name)
         )
     if told.number >= told.balancers:
         raise InvalidField("process.number", f"there are {told.balancers} balancers, from 0")
     seed = told.seed if told.seed is not None else Random().getrandbits(64)
-    return Process(min(told.sockets, descriptors()), told.memory_mb, told.balancers, told.number, seed)
+    return ProcessConfig(min(told.sockets, descriptor_limit()), told.memory_mb, told.balancers, told.number, seed)
 
 
 def _beside(path: Path, told: StoreDocument | None) -> str:
@@ -270,29 +270,31 @@
     return place
 
 
-def _operators(told: ApiDocument | None) -> tuple[Key, ...]:
+def _operators(told: ApiDocument | None) -> tuple[ApiKey, ...]:
     found = []
     for i, one in enumerate(told.operators if told is not None else ()):
         if one.until_ms and one.until_ms <= one.since_ms:
             raise InvalidField(f"api.operators[{i}].until_ms", "is not after it begins")
-        found.append(Key(one.name, bytes.fromhex(one.digest), Scope.OPERATOR, one.since_ms * MS, one.until_ms * MS))
+        found.append(ApiKey(one.name, bytes.fromhex(one.digest), Scope.OPERATOR, one.since_ms * MS, one.until_ms * MS))
     names = [key.name for key in found]
     if len(set(names)) != len(names):
         raise InvalidField("api.operators", "a name stands there twice")
     return tuple(found)
 
 
-def listed(told: ListedDocument) -> Tenant:
-    document = read(TenantDocument, {name: value for name, value in plain(told).items() if name != "state"})
-    return replace(tenant_of(document), state=state_of(told.state))
+def tenant_from_listed(told: ListedTenantDocument) -> Tenant:
+    document = convert_document(
+        TenantDocument, {name: value for name, value in to_json_value(told).items() if name != "state"}
+    )
+    return replace(tenant_from_document(document), state=parse_state(told.state))
 
 
-def registry_of(tenants: tuple[ListedDocument, ...]) -> Registry:
+def registry_of(tenants: tuple[ListedTenantDocument, ...]) -> Registry:
     """Raises InvalidField with the path from the file's root."""
     registry = Registry()
     for i, one in enumerate(tenants):
         try:
-            registry = registry.with_change(CreateTenant(listed(one)))
+            registry = registry.with_change(CreateTenant(tenant_from_listed(one)))
         except InvalidField as fault:
             raise InvalidField(f"tenants[{i}].{fault.field}", fault.reason) from fault
     return registry
