--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -343,7 +343,7 @@
         """It is no more: nothing of it stays."""
         self.close_ports()
         if self.discovery is not None:
-            self.discovery.end()
+            self.discovery.stop()
         for client in list(self.frontend.all):
             self.frontend.drop(client, CloseReason.REMOVED)
         self.pool.end()
--- a/ternquay/net/discovery.py
+++ b/ternquay/net/discovery.py
@@ -24,33 +24,33 @@
 from ternquay.net.watch_schedule import CallFailure, CallTimes, WatchSchedule
 
 
-class CallFailed(Exception):
+class UnexpectedStatus(Exception):
     """Discovery answered something else than a list."""
 
 
-class Spoilt(Exception):
+class CorruptAnswer(Exception):
     """What discovery told can't be used; the text names the field."""
 
 
 @implementer(IAgentEndpointFactory)
-class Straight:
+class AddressEndpointFactory:
     """Connects to an address. Against the library's own way, which looks even an address up in a thread."""
 
-    def __init__(self, reactor: Any, where: Address) -> None:
-        self.reactor, self.where = reactor, where
+    def __init__(self, reactor: Any, address: Address) -> None:
+        self.reactor, self.address = reactor, address
 
     def endpointForURI(self, uri: Any) -> Any:
-        made = TCP6ClientEndpoint if ":" in self.where.host else TCP4ClientEndpoint
-        return made(self.reactor, self.where.host, self.where.port, 1)
+        made = TCP6ClientEndpoint if ":" in self.address.host else TCP4ClientEndpoint
+        return made(self.reactor, self.address.host, self.address.port, 1)
 
 
-class Body(Protocol):
+class BodyCollector(Protocol):
     """Collects the body of one answer."""
 
     transport: Any
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
         self.done: Deferred[bytes] = Deferred(lambda _: self.end())
         self.buffer = bytearray()
 
@@ -62,7 +62,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         self.buffer += data
-        if len(self.buffer) > self.most:
+        if len(self.buffer) > self.max_bytes:
             self.end()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Called:
+class PendingCall:
     """One call that is out."""
 
     at: int
@@ -99,54 +99,54 @@
         reactor: Any,
         dispatcher: Dispatcher,
         limits: Limits,
-        where: Address,
+        address: Address,
         start_times: StartTimes,
-        instead: "Discovery | None" = None,
+        previous: "Discovery | None" = None,
     ) -> None:
         self.reactor, self.dispatcher, self.limits, self.start_times = reactor, dispatcher, limits, start_times
-        self.where = where
-        self.url = f"http://{where}/api/targets"
-        self.idle = pool = HTTPConnectionPool(reactor)
+        self.address = address
+        self.url = f"http://{address}/api/targets"
+        self.connections = pool = HTTPConnectionPool(reactor)
         # Against a call that the library makes twice unseen: discovery works through calls in turn.
         pool.retryAutomatically = False
         pool.maxPersistentPerHost = 1
-        self.agent = Agent.usingEndpointFactory(reactor, Straight(reactor, where), pool)
+        self.agent = Agent.usingEndpointFactory(reactor, AddressEndpointFactory(reactor, address), pool)
         self.revision = -1  # no list of this address is known yet
         self.schedule = WatchSchedule(limits, dispatcher.draw, not dispatcher.start.watch_list)
-        self.ended = self.last = False  # last: no further call, but what is out is still good
-        self.call: Called | None = None
-        self.kept: Called | None = None  # one that was silent for longer than it may, and may yet be answered
-        self.next: DelayedCall | None = None
-        self.instead = instead  # the one at another address, until this one has told something
-        self.first: Callable[[], None] | None = None  # told once, when a call has ended for the first time
+        self.stopped = self.retiring = False  # last: no further call, but what is out is still good
+        self.current_call: PendingCall | None = None
+        self.late_call: PendingCall | None = None  # one that was silent for longer than it may, and may yet be answered
+        self.next_call: DelayedCall | None = None
+        self.previous = previous  # the one at another address, until this one has told something
+        self.on_first_result: Callable[[], None] | None = None  # told once, when a call has ended for the first time
 
     def watch(self) -> None:
         """Begins to follow the list, unless it is followed."""
-        if self.call is None and (self.next is None or not self.next.active()):
-            self._call()
+        if self.current_call is None and (self.next_call is None or not self.next_call.active()):
+            self._start_call()
 
     def retire(self) -> None:
         """No further call. What was written by now on the one that is out counts as told, so it is still read."""
-        self.last = True
-        cancel_call(self.next)
-        if self.instead is not None:
-            self.instead.end()
-            self.instead = None
-        self.reactor.callLater(self.limits.empty_answer_delay / SECOND, self.end)
-
-    def end(self) -> None:
+        self.retiring = True
+        cancel_call(self.next_call)
+        if self.previous is not None:
+            self.previous.stop()
+            self.previous = None
+        self.reactor.callLater(self.limits.empty_answer_delay / SECOND, self.stop)
+
+    def stop(self) -> None:
         """No further call, and nothing is told any more, not even by the calls that are out."""
-        self.ended = True
-        cancel_call(self.next)
-        for one in (self.call, self.kept, self.instead):
-            if isinstance(one, Called):
+        self.stopped = True
+        cancel_call(self.next_call)
+        for one in (self.current_call, self.late_call, self.previous):
+            if isinstance(one, PendingCall):
                 one.drop()
             elif one is not None:
-                one.end()
-        self.call = self.kept = self.instead = None
-        self.idle.closeCachedConnections().addErrback(lambda _: None)
+                one.stop()
+        self.current_call = self.late_call = self.previous = None
+        self.connections.closeCachedConnections().addErrback(lambda _: None)
 
-    def take(self, told: Any) -> None:
+    def apply(self, told: Any) -> None:
         """Takes a list in discovery's form and goes on from its revision; what raises is not taken."""
         revision, whole, members = parse_list(told, 0)
         if revision < self.revision:
@@ -154,98 +154,100 @@
         self.revision = revision  # before the decisions hear of it, as they may ask for the next at once
         self.dispatcher.list_told(whole, self.start_times.to_monotonic(whole, members, self.dispatcher.now()))
 
-    def _call(self) -> None:
-        if self.ended or self.last:
+    def _start_call(self) -> None:
+        if self.stopped or self.retiring:
             return
         # The versions of one address need not be those of another: there the whole list comes first.
         times = self.schedule.next_call()
         since = f"?index={self.revision}&wait={times.wait // MS}" if self.revision >= 0 else ""
-        answer = self.agent.request(b"GET", (self.url + since).encode()).addCallback(self._body)
-        one = self.call = Called(self.dispatcher.now(), times, answer)
-        one.timer = self.reactor.callLater(times.timeout / SECOND, self._silent, one)
-        answer.addCallback(self._read, one).addErrback(self._failed, one)
+        answer = self.agent.request(b"GET", (self.url + since).encode()).addCallback(self._collect_body)
+        one = self.current_call = PendingCall(self.dispatcher.now(), times, answer)
+        one.timer = self.reactor.callLater(times.timeout / SECOND, self._call_timed_out, one)
+        answer.addCallback(self._answer_received, one).addErrback(self._call_failed, one)
 
-    def _body(self, response: Any) -> "Deferred[bytes]":
-        body = Body(self.limits.list_bytes)
+    def _collect_body(self, response: Any) -> "Deferred[bytes]":
+        body = BodyCollector(self.limits.list_bytes)
         response.deliverBody(body)
         if response.code != 200:
             body.done.addErrback(lambda _: None)
             body.end()  # its body may have no end, and each call would leave a connection behind
-            raise CallFailed(f"status {response.code}")
-        return body.done.addErrback(self._cut)
+            raise UnexpectedStatus(f"status {response.code}")
+        return body.done.addErrback(self._body_cut_off)
 
-    def _cut(self, why: Failure) -> Failure:
+    def _body_cut_off(self, why: Failure) -> Failure:
         # It had begun to tell, so what is lost of it may count as told.
-        return Failure(Spoilt(f"cut off: {reason(why)}"))
+        return Failure(CorruptAnswer(f"cut off: {failure_text(why)}"))
 
-    def _read(self, body: bytes, one: Called) -> None:
+    def _answer_received(self, body: bytes, one: PendingCall) -> None:
         cancel_call(one.timer)
-        if self.ended or one.dropped:
+        if self.stopped or one.dropped:
             return
         # Whichever is answered first is the one that goes on.
-        other = self.call if one is self.kept else self.kept
-        self.call, self.kept = one, None
+        other = self.current_call if one is self.late_call else self.late_call
+        self.current_call, self.late_call = one, None
         if other is not None:
             other.drop()
-        cancel_call(self.next)
+        cancel_call(self.next_call)
         before = self.revision
         try:
-            self.take(orjson.loads(body))
+            self.apply(orjson.loads(body))
         except Exception as fault:
-            raise Spoilt(str(fault)) from fault
-        if self.instead is not None:
-            self.instead.end()
-            self.instead = None
-        self.call = None
-        self._ended_once()
+            raise CorruptAnswer(str(fault)) from fault
+        if self.previous is not None:
+            self.previous.stop()
+            self.previous = None
+        self.current_call = None
+        self._report_first_result()
         # At once, as a rule: a later call would be a new watch, with a gap before it.
-        self._next(self.schedule.answered(self.dispatcher.now() - one.at, self.revision != before))
+        self._schedule_call(self.schedule.answered(self.dispatcher.now() - one.at, self.revision != before))
 
-    def _next(self, pause: int) -> None:
+    def _schedule_call(self, pause: int) -> None:
         if pause:
-            self.next = self.reactor.callLater(pause / SECOND, self._call)
+            self.next_call = self.reactor.callLater(pause / SECOND, self._start_call)
         else:
-            self._call()
+            self._start_call()
 
-    def _ended_once(self) -> None:
-        first, self.first = self.first, None
+    def _report_first_result(self) -> None:
+        first, self.on_first_result = self.on_first_result, None
         if first is not None:
             first()
 
-    def _silent(self, one: Called) -> None:
+    def _call_timed_out(self, one: PendingCall) -> None:
         """Nothing came, or not all of it, in the time that a call may take."""
         times = one.times
-        if one is self.kept:
-            self.kept = None
+        if one is self.late_call:
+            self.late_call = None
             one.drop()
             return
-        if times.kept_for > times.timeout and self.kept is None:
-            self.kept = one
-            one.timer = self.reactor.callLater((times.kept_for - times.timeout) / SECOND, self._silent, one)
+        if times.kept_for > times.timeout and self.late_call is None:
+            self.late_call = one
+            one.timer = self.reactor.callLater((times.kept_for - times.timeout) / SECOND, self._call_timed_out, one)
         else:
             one.drop()
-        self._lost(CallFailure.SILENT, f"silent, {times.timeout / SECOND:.2f} s after the call")
+        self._record_failure(CallFailure.SILENT, f"silent, {times.timeout / SECOND:.2f} s after the call")
 
-    def _failed(self, failure: Failure, one: Called) -> None:
+    def _call_failed(self, failure: Failure, one: PendingCall) -> None:
         cancel_call(one.timer)
-        if self.ended or one.dropped:
+        if self.stopped or one.dropped:
             return
-        if one is self.kept:
-            self.kept = None  # those that were made since go on
+        if one is self.late_call:
+            self.late_call = None  # those that were made since go on
             return
-        self._lost(CallFailure.CORRUPT if failure.check(Spoilt) else CallFailure.NO_ANSWER, reason(failure))
+        self._record_failure(
+            CallFailure.CORRUPT if failure.check(CorruptAnswer) else CallFailure.NO_ANSWER, failure_text(failure)
+        )
 
-    def _lost(self, how: CallFailure, why: str) -> None:
-        self.call = None
-        if how is CallFailure.CORRUPT:
+    def _record_failure(self, failure: CallFailure, why: str) -> None:
+        self.current_call = None
+        if failure is CallFailure.CORRUPT:
             # What it told is lost, so that only the whole list says how things stand; it is taken at any revision.
             self.revision = -1
         self.dispatcher.log("WARNING", "discovery: {}", why)
-        self._ended_once()
-        self._next(self.schedule.failed(self.dispatcher.now(), how))
+        self._report_first_result()
+        self._schedule_call(self.schedule.failed(self.dispatcher.now(), failure))
 
 
-def reason(failure: Failure) -> str:
+def failure_text(failure: Failure) -> str:
     # The library wraps why a connection ended before there was an answer.
     reasons = getattr(failure.value, "reasons", None) or [failure]
     return reasons[0].getErrorMessage() or "cut off"
--- a/ternquay/net/replace.py
+++ b/ternquay/net/replace.py
@@ -124,7 +124,7 @@
     def _list(self, note: Note) -> None:
         """What the other knows of the list counts as known here, if it is newer."""
         discovery = self.service.discovery
-        same = note.discovery == str(discovery.where)
+        same = note.discovery == str(discovery.address)
         if (same and note.revision > discovery.revision) or (not same and self.then is not None):
             if same:
                 discovery.revision = note.revision
@@ -143,7 +143,7 @@
                 now,
                 service.sockets.ceiling,
                 service.serves(),
-                str(discovery.where),
+                str(discovery.address),
                 discovery.revision,
                 tuple(dispatcher.members.values()),
                 learned_text(dispatcher.balancer.learned(), names),
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -95,7 +95,7 @@
         return discovery
 
     def begin(self) -> None:
-        self.discovery.take(self.config.initial_list)  # read_config has read it already
+        self.discovery.apply(self.config.initial_list)  # read_config has read it already
         if not self.config.settings.watch_list:
             self.discovery.watch()
         where = self.config.listen
@@ -113,7 +113,7 @@
         else:
             # What is pushed counts as told from the first moment of a process, and the list that it was given may be
             # old: nobody is let in before the first word, or its failure, for a moment.
-            self.discovery.first = self._listen
+            self.discovery.on_first_result = self._listen
             self.reactor.callLater(self.limits.first_list_timeout / SECOND, self._listen)
 
     def _listen(self) -> None:
@@ -295,7 +295,7 @@
 
     def _stopped(self) -> None:
         if self.reactor.running:
-            self.discovery.end()
+            self.discovery.stop()
             if self.replacement is not None:
                 self.replacement.end()
             logger.info(self.dispatcher.safety.summary())
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -378,7 +378,7 @@
     )
     for told in odd:
         with pytest.raises(FieldError):
-            watch.take(told)
+            watch.apply(told)
     net.client().feed(mg(1))
     assert len(net.reactor.tcpClients) == 1
 
@@ -511,7 +511,7 @@
     # What the old address had written by then counts as told; what it tells later is nobody's.
     net.run(101)
     agent.calls[0].callback(Response(200, orjson.dumps({"revision": 9, "complete": True, "members": []})))
-    assert not moved.ended and len(service.pool.hosts) == 1
+    assert not moved.stopped and len(service.pool.hosts) == 1
     told_anew = {"revision": 2, "complete": True, "members": [member(2)]}
     agent.calls[1].callback(Response(200, orjson.dumps(told_anew)))
     assert list(service.pool.hosts) == [1] and list(service.dispatcher.hosts) == ["h2"]
@@ -520,7 +520,7 @@
     path.write_bytes(orjson.dumps(TOLD))
     reload()
     net.run(5000)
-    assert moved.ended
+    assert moved.stopped
     net.matches("net_reload")
 
 
