--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -356,7 +356,7 @@
         if self.discovery is not None and tenant.source != before:
             # What it had written by now counts as told; where servers are listed by hand, the change itself does.
             old, self.discovery = self.discovery, None
-            (old.end if tenant.source is None else old.retire)()
+            (old.stop if tenant.source is None else old.retire)()
         if tenant.source is not None and self.discovery is None:
             where = Address(tenant.source.host, tenant.source.port)
             self.discovery = Discovery(self.common.reactor, self.dispatcher, self.limits, where, self.start_times, old)
