--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -37,8 +37,16 @@
     MarkApplied,
     decode_snapshot,
 )
-from ternquay.hosted.service import Fellows
-from ternquay.hosted.store import Answered, Commit, Logged, Noted, StoreError, kept, unkept
+from ternquay.hosted.service import FleetConfig
+from ternquay.hosted.store import (
+    AuditRecord,
+    ChangeRecord,
+    Commit,
+    StoredReply,
+    StoreError,
+    decode_tenant,
+    encode_tenant,
+)
 from ternquay.hosted.tenants.registry import Registry, TenantEntry
 from ternquay.hosted.tenants.tenant import InvalidField
 from ternquay.peers.frames import FRAME_VERSION, DurableState, Frame, FrameKind, FrameRejected, open_frame, seal
@@ -97,7 +105,7 @@
 
 
 def change_of(commit: Commit) -> Change:
-    logged, answered, noted = commit.logged, commit.answered, commit.noted
+    logged, answered, noted = commit.record, commit.reply, commit.audit
     return Change(
         logged.tenant,
         logged.version,
@@ -105,24 +113,24 @@
         logged.who,
         logged.kind,
         logged.body,
-        (kept(commit.entry.tenant), commit.entry.version, commit.entry.incarnation) if commit.entry else None,
-        (answered.who, answered.key, answered.asked, answered.status, answered.body) if answered else None,
-        (noted.who, noted.peer, noted.call, noted.status, noted.why) if noted else None,
+        (encode_tenant(commit.entry.tenant), commit.entry.version, commit.entry.incarnation) if commit.entry else None,
+        (answered.who, answered.key_digest, answered.call_digest, answered.status, answered.body) if answered else None,
+        (noted.who, noted.peer, noted.call, noted.status, noted.reason) if noted else None,
     )
 
 
 def commit_of(change: Change) -> Commit:
     """Raises StoreError."""
-    entry = TenantEntry(unkept(change.entry[0]), *change.entry[1:]) if change.entry else None
+    entry = TenantEntry(decode_tenant(change.entry[0]), *change.entry[1:]) if change.entry else None
     answered = None
     if change.answered is not None:
         who, key, asked, status, body = change.answered
-        answered = Answered(who, key, asked, status, change.version, body)
+        answered = StoredReply(who, key, asked, status, change.version, body)
     return Commit(
-        Logged(change.version, change.at, change.who, change.tenant, change.kind, change.detail),
+        ChangeRecord(change.version, change.at, change.who, change.tenant, change.kind, change.detail),
         entry,
         answered,
-        Noted(change.at, *change.noted) if change.noted else None,
+        AuditRecord(change.at, *change.noted) if change.noted else None,
     )
 
 
@@ -140,7 +148,7 @@
     def __init__(
         self,
         reactor: Any,
-        fellows: Fellows,
+        fellows: FleetConfig,
         host: Any,
         stored: Any,
         store: FleetStore,
@@ -149,9 +157,9 @@
     ) -> None:
         self.reactor, self.fellows, self.host, self.stored, self.store = reactor, fellows, host, stored, store
         self.clock, self.random = clock, Random()
-        self.timing = Timing.for_lease(fellows.lease, fellows.go_on)
-        self.outcome_timeout_seconds = OUTCOME_TIMEOUT_SECONDS + 3 * fellows.lease / SECOND
-        others = {name: place for name, place in fellows.places.items() if name != fellows.me}
+        self.timing = Timing.for_lease(fellows.lease_ns, fellows.serve_without_majority)
+        self.outcome_timeout_seconds = OUTCOME_TIMEOUT_SECONDS + 3 * fellows.lease_ns / SECOND
+        others = {name: place for name, place in fellows.endpoints.items() if name != fellows.own_name}
         self.peer_table = PeerTable(tuple(others), SUSPECT_AFTER_NS)
         self.links = Links(
             reactor,
@@ -172,7 +180,7 @@
         self.unappliable = ""  # why the registry in force cannot be applied on this machine; retried
         self.unreadable = ""  # why a decided change cannot be decoded; until the next start nothing after it is applied
         self.waiters: dict[tuple[int, int], Deferred[None]] = {}
-        self.pending_answers: dict[tuple[str, bytes], Answered] = {}  # not on disk yet
+        self.pending_answers: dict[tuple[str, bytes], StoredReply] = {}  # not on disk yet
         self.forwarded: dict[int, tuple[str, Deferred[Reply]]] = {}  # by call id: the leader and the reply
         self.was_leader = False  # after the previous _drive()
         self.flush_waiters: list[Deferred[None]] = []
@@ -186,13 +194,15 @@
         now = self.clock()
         self._drop_prepared()
         self.boot, self.identity = boot, boot.identity
-        self.me = Member(self.fellows.me, boot.disk_id)
+        self.me = Member(self.fellows.own_name, boot.disk_id)
         self.core = Core(self.me, boot.state, self.timing, self.random, boot.boot_id, now)
         self.durable = DurableState(
             boot.state.term, bool(boot.state.voted_for), boot.state.log.last_term, boot.state.log.last_index
         )
         empty = self.identity is None and not boot.registry_from_fleet and not self.core.log.last_index
-        self.bootstrap = Bootstrap(self.me, tuple(self.fellows.places), self.agreed_registry.version) if empty else None
+        self.bootstrap = (
+            Bootstrap(self.me, tuple(self.fellows.endpoints), self.agreed_registry.version) if empty else None
+        )
         self._update_held_tenants()
 
     # ---- start and stop ----
@@ -202,8 +212,10 @@
         try:
             self.links.start()
         except CannotListenError as fault:
-            raise InvalidField("peers.members", f"{self.fellows.me}: can't be bound: {fault.socketError}") from fault
-        count = len(self.fellows.places)
+            raise InvalidField(
+                "peers.members", f"{self.fellows.own_name}: can't be bound: {fault.socketError}"
+            ) from fault
+        count = len(self.fellows.endpoints)
         if count % 2 == 0 or count == 1:
             logger.warning(
                 "{} members tolerate the loss of {}, as {} would", count, (count - 1) // 2, max(1, count - 1)
@@ -431,8 +443,8 @@
         """Why this machine cannot apply the change, or None. Binds its listeners, which accept nothing yet."""
         try:
             commit = commit_of(_change.decode(body))
-            name = commit.logged.tenant
-            if commit.entry is None and name in self.host.tenancies and not self.host.tenancies[name].over():
+            name = commit.record.tenant
+            if commit.entry is None and name in self.host.runtimes and not self.host.runtimes[name].over():
                 raise InvalidField("state", "transactions of it are still open")
             self._drop_prepared()
             self.prepared[at] = name, self.host.prepare(self._registry_after(commit), name)
@@ -449,10 +461,10 @@
 
     def _registry_after(self, commit: Commit) -> Registry:
         """The registry in force with the commit's change."""
-        tenants = {name: entry for name, entry in self.agreed_registry.tenants.items() if name != commit.logged.tenant}
+        tenants = {name: entry for name, entry in self.agreed_registry.tenants.items() if name != commit.record.tenant}
         if commit.entry is not None:
-            tenants[commit.logged.tenant] = commit.entry
-        return Registry(MappingProxyType(tenants), commit.logged.version)
+            tenants[commit.record.tenant] = commit.entry
+        return Registry(MappingProxyType(tenants), commit.record.version)
 
     def _on_outcome(self, outcome: Outcome) -> None:
         if self.unreadable:
@@ -476,14 +488,14 @@
             logger.error("cannot decode a change that is in force; refusing new transactions until the next start")
             return
         self._apply_change(commit, prepared)
-        if commit.answered is not None:
-            self.pending_answers[(commit.answered.who, commit.answered.key)] = commit.answered
+        if commit.reply is not None:
+            self.pending_answers[(commit.reply.who, commit.reply.key_digest)] = commit.reply
         self._queue_job(MarkApplied(outcome.index, commit))
         if waiter is not None:
             waiter.callback(None)
 
     def _apply_change(self, commit: Commit, prepared: Any) -> None:
-        logged = commit.logged
+        logged = commit.record
         self.agreed_registry = after = self._registry_after(commit)
         try:
             if self.unappliable:
@@ -579,10 +591,10 @@
                         job.term, bool(job.voted_for), self.durable.last_term, self.durable.last_index
                     )
             elif isinstance(job, MarkApplied):
-                if job.change is not None and job.change.answered is not None:
-                    self.pending_answers.pop((job.change.answered.who, job.change.answered.key), None)
-                if job.index - self.core.log.base_index >= self.fellows.log_kept * 5 // 4:
-                    self._compact(job.index - self.fellows.log_kept)
+                if job.change is not None and job.change.reply is not None:
+                    self.pending_answers.pop((job.change.reply.who, job.change.reply.key_digest), None)
+                if job.index - self.core.log.base_index >= self.fellows.retained_log_entries * 5 // 4:
+                    self._compact(job.index - self.fellows.retained_log_entries)
         if number:
             self.core.write_completed(number, self.clock())
             self._drive()
@@ -665,7 +677,7 @@
         if self.was_leader and not self.core.is_leader():
             # By then it is mostly known whether the next leader continues the proposal; if not, the client retries.
             for key in self.waiters:
-                self.reactor.callLater(self.fellows.lease / SECOND, self._give_up, key)
+                self.reactor.callLater(self.fellows.lease_ns / SECOND, self._give_up, key)
         self.was_leader = self.core.is_leader()
         for leader, reply in list(self.forwarded.values()):
             if self.core.leader not in ("", leader):
@@ -686,7 +698,7 @@
         reply: Deferred[Reply] = Deferred()
         self.forwarded[id] = leader, reply
         # A lost message is not sent again: the client repeats the call with its idempotency key and gets the outcome.
-        timer = self.reactor.callLater(1 + self.fellows.lease / SECOND, reply.callback, OUTCOME_UNKNOWN)
+        timer = self.reactor.callLater(1 + self.fellows.lease_ns / SECOND, reply.callback, OUTCOME_UNKNOWN)
 
         def over(reply: Reply) -> Reply:
             self.forwarded.pop(id, None)
@@ -717,7 +729,7 @@
         text = msgspec.msgpack.encode(Forwarded(id, None, (reply.status, body, dict(reply.headers))))
         self.links.send(recipient, self._frame(recipient, FrameKind.REPLY, text))
 
-    def pending_answer(self, who: str, key: bytes) -> Answered | None:
+    def pending_answer(self, who: str, key: bytes) -> StoredReply | None:
         """The answer to an earlier call with this idempotency key, if it is not on disk yet."""
         return self.pending_answers.get((who, key))
 
@@ -747,7 +759,7 @@
         membership = self.core.membership()
         disks = {one.name: one.disk_id for one in membership.members}
         rows = []
-        for name in sorted({*self.fellows.places, *disks}):
+        for name in sorted({*self.fellows.endpoints, *disks}):
             is_self, ping = name == self.me.name, self.pings.get(name)
             reason = self.refusal_reason() if is_self else ping.refusal_reason if ping else ""
             rows.append(
@@ -774,8 +786,8 @@
             "committed": self.core.commit_index,
             "under_way": bool(open_proposal),
             "waits_for": self.core.waiting_for(now) if self.is_leader() else [],
-            "alone": "go-on" if self.fellows.go_on else "stop",
-            "lease_ms": self.fellows.lease // MS,
+            "alone": "go-on" if self.fellows.serve_without_majority else "stop",
+            "lease_ms": self.fellows.lease_ns // MS,
             "members": rows,
             "out": list(membership.removed),
             "dropped": dict(sorted(self.links.drop_counts.items())),
--- a/ternquay/hosted/fleet/store.py
+++ b/ternquay/hosted/fleet/store.py
@@ -16,7 +16,7 @@
 from ternquay.consensus.core import PersistentState, Write
 from ternquay.consensus.log import Log
 from ternquay.consensus.messages import EntryKind, LogEntry, Membership
-from ternquay.hosted.store import ANSWERS_MOST, Commit, Store, StoreError, unkept
+from ternquay.hosted.store import MAX_REPLIES, Commit, Store, StoreError, decode_tenant
 from ternquay.hosted.tenants.registry import Registry, TenantEntry
 from ternquay.peers.peer_table import BOOT_RANDOM_BITS
 
@@ -47,7 +47,8 @@
     def registry(self) -> Registry:
         """Raises StoreError."""
         tenants = {
-            name: TenantEntry(unkept(body), version, incarnation) for name, version, incarnation, body in self.tenants
+            name: TenantEntry(decode_tenant(body), version, incarnation)
+            for name, version, incarnation, body in self.tenants
         }
         return Registry(MappingProxyType(tenants), self.version)
 
@@ -97,8 +98,8 @@
 class FleetStore(Store):
     """The store of one member. Names in `fleet_meta` and in the tables are part of the stored format."""
 
-    def _open(self, db: sqlite3.Connection) -> None:
-        super()._open(db)
+    def _initialize(self, db: sqlite3.Connection) -> None:
+        super()._initialize(db)
         db.execute("BEGIN IMMEDIATE")
         for statement in TABLES.split(";"):
             db.execute(statement)
@@ -116,7 +117,7 @@
 
     def begin_boot(self) -> BootState:
         """Counts a start of this disk, and returns what the disk holds. Raises StoreError."""
-        self._all_or_none(self._start_boot)
+        self._in_transaction(self._start_boot)
         try:
             return self._boot_state()
         except (sqlite3.Error, msgspec.DecodeError, ValueError) as fault:
@@ -129,7 +130,7 @@
         self._put(db, boots=boots, boot=boots << BOOT_RANDOM_BITS | randbits(BOOT_RANDOM_BITS))
 
     def _boot_state(self) -> BootState:
-        db = self._ready()
+        db = self._connection()
         values = {name: bytes(value) for name, value in db.execute("SELECT name, value FROM fleet_meta")}
         number = {
             name: int(values.get(name, b"0")) for name in ("boot", "term", "applied", "least", "base", "base_term")
@@ -158,14 +159,14 @@
             self._put(db, was=1)
             self._start_boot(db)
 
-        self._all_or_none(empty)
+        self._in_transaction(empty)
         return self._boot_state()
 
     # ---- writing ----
 
     def execute(self, jobs: list[Job]) -> None:
         """Executes all jobs or none; after an error of unknown outcome the same jobs may be executed again."""
-        self._all_or_none(lambda db: self._execute(db, jobs))
+        self._in_transaction(lambda db: self._execute(db, jobs))
 
     def _execute(self, db: sqlite3.Connection, jobs: list[Job]) -> None:
         for job in jobs:
@@ -173,8 +174,8 @@
                 self._write_log(db, job)
             elif isinstance(job, MarkApplied):
                 if int(self._get(db, "applied") or b"0") < job.index:
-                    if job.change is not None and job.change.logged.version > self._meta(db, "version"):
-                        self._write(db, job.change)
+                    if job.change is not None and job.change.record.version > self._read_meta(db, "version"):
+                        self._write_change(db, job.change)
                     self._put(db, applied=job.index)
             elif isinstance(job, CompactLog):
                 db.execute("DELETE FROM fleet_log WHERE at <= ?", (job.base_index,))
@@ -223,20 +224,20 @@
 
     def snapshot(self) -> tuple[int, bytes]:
         """The last applied index and the encoded state there. Raises StoreError."""
-        db = self._ready()
+        db = self._connection()
         try:
             db.execute("BEGIN")
             try:
                 tenants = db.execute("SELECT name, version, incarnation, body FROM tenants ORDER BY name").fetchall()
                 answers = db.execute(
                     "SELECT who, key, asked, at, status, version, body FROM answers ORDER BY at DESC LIMIT ?",
-                    (ANSWERS_MOST,),
+                    (MAX_REPLIES,),
                 ).fetchall()
                 changes = db.execute(
                     "SELECT version, at, who, tenant, kind, body FROM changes ORDER BY version DESC LIMIT ?",
                     (MAX_SNAPSHOT_CHANGES,),
                 ).fetchall()
-                found = RegistrySnapshot(self._meta(db, "version"), tuple(tenants), tuple(answers), tuple(changes))
+                found = RegistrySnapshot(self._read_meta(db, "version"), tuple(tenants), tuple(answers), tuple(changes))
                 return int(self._get(db, "applied") or b"0"), msgspec.msgpack.encode(found)
             finally:
                 db.execute("COMMIT")
--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -9,17 +9,17 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from ternquay.hosted.shared.fairness import Dues, Lent
-from ternquay.hosted.shared.loop import PIECE, Loop
+from ternquay.hosted.shared.fairness import ClientLimiter, SharedCapacity
+from ternquay.hosted.shared.scheduler import PIECE_NS, FairScheduler
 from ternquay.net import meta
 from ternquay.net.client import ClientConnection, Owed
 from ternquay.net.dispatcher import Dispatcher
-from ternquay.net.front import Front
+from ternquay.net.frontend import Frontend
 from ternquay.net.limits import Limits
 from ternquay.net.listener import Listener
+from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.safety import CloseReason, RefuseReason
 from ternquay.net.sockets import Sockets
-from ternquay.net.turn import Turn
 
 STEP = 4  # commands, or connections accepted, between two looks at the clock
 BACKLOG = 16 << 10  # bytes that wait unread on one connection before no more are read from it
@@ -35,27 +35,27 @@
 class TenantSockets(Sockets):
     """Counts one tenant's sockets, and all tenants' together."""
 
-    def __init__(self, limits: Limits, name: str, lent: Lent, hosts_most: int) -> None:
+    def __init__(self, limits: Limits, name: str, shared: SharedCapacity, hosts_most: int) -> None:
         super().__init__(limits)
-        self.name, self.lent, self.hosts_most = name, lent, hosts_most
+        self.name, self.shared, self.hosts_most = name, shared, hosts_most
 
     def room(self) -> int:
-        return min(self.limits.sockets, self.lent.room(self.name))
+        return min(self.limits.sockets, self.shared.current_limit(self.name))
 
     def client_opened(self) -> bool:
-        self.lent.count(self.name, 1)
+        self.shared.adjust(self.name, 1)
         return super().client_opened()
 
     def client_closed(self) -> None:
-        self.lent.count(self.name, -1)
+        self.shared.adjust(self.name, -1)
         super().client_closed()
 
     def host_opened(self) -> None:
-        self.lent.count(self.name, 1)
+        self.shared.adjust(self.name, 1)
         super().host_opened()
 
     def host_closed(self) -> None:
-        self.lent.count(self.name, -1)
+        self.shared.adjust(self.name, -1)
         super().host_closed()
 
     def may_open_host(self) -> bool:
@@ -65,10 +65,10 @@
 class TenantClient(ClientConnection):
     """Reads at once while nobody waits; else it waits for its turn, and stops reading when it has much."""
 
-    front: "TenantFront"
+    frontend: "TenantFrontend"
 
-    def __init__(self, front: "TenantFront") -> None:
-        super().__init__(front)
+    def __init__(self, frontend: "TenantFrontend") -> None:
+        super().__init__(frontend)
         self.address = ""
         self.open = 0  # transactions
         self.waits = self.reading_paused = self.stuck = False
@@ -86,29 +86,29 @@
     def rawDataReceived(self, data: bytes) -> None:
         if self.ended or self.closing:
             return
-        front = self.front
+        front = self.frontend
         if not self.unread_since:
-            self.unread_since = self.first_since() or front.turn.before
+            self.unread_since = self.first_since() or front.loop_timing.before
         self.arrived += len(data)
         self.machine.add(data)
         if self.waits or self.stuck:
             self.keep()
             self.hold_back()
-        elif front.loop.at_once(front.name):
-            if front.loop.timed(front.name, self.piece):
+        elif front.scheduler.may_run_now(front.name):
+            if front.scheduler.run_charged(front.name, self.run_piece):
                 self.wait()
         else:
             self.wait()
 
     def wait(self) -> None:
         self._await_turn()
-        self.front.busy(self)  # against closing it as one that rests, with a whole command in hand
+        self.frontend.busy(self)  # against closing it as one that rests, with a whole command in hand
         self.keep()
         self.hold_back()
-        self.front.loop.ready(self.front.name, self.address, self)
+        self.frontend.scheduler.enqueue(self.frontend.name, self.address, self)
 
     def _await_turn(self) -> None:
-        self.waits, self.waits_since = True, self.front.dispatcher.now()
+        self.waits, self.waits_since = True, self.frontend.dispatcher.now()
 
     def held_by_us(self) -> bool:
         return self.waits or self.stuck or super().held_by_us()
@@ -120,26 +120,26 @@
 
     def hold_back(self) -> None:
         if not self.reading_paused and not self.ended and (len(self.machine.buffer) > BACKLOG or self.stuck):
-            self.reading_paused, self.paused_at = True, self.front.dispatcher.now()
+            self.reading_paused, self.paused_at = True, self.frontend.dispatcher.now()
             self.transport.pauseProducing()
 
     def lay_unread(self, goes_on: bool) -> int:
         # That it waits for its turn is no doing of the client's.
         return max(0, super().lay_unread(goes_on) - self.turn_wait)
 
-    def piece(self) -> bool:
+    def run_piece(self) -> bool:
         self.turn_wait = 0
         if self.waits:
             self.waits = False
-            self.turn_wait = self.front.dispatcher.now() - self.waits_since
+            self.turn_wait = self.frontend.dispatcher.now() - self.waits_since
             self.deadline.extend(self.turn_wait)
         if self.ended or self.closing:
             return False
-        clock = self.front.loop.clock
-        end = clock() + PIECE
+        clock = self.frontend.scheduler.clock
+        end = clock() + PIECE_NS
         while True:
-            self.since, self.turn = self.unread_since, self.front.turn.count
-            self.front.busy(self)
+            self.since, self.turn = self.unread_since, self.frontend.loop_timing.count
+            self.frontend.busy(self)
             items = self.machine.read(STEP, self.over)
             self.read(items)
             if self.ended or self.closing:
@@ -164,38 +164,38 @@
             self.transport.resumeProducing()
 
     def over(self) -> int:
-        return self.front.over(self)
+        return self.frontend.over(self)
 
     def flush(self) -> None:
         super().flush()
         if self.stuck and len(self.owed) < OWED_MOST // 2 and not self.ended:
             self.stuck = False
             self._await_turn()
-            self.front.loop.ready(self.front.name, self.address, self)
+            self.frontend.scheduler.enqueue(self.frontend.name, self.address, self)
 
     # ---- transactions ----
 
     def arrives(self, command: meta.Command, owed: Owed, unread: int) -> None:
-        if self.front.full(self):
-            self.front.safety.refuses(RefuseReason.SHARE, owed.id)
-            owed.roll_back(self.front.dispatcher.about(self.front.limits.retry_after))
+        if self.frontend.full(self):
+            self.frontend.safety.refuses(RefuseReason.SHARE, owed.id)
+            owed.roll_back(self.frontend.dispatcher.about(self.frontend.limits.retry_after))
             return
         owed.counted = True
         self.open += 1
-        self.front.opened(self)
+        self.frontend.opened(self)
         super().arrives(command, owed, unread)
 
     def share(self, command: meta.Command) -> str:
-        return CROWDING if self.front.crowds(self) else command.names.get("tenant", "")
+        return CROWDING if self.frontend.crowds(self) else command.names.get("tenant", "")
 
     def owes_less(self, owed: Owed) -> None:
         if owed.counted:
             owed.counted = False
             self.open -= 1
-            self.front.closed(self)
+            self.frontend.closed(self)
 
 
-class TenantFront(Front):
+class TenantFrontend(Frontend):
     """`shut`: nought, or how long what comes is told to wait, as the tenant takes nothing now."""
 
     def __init__(
@@ -204,13 +204,13 @@
         dispatcher: Dispatcher,
         limits: Limits,
         sockets: Sockets,
-        turn: Turn,
-        loop: Loop,
+        loop_timing: LoopTiming,
+        scheduler: FairScheduler,
         name: str,
-        dues: Dues,
+        dues: ClientLimiter,
     ) -> None:
-        super().__init__(reactor, dispatcher, limits, sockets, turn)
-        self.loop, self.name, self.dues = loop, name, dues
+        super().__init__(reactor, dispatcher, limits, sockets, loop_timing)
+        self.scheduler, self.name, self.dues = scheduler, name, dues
         self.by_address: dict[str, dict[TenantClient, None]] = {}
         self.shut = self.open_most = self.busy_clients = 0
         self.fenced: Callable[[], int] | None = None  # nought, or how long: as `shut`, of a member of a fleet
@@ -279,7 +279,7 @@
             mine.pop(client, None)
             if not mine:
                 self.by_address.pop(client.address, None)
-            self.loop.drop(self.name, client.address, client)
+            self.scheduler.remove(self.name, client.address, client)
         super().left(client)
 
     def give_back(self, many: int) -> None:
@@ -303,7 +303,7 @@
     def full(self, client: TenantClient) -> bool:
         """Whether the tenant has as many open as it may, and this client its part of them."""
         mine = self.dues.clients.get(client.address)
-        return self.dues.open >= self.open_most and (mine is None or mine.open >= self.dues.part(self.open_most))
+        return self.dues.open >= self.open_most and (mine is None or mine.open >= self.dues.equal_part(self.open_most))
 
     def crowds(self, client: TenantClient) -> bool:
         """Whether it has so much open that what it adds may not make others wait."""
@@ -323,26 +323,26 @@
 class TenantListener(Listener):
     """Accepts in its tenant's turns when others wait; up to as many as fit."""
 
-    front: TenantFront
+    frontend: TenantFrontend
     paused = False
 
     def room(self) -> int:
-        return min(STEP, self.front.room())
+        return min(STEP, self.frontend.room())
 
     def doRead(self) -> None:
-        if self.front.loop.at_once(self.front.name):
-            self.front.loop.timed(self.front.name, self.accept)
+        if self.frontend.scheduler.may_run_now(self.frontend.name):
+            self.frontend.scheduler.run_charged(self.frontend.name, self.accept)
         else:
             self.stopReading()
             if not self.paused:
                 self.paused = True
-                self.front.loop.ready(self.front.name, ACCEPTS, self)
+                self.frontend.scheduler.enqueue(self.frontend.name, ACCEPTS, self)
 
-    def piece(self) -> bool:
+    def run_piece(self) -> bool:
         self.paused = False
         if self.connected and not self.disconnecting:
             self.accept()
-            if not self.front.held_up and self.pause is None:
+            if not self.frontend.held_up and self.pause is None:
                 self.startReading()
         return False
 
@@ -351,7 +351,7 @@
 
         The library can't look at who comes before it has made all that a connection has.
         """
-        while self.front.crowded() and not self.front.loop.late(PIECE):
+        while self.frontend.crowded() and not self.frontend.scheduler.is_late(PIECE_NS):
             try:
                 client, address = self.socket.accept()
             except BlockingIOError:
@@ -360,7 +360,7 @@
                 if not self.goes_on_after(fault):
                     return
                 continue
-            if self.front.takes(address[0]):
+            if self.frontend.takes(address[0]):
                 self.take(client, address)
             else:
                 client.setsockopt(SOL_SOCKET, SO_LINGER, AT_ONCE)
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -10,29 +10,29 @@
 
 from ternquay import model as m
 from ternquay.facts import Names
-from ternquay.hosted.shared.fairness import Dues, Lent
-from ternquay.hosted.shared.front import CROWDING, TenantFront, TenantListener, TenantSockets
-from ternquay.hosted.shared.loop import Loop
-from ternquay.hosted.tenants.ledger import Ledger, Named
+from ternquay.hosted.shared.fairness import ClientLimiter, SharedCapacity
+from ternquay.hosted.shared.front import CROWDING, TenantFrontend, TenantListener, TenantSockets
+from ternquay.hosted.shared.scheduler import FairScheduler
 from ternquay.hosted.tenants.registry import TenantEntry
+from ternquay.hosted.tenants.shared_hosts import ListEntry, SharedHostTable
 from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Server, State, Tenant
-from ternquay.net.closing import all_accepted
+from ternquay.net.closing import accept_all_waiting
 from ternquay.net.discovery import Discovery
 from ternquay.net.dispatcher import Dispatcher, OutgoingHop
 from ternquay.net.host_connection import HostConnection
 from ternquay.net.limits import SECOND, Limits, derive_limits
-from ternquay.net.listing import Address, Member
+from ternquay.net.listing import Address, HostEntry
+from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.pool import Pool
 from ternquay.net.safety import CloseReason, ServerCloseReason
 from ternquay.net.start_times import StartTimes
-from ternquay.net.turn import Turn
 
 MOST_HOPS, BACKOFF_MOST, SPARE = 4, SECOND, 8
 NUMBERS_MOST = 10_000
 
 
 @dataclass(slots=True, frozen=True)
-class Process:
+class ProcessConfig:
     """What the process gives all tenants together, and its place among others like it."""
 
     sockets: int
@@ -43,14 +43,14 @@
 
 
 @dataclass(slots=True)
-class Common:
+class ProcessResources:
     """What all tenants of a process share."""
 
     reactor: Any
-    process: Process
-    loop: Loop
-    ledger: Ledger
-    sockets: Lent
+    process: ProcessConfig
+    scheduler: FairScheduler
+    shared_hosts: SharedHostTable
+    sockets: SharedCapacity
     difference: Callable[[], int]  # the wall clock less ours
     retell: Callable[[set[str]], None] = lambda names: None
     wait: Callable[[str], int] | None = None  # of a member of a fleet: how long a tenant's new txs are told to wait
@@ -72,7 +72,7 @@
         return self[name]
 
 
-def started_of(process: Process, tenant: Tenant) -> m.Config:
+def started_of(process: ProcessConfig, tenant: Tenant) -> m.Config:
     """What the tenant's decisions are told. Its last share is of those who crowd others: beyond it from the first."""
     rules = tenant.rules
     return m.Config(
@@ -109,7 +109,7 @@
     return names
 
 
-def limits_of(process: Process, tenant: Tenant) -> Limits:
+def limits_of(process: ProcessConfig, tenant: Tenant) -> Limits:
     """The sizes, counts and times of one tenant; its own limits, within what the process has."""
     own = tenant.limits
     facts = {
@@ -147,40 +147,40 @@
 
     def rawDataReceived(self, data: bytes) -> None:
         assert isinstance(self.pool, TenantPool)
-        loop = self.pool.loop
-        began = loop.clock()
+        scheduler = self.pool.scheduler
+        began = scheduler.clock()
         super().rawDataReceived(data)
-        loop.charge_since(self.pool.name, began)
+        scheduler.charge_since(self.pool.name, began)
 
 
 class TenantPool(Pool):
-    connects = TenantConnection
+    connection_class = TenantConnection
 
-    def __init__(self, loop: Loop, name: str, *terms: Any) -> None:
+    def __init__(self, scheduler: FairScheduler, name: str, *terms: Any) -> None:
         super().__init__(*terms)
-        self.loop, self.name = loop, name
+        self.scheduler, self.name = scheduler, name
 
     def end(self) -> None:
         """Closes all there is, at once."""
-        for place in list(self.places.values()):
-            for connection in list(place.all):
-                connection.drop(ServerCloseReason.REMOVED)
+        for place in list(self.hosts.values()):
+            for connection in list(place.connections):
+                connection.abort(ServerCloseReason.REMOVED)
 
 
 class TenantDispatcher(Dispatcher):
     """Its list goes by the ledger, and what its hops tell of machines that others name too."""
 
-    told: Callable[[bool, tuple[Member, ...]], None]
+    told: Callable[[bool, tuple[HostEntry, ...]], None]
     machine_ended: Callable[[Endpoint, m.HopOutcome], None]
 
     def __init__(self, *terms: Any) -> None:
         super().__init__(*terms)
         self.shared: dict[int, Endpoint] = {}
 
-    def list_told(self, whole: bool, members: tuple[Member, ...]) -> None:
+    def list_told(self, whole: bool, members: tuple[HostEntry, ...]) -> None:
         self.told(whole, members)
 
-    def settled(self, members: tuple[Member, ...], shared: Mapping[str, Endpoint]) -> None:
+    def settled(self, members: tuple[HostEntry, ...], shared: Mapping[str, Endpoint]) -> None:
         """The list as the decisions are to have it."""
         super().list_told(True, members)
         self.shared = {self.hosts[id]: place for id, place in shared.items() if id in self.hosts}
@@ -193,7 +193,7 @@
 
 
 @dataclass(slots=True)
-class Prepared:
+class PreparedListeners:
     """Listeners that a change needs, bound but not accepting yet."""
 
     ports: dict[Endpoint, Any] = field(default_factory=dict)
@@ -213,14 +213,14 @@
         if not self.held:
             super().startReading()
 
-    def open(self, front: TenantFront, accepted: Callable[[bool], None]) -> None:
-        self.front, self.factory, self.accepted, self.held = front, front, accepted, False
+    def open(self, frontend: TenantFrontend, accepted: Callable[[bool], None]) -> None:
+        self.frontend, self.factory, self.accepted, self.held = frontend, frontend, accepted, False
         self.startReading()
 
 
-def bound(reactor: Any, places: tuple[Endpoint, ...], own: str = "", backlog: int = 1024) -> Prepared:
+def bound(reactor: Any, places: tuple[Endpoint, ...], own: str = "", backlog: int = 1024) -> PreparedListeners:
     """`own` stands for 0.0.0.0 here. Raises InvalidField, with nothing left bound, if one of them can't be."""
-    prepared = Prepared()
+    prepared = PreparedListeners()
     for i, place in enumerate(places):
         host = own if own and place.host == "0.0.0.0" else place.host
         port = Held(place.port, Factory(), backlog, host, reactor)
@@ -233,8 +233,8 @@
     return prepared
 
 
-class Tenancy:
-    def __init__(self, common: Common, entry: TenantEntry, turn: Turn) -> None:
+class TenantRuntime:
+    def __init__(self, common: ProcessResources, entry: TenantEntry, loop_timing: LoopTiming) -> None:
         self.common, self.entry = common, entry
         self.id = f"{entry.tenant.name}.{entry.incarnation}"  # one made again under the name is another one
         tenant, reactor = entry.tenant, common.reactor
@@ -246,31 +246,31 @@
         )
         self.dispatcher.told, self.dispatcher.machine_ended = self._told, self._machine_ended
         self.pool = self.dispatcher.pool = TenantPool(
-            common.loop, self.id, reactor, self.dispatcher, self.limits, self.sockets, True
+            common.scheduler, self.id, reactor, self.dispatcher, self.limits, self.sockets, True
         )
-        self.turn = OwnTurn(turn, self.limits.turn_duration)
-        self.dispatcher.stood_still = self.turn.stood_still
-        self.dues = Dues(tenant.limits.txs_a_second, tenant.limits.burst)
-        self.front = TenantFront(
-            reactor, self.dispatcher, self.limits, self.sockets, self.turn, common.loop, self.id, self.dues
+        self.loop_timing = TenantLoopTiming(loop_timing, self.limits.turn_duration)
+        self.dispatcher.stood_still = self.loop_timing.stood_still
+        self.dues = ClientLimiter(tenant.limits.txs_a_second, tenant.limits.burst)
+        self.frontend = TenantFrontend(
+            reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing, common.scheduler, self.id, self.dues
         )
-        self.front.open_most = tenant.limits.open_txs
-        self.front.gate = self._gate
-        self.front.fenced = partial(common.wait, tenant.name) if common.wait is not None else None
+        self.frontend.open_most = tenant.limits.open_txs
+        self.frontend.gate = self._gate
+        self.frontend.fenced = partial(common.wait, tenant.name) if common.wait is not None else None
         self.ports: dict[Endpoint, Any] = {}
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, HostEntry] = {}
         self.start_times = StartTimes(common.difference)
         self.discovery: Discovery | None = None
         self.ending_since = 0
 
     # ---- its beginning, changes and end ----
 
-    def begin(self, prepared: Prepared) -> None:
+    def begin(self, prepared: PreparedListeners) -> None:
         self._open(prepared)
         self._sourced(self.entry.tenant)
         self._stand(self.entry.tenant.state)
 
-    def change(self, entry: TenantEntry, prepared: Prepared) -> None:
+    def change(self, entry: TenantEntry, prepared: PreparedListeners) -> None:
         """The tenant is this from now on; transactions that are open end by what they were taken with."""
         before, self.entry = self.entry, entry
         try:
@@ -279,7 +279,7 @@
             self.entry = before  # so that the next change makes up for all that differs
             raise
 
-    def _change(self, old: Tenant, new: Tenant, prepared: Prepared) -> None:
+    def _change(self, old: Tenant, new: Tenant, prepared: PreparedListeners) -> None:
         if old.limits != new.limits or old.profiles != new.profiles:
             self._limited(new)
         if (old.profiles, old.rules, old.shares) != (new.profiles, new.rules, new.shares):
@@ -297,15 +297,15 @@
 
     def _limited(self, tenant: Tenant) -> None:
         self.limits = limits_of(self.common.process, tenant)
-        self.dispatcher.limits = self.pool.limits = self.front.limits = self.sockets.limits = self.limits
+        self.dispatcher.limits = self.pool.limits = self.frontend.limits = self.sockets.limits = self.limits
         self.sockets.hosts_most = tenant.limits.host_connections
-        self.turn.most = self.limits.turn_duration
+        self.loop_timing.most = self.limits.turn_duration
         self.dues.change(tenant.limits.txs_a_second, tenant.limits.burst)
-        self.front.open_most = tenant.limits.open_txs
+        self.frontend.open_most = tenant.limits.open_txs
 
-    def _open(self, prepared: Prepared) -> None:
+    def _open(self, prepared: PreparedListeners) -> None:
         for place, port in prepared.ports.items():
-            port.open(self.front, self.turn.accepted)
+            port.open(self.frontend, self.loop_timing.accepted)
             self.ports[place] = port
 
     def _gate(self, accept: bool) -> None:
@@ -313,22 +313,22 @@
             port.gate(accept)
 
     def _stand(self, state: State) -> None:
-        self.front.shut = 0 if state is State.ACTIVE else self.limits.retry_after
+        self.frontend.shut = 0 if state is State.ACTIVE else self.limits.retry_after
         if state is State.ENDING and not self.ending_since:
             self.ending_since = self.dispatcher.now()
             self.close_ports()
-            self.front.leave()
+            self.frontend.leave()
 
     def close_ports(self, waits: bool = False) -> bool:
         """With `waits` one stays while not all fit who wait at its door. Whether all are closed."""
         for place in list(self.ports):
             self._close_port(place, waits)
         if self.ports:
-            self.front.shed()
+            self.frontend.shed()
         return not self.ports
 
     def _close_port(self, place: Endpoint, waits: bool = False) -> None:
-        if all_accepted(self.ports[place], self.sockets) or not waits:
+        if accept_all_waiting(self.ports[place], self.sockets) or not waits:
             self.ports.pop(place).stopListening()
 
     def over(self) -> bool:
@@ -337,17 +337,17 @@
             return False
         longest = max(one.profile.hard_limit for one in self.entry.tenant.profiles)
         waited = self.dispatcher.now() - self.ending_since
-        return (not self.front.all and not self.dispatcher.txs) or waited > longest + SECOND
+        return (not self.frontend.all and not self.dispatcher.txs) or waited > longest + SECOND
 
     def end(self) -> None:
         """It is no more: nothing of it stays."""
         self.close_ports()
         if self.discovery is not None:
-            self.discovery.end()
-        for client in list(self.front.all):
-            self.front.drop(client, CloseReason.REMOVED)
+            self.discovery.stop()
+        for client in list(self.frontend.all):
+            self.frontend.drop(client, CloseReason.REMOVED)
         self.pool.end()
-        self.common.retell(self.common.ledger.left(self.dispatcher.now(), self.id))
+        self.common.retell(self.common.shared_hosts.remove_tenant(self.dispatcher.now(), self.id))
 
     # ---- its cache hosts ----
 
@@ -356,7 +356,7 @@
         if self.discovery is not None and tenant.source != before:
             # What it had written by now counts as told; where servers are listed by hand, the change itself does.
             old, self.discovery = self.discovery, None
-            (old.end if tenant.source is None else old.retire)()
+            (old.stop if tenant.source is None else old.retire)()
         if tenant.source is not None and self.discovery is None:
             where = Address(tenant.source.host, tenant.source.port)
             self.discovery = Discovery(self.common.reactor, self.dispatcher, self.limits, where, self.start_times, old)
@@ -364,30 +364,33 @@
             self.discovery.watch()
         elif tenant.source is None:
             members = tuple(self._member(server) for server in tenant.servers)
-            self._told(True, self.start_times.dated(True, members, self.dispatcher.now()))
+            self._told(True, self.start_times.to_monotonic(True, members, self.dispatcher.now()))
 
-    def _member(self, server: Server) -> Member:
+    def _member(self, server: Server) -> HostEntry:
         # The place stands for the host: it is the same by whatever name it goes.
         where = Address(server.endpoint.host, server.endpoint.port)
         standing = m.HostStatus.DRAINING if server.draining else m.HostStatus.READY
         cell = self.cells.get(str(where))
-        return Member(str(where), where, server.zone, "", cell, standing, server.weight, server.started)
+        return HostEntry(str(where), where, server.zone, "", cell, standing, server.weight, server.started)
 
-    def _told(self, whole: bool, members: tuple[Member, ...]) -> None:
+    def _told(self, whole: bool, members: tuple[HostEntry, ...]) -> None:
         """From the registry or the source: the ledger has a say in it before the decisions hear of it."""
         old = self.members
         kept = {} if whole else dict(old)
         kept.update({member.id: member for member in members})
-        gone = {id for id, member in kept.items() if member.standing is m.HostStatus.GONE}
+        gone = {id for id, member in kept.items() if member.status is m.HostStatus.GONE}
         if self.entry.tenant.source is not None and whole:
             gone |= old.keys() - kept.keys()
-        places = [_place((old.get(id) or kept[id]).where) for id in gone]
+        places = [_place((old.get(id) or kept[id]).address) for id in gone]
         # Where two lines have one place, the machine there is the one that is still listed.
         self.members = {id: member for id, member in kept.items() if id not in gone}
-        taken = {_place(member.where) for member in self.members.values()}
-        named = {id: Named(_place(member.where), member.standing, member.since) for id, member in self.members.items()}
+        taken = {_place(member.address) for member in self.members.values()}
+        named = {
+            id: ListEntry(_place(member.address), member.status, member.started_at)
+            for id, member in self.members.items()
+        }
         source = self.entry.tenant.source is not None
-        told = self.common.ledger.told(
+        told = self.common.shared_hosts.update_list(
             self.dispatcher.now(), self.id, named, [place for place in places if source and place not in taken]
         )
         self.settle()
@@ -395,17 +398,21 @@
 
     def settle(self) -> None:
         """Its list as the ledger has it goes to the decisions."""
-        lines = self.common.ledger.lines(self.dispatcher.now(), self.id)
+        lines = self.common.shared_hosts.views(self.dispatcher.now(), self.id)
         members = tuple(
             replace(
-                member, standing=lines[id].standing, since=lines[id].since, part=lines[id].part, zone=member.zone or id
+                member,
+                status=lines[id].status,
+                started_at=lines[id].started_at,
+                cold_fraction=lines[id].cold_fraction,
+                zone=member.zone or id,
             )
             for id, member in self.members.items()
         )
-        self.dispatcher.settled(members, {id: line.place for id, line in lines.items() if line.shared})
+        self.dispatcher.settled(members, {id: line.endpoint for id, line in lines.items() if line.shared})
 
     def _machine_ended(self, place: Endpoint, end: m.HopOutcome) -> None:
-        told = self.common.ledger.ended(self.dispatcher.now(), place, end)
+        told = self.common.shared_hosts.hop_ended(self.dispatcher.now(), place, end)
         if told:
             self.common.retell(told)
 
@@ -413,22 +420,22 @@
 
     def swept(self) -> None:
         if self.sockets.hosts:
-            self.pool.swept()
-        if self.front.all:
-            self.front.swept()
+            self.pool.close_stale()
+        if self.frontend.all:
+            self.frontend.swept()
 
     def held(self) -> int:
         """Bytes that it has in memory of half-read and unanswered things."""
-        return self.dispatcher.held + self.front.kept + self.front.queued + self.pool.kept
+        return self.dispatcher.held + self.frontend.kept + self.frontend.queued + self.pool.buffered_bytes
 
     def use(self) -> dict[str, Any]:
-        part = self.common.loop.parts.get(self.id)
+        queue = self.common.scheduler.queues.get(self.id)
         return {
             "clients": self.sockets.clients,
             "host_connections": self.sockets.hosts,
             "open": len(self.dispatcher.txs),
             "held_bytes": self.held(),
-            "cpu_s": round(part.spent / SECOND, 3) if part else 0.0,
+            "cpu_s": round(queue.total_ns / SECOND, 3) if queue else 0.0,
             "servers": len(self.members),
         }
 
@@ -437,10 +444,10 @@
     return Endpoint(where.host, where.port)
 
 
-class OwnTurn(Turn):
+class TenantLoopTiming(LoopTiming):
     """One tenant's view of the reactor's turns: when they began is the same for all, what is too long is not."""
 
-    def __init__(self, whole: Turn, most: int) -> None:
+    def __init__(self, whole: LoopTiming, most: int) -> None:
         self.whole, self.most, self.behind = whole, most, 0
 
     @property
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -19,12 +19,12 @@
 from ternquay.facts import Names, read_start
 from ternquay.net.dispatcher import Dispatcher
 from ternquay.net.driver import TCP_INFO_LAST_DATA
-from ternquay.net.front import Front
+from ternquay.net.frontend import Frontend
 from ternquay.net.limits import derive_limits
-from ternquay.net.listing import read_list
+from ternquay.net.listing import parse_list
+from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.pool import Pool
 from ternquay.net.sockets import Sockets
-from ternquay.net.turn import Turn
 
 READ = m.Profile(m.Semantics.IDEMPOTENT, m.DedupScope.ALL, 0, 600 * MS, 1500 * MS, 0.0)
 MARKED = replace(READ, semantics=m.Semantics.JOURNALLED, dedup_window=300 * MS)
@@ -199,7 +199,7 @@
         self.pending, self.closing, self.lost, self.paused = b"", False, False, False
         self.unread: bytes | None = None  # b"": the other side's end
         self.silent_ms = 0  # since data last came, as the system knows
-        self.taken = 0  # bytes that the system took
+        self.bytes_taken = 0  # bytes that the system took
         self.stuck = False  # it takes none
         protocol.makeConnection(self)
 
@@ -257,7 +257,7 @@
         """The system takes all that was written, until nothing is left."""
         while self.pending and not self.lost and not self.stuck:
             data, self.pending = self.pending, b""
-            self.taken += len(data)
+            self.bytes_taken += len(data)
             self.net.say(f"{self.name} < {shown(data)!r}")
             if self.producer is not None:
                 self.producer.resumeProducing()
@@ -297,11 +297,11 @@
         self.pool = self.dispatcher.pool = Pool(
             self.reactor, self.dispatcher, self.limits, self.sockets, start.parallel_hops
         )
-        self.turn = Turn(self.limits.turn_duration)
-        self.front = Front(self.reactor, self.dispatcher, self.limits, self.sockets, self.turn)
+        self.loop_timing = LoopTiming(self.limits.turn_duration)
+        self.frontend = Frontend(self.reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing)
         self.dispatcher.watch = lambda: self.say("the list is asked for")
         self.pool.sweep()
-        self.front.sweep()
+        self.frontend.sweep()
         self.list(*(member(h) for h in range(1, hosts + 1)), whole=True)
 
     def say(self, text: str) -> None:
@@ -309,11 +309,11 @@
 
     def list(self, *members: dict[str, Any], whole: bool = False) -> None:
         told = {"revision": 1, "complete": whole, "members": list(members)}
-        self.dispatcher.list_told(*read_list(told, 0)[1:])
+        self.dispatcher.list_told(*parse_list(told, 0)[1:])
 
     def client(self) -> Wire:
         count = sum(w.name.startswith("client") for w in self.wires)
-        self.wires.append(Wire(self, f"client {count}", self.front.buildProtocol(None)))
+        self.wires.append(Wire(self, f"client {count}", self.frontend.buildProtocol(None)))
         return self.wires[-1]
 
     def accept(self) -> Wire:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -5,7 +5,7 @@
 import time
 from pathlib import Path
 
-from ternquay.net.launch import read_launch
+from ternquay.net.config import read_config
 from ternquay.net.limits import SECOND
 from ternquay.net.serve import Service
 from tests.helper import FACTS, Net, member
@@ -58,23 +58,23 @@
     fourth.feed(mg(4))
     net.accept().feed(va(4))
     assert not fourth.lost
-    assert net.sockets.clients == 2 and not net.front.kept - len(b"mg k")
+    assert net.sockets.clients == 2 and not net.frontend.kept - len(b"mg k")
 
 
 def test_a_client_that_connects_and_writes_later_has_its_whole_time() -> None:
     """What came before it was accepted is read at the next poll; what is read after that has not waited as long."""
     net = Net()
-    net.turn.begins(net.dispatcher.now())
+    net.loop_timing.begins(net.dispatcher.now())
     early = net.client()
     net.run(300)
-    net.turn.begins(net.dispatcher.now())
+    net.loop_timing.begins(net.dispatcher.now())
     early.feed(mg(1, ttl=500))  # it may have lain there for all of that turn
     assert [tx.ttl // 1_000_000 for tx in net.dispatcher.txs.values()] == [200]
-    net.turn.begins(net.dispatcher.now())
+    net.loop_timing.begins(net.dispatcher.now())
     slow = net.client()
     for _ in range(5):
         net.run(100)
-        net.turn.begins(net.dispatcher.now())
+        net.loop_timing.begins(net.dispatcher.now())
     slow.feed(mg(3, ttl=500))
     assert list(net.dispatcher.txs.values())[-1].ttl // 1_000_000 == 400  # one turn, not the five since it came
 
@@ -83,7 +83,7 @@
     """Against what the system accepts while the start still takes its time, and which lies there unread."""
     path, net = tmp_path / "x.json", Net()
     path.write_text(json.dumps(told(1, 2, settings=FACTS)))
-    service = Service(net.reactor, read_launch(str(path), {}))
+    service = Service(net.reactor, read_config(str(path), {}))
     service.begin()
     assert not net.reactor.tcpServers and service.unready()
     net.reactor.advance(0.01)
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -106,7 +106,7 @@
     net.run(2000)  # past its hard limit
     first.feed(b"0123456789" * 2 + b"\r\n")
     assert written(net, "client 0") == b"VA 30 O1\r\n" + b"0123456789" * 3 + b"\r\n" + va(2).replace(b" h1", b"")
-    assert not net.dispatcher.txs and not first.lost and net.pool.places[0].idle
+    assert not net.dispatcher.txs and not first.lost and net.pool.hosts[0].idle
     client.feed(mg(3))
     net.matches("net_large_read")
 
@@ -127,7 +127,7 @@
     client.take()
     assert not host.paused
     host.feed(b"abcd" * ((80 - sent) // 4) + b"\r\n")
-    assert written(net, "client 0") == b"VA 80 O1\r\n" + b"abcd" * 20 + b"\r\n" and not net.front.queued
+    assert written(net, "client 0") == b"VA 80 O1\r\n" + b"abcd" * 20 + b"\r\n" and not net.frontend.queued
 
 
 @pytest.mark.parametrize("how", ["breaks", "wrong end", "silent"])
@@ -181,14 +181,14 @@
     net.run(1200)  # a slow writer that goes on: far past its hard limit
     client.feed(text[-20:-10], cut=cut)
     net.run(1200)
-    assert not host.lost and not net.dispatcher.balancer.inflight
+    assert not host.lost and not net.dispatcher.balancer.in_flight
     client.feed(text[-10:], cut=cut)
     assert written(net, "host 1") == text
-    assert net.dispatcher.balancer.inflight > 0
+    assert net.dispatcher.balancer.in_flight > 0
     net.run(300)
     host.feed(b"HD O1 cabc\r\n")
     assert written(net, "client 0") == b"HD O1 cabc\r\n" and not net.dispatcher.txs
-    assert net.dispatcher.balancer.usual < 400_000_000  # what its writer took is not its cache host's
+    assert net.dispatcher.balancer.mean_duration < 400_000_000  # what its writer took is not its cache host's
 
 
 def test_a_large_write_that_is_not_answered_is_given_up_by_its_times_from_the_last_byte() -> None:
@@ -248,7 +248,7 @@
         client.end()
         assert host.lost and not net.dispatcher.txs
     [one] = net.dispatcher.balancer.hosts.values()
-    assert not one.fails and not one.inflight and not one.out_until and not net.sockets.hosts
+    assert not one.failures and not one.in_flight and not one.ejected_until and not net.sockets.hosts
 
 
 def test_a_large_write_that_has_no_end_where_it_should_is_cut_off_before_it_is_whole() -> None:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -10,7 +10,7 @@
 
 from ternquay.net import meta
 from ternquay.net.client import OVERDUE
-from ternquay.net.launch import LaunchError, read_launch
+from ternquay.net.config import ConfigError, read_config
 from ternquay.net.management import answered
 from tests.helper import Net, member
 from tests.test_net import mg, va
@@ -176,8 +176,8 @@
     written.feed(b"mn\r\n")
     first, second = net.accept(), net.accept()
     written.unread = b"m"  # it has written, and that was not read yet
-    net.front.hello = meta.OUT_OF_SERVICE
-    net.front.leave(net.limits.new_client_grace)
+    net.frontend.hello = meta.OUT_OF_SERVICE
+    net.frontend.leave(net.limits.new_client_grace)
     net.take()
     assert idle.lost and not busy.lost and not written.lost
     written.unread = None
@@ -194,7 +194,7 @@
     [w for w in net.wires if w.name.startswith("host") and not w.lost][-1].feed(va(3))
     assert late.lost
     net.run(1000)
-    assert silent.lost and not net.front.all
+    assert silent.lost and not net.frontend.all
     net.matches("net_out_of_service")
 
 
@@ -206,10 +206,10 @@
     net.accept()
     net.run(150)
     moving = net.client()
-    net.front.leave(net.limits.new_client_grace)
+    net.frontend.leave(net.limits.new_client_grace)
     net.run(80)
     moving.feed(b"mg k")
-    net.front.cut_off()
+    net.frontend.cut_off()
     assert half.lost and not busy.lost and not moving.lost
 
 
@@ -220,7 +220,7 @@
 
     def launched(env: dict[str, str], **more: Any) -> Any:
         path.write_text(json.dumps(told(1, 2) | more))
-        return read_launch(str(path), env)
+        return read_config(str(path), env)
 
     assert launched({}).management is None
     assert str(launched({"EDGE_MANAGEMENT": "127.0.0.1:9"}).management) == "127.0.0.1:9"
@@ -228,7 +228,7 @@
     assert str(both.management) == "127.0.0.1:8"
     # What is set aside for operators is not the clients' nor the cache hosts'.
     assert both.limits.sockets + both.limits.spare + both.limits.management_connections + 3 + 16 == 128
-    with pytest.raises(LaunchError, match="^management: an address and a port are wanted"):
+    with pytest.raises(ConfigError, match="^management: an address and a port are wanted"):
         launched({}, management="here:80")
 
 
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -14,9 +14,9 @@
 
 from ternquay import model as m
 from ternquay.cli import app
+from ternquay.net.config import ConfigError, read_config
 from ternquay.net.discovery import Discovery
-from ternquay.net.launch import LaunchError, read_launch
-from ternquay.net.listing import Address, ToldWrong, read_list
+from ternquay.net.listing import Address, FieldError, parse_list
 from ternquay.net.serve import Service
 from ternquay.net.start_times import StartTimes
 from tests.helper import FACTS, Net, Play, line, member
@@ -103,8 +103,8 @@
     path, whole = tmp_path / "told.json", orjson.dumps(TOLD)
     for cut in range(len(whole)):
         path.write_bytes(whole[:cut])
-        with pytest.raises(LaunchError) as told:
-            read_launch(str(path), {})
+        with pytest.raises(ConfigError) as told:
+            read_config(str(path), {})
         assert str(told.value).startswith("EDGE_CONFIG: ") and "\n" not in str(told.value)
     path.write_bytes(whole[:-9])
     done = subprocess.run(
@@ -123,8 +123,8 @@
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     path.write_bytes(orjson.dumps(TOLD))
-    service = Service(net.reactor, read_launch(str(path), {}))
-    net.front, net.dispatcher = service.front, service.dispatcher
+    service = Service(net.reactor, read_config(str(path), {}))
+    net.frontend, net.dispatcher = service.frontend, service.dispatcher
     service.begin()
     return service, agent
 
@@ -146,7 +146,7 @@
         service.signals()[SIGHUP]()
         host.feed(va(n))
     logger.remove(handler)
-    assert service.launch.discovery == Address("127.0.0.1", 8500) and len(agent.calls) == 1
+    assert service.config.discovery == Address("127.0.0.1", 8500) and len(agent.calls) == 1
     kept = [text for text in lines if "the old one is kept" in text]
     assert len(kept) == len(bad) and all(text.count("\n") == 1 for text in kept), len(kept)
     answers = [one for one in net.trace if "client 0 < b'VA" in one]
@@ -166,12 +166,12 @@
     client.feed(mg(1))
     net.accept().feed(va(1))
     net.run(30_000)
-    assert "client 0 < b'VA 3 O1" in "".join(net.trace) and len(service.pool.places) == 1
+    assert "client 0 < b'VA 3 O1" in "".join(net.trace) and len(service.pool.hosts) == 1
     assert 4 <= len(agent.calls) <= 12  # it goes on asking the new one, more and more rarely
     service.end()
     path.write_bytes(orjson.dumps(TOLD))
     service.reload()
-    assert service.launch.discovery.port == 8600
+    assert service.config.discovery.port == 8600
 
 
 # ---- lists while it serves ----
@@ -229,13 +229,12 @@
     agent.calls[0].callback(told(9, member(1), member(2)))
     agent.calls[1].callback(told(4, member(1, "draining"), complete=False))
     assert (
-        watch.revision == -1
-        and net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].standing is m.HostStatus.READY
+        watch.revision == -1 and net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].status is m.HostStatus.READY
     )
     until_asked(net, agent, 3)
     agent.calls[2].callback(told(4, member(1, "draining"), member(2)))
     assert watch.revision == 4
-    assert net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].standing is m.HostStatus.DRAINING
+    assert net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].status is m.HostStatus.DRAINING
 
 
 @pytest.mark.parametrize("stays", [True, False])
@@ -251,7 +250,7 @@
     agent.calls[2].callback(told(6, member(1), *([member(2)] if stays else [])))
     assert watch.revision == 6
     left = {"h1", "h2"} if stays else {"h1"}
-    assert set(net.dispatcher.hosts) == left and len(net.dispatcher.balancer.hosts) == len(net.pool.places) == len(left)
+    assert set(net.dispatcher.hosts) == left and len(net.dispatcher.balancer.hosts) == len(net.pool.hosts) == len(left)
 
 
 def test_a_whole_list_that_is_empty_counts_as_told_and_the_next_one_mends_it() -> None:
@@ -292,10 +291,10 @@
     for hints in ((1.0, 1.0, 1.0, 1.0), (4.0, 1.0, 0.5, 1.0)):
         old.list(*weighed(*hints), whole=True)
         for group in range(64):
-            old.balancer._order(group)
+            old.balancer._host_order(group)
     new.list(*weighed(4.0, 1.0, 0.5, 1.0), whole=True)
     for group in range(64):
-        assert [h.index for h in old.balancer._order(group)] == [h.index for h in new.balancer._order(group)]
+        assert [h.index for h in old.balancer._host_order(group)] == [h.index for h in new.balancer._host_order(group)]
 
 
 def test_ranges_are_replaced_and_the_list_changes_while_hops_are_out() -> None:
@@ -312,9 +311,9 @@
     for tx in out:
         play.end(tx, m.HopOutcome.DONE)
     balancer = play.balancer
-    assert not balancer.txs and balancer.inflight == 0 and all(h.inflight == 0 for h in balancer.hosts.values())
-    counts = sum(r.count for r in (*balancer.ranges.values(), *balancer.singles.values()))
-    assert counts == len(balancer.window) == sum(balancer.loads)
+    assert not balancer.txs and balancer.in_flight == 0 and all(h.in_flight == 0 for h in balancer.hosts.values())
+    counts = sum(r.accesses for r in (*balancer.ranges.values(), *balancer.hot_keys.values()))
+    assert counts == len(balancer.window) == sum(balancer.group_loads)
 
 
 def test_where_a_copy_lies_is_not_kept_for_hosts_that_are_gone() -> None:
@@ -324,9 +323,9 @@
         play.end(play.arrive("hot"), m.HopOutcome.DONE)
     for _ in range(600):  # past the next time that ranges are placed
         play.end(play.arrive("hot"), m.HopOutcome.DONE)
-    assert all(len(hosts) <= 2 for hosts in play.balancer.held.values())
+    assert all(len(hosts) <= 2 for hosts in play.balancer.known_copies.values())
 
 
 def test_read_list_names_what_it_can_not_use() -> None:
-    with pytest.raises(ToldWrong, match=r"members\[1\]\.host_port"):
-        read_list({"revision": 1, "complete": True, "members": [member(1), member(2) | {"host_port": 3}]}, 0)
+    with pytest.raises(FieldError, match=r"members\[1\]\.host_port"):
+        parse_list({"revision": 1, "complete": True, "members": [member(1), member(2) | {"host_port": 3}]}, 0)
