--- a/ternquay/balance.py
+++ b/ternquay/balance.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from ternquay import model as m
-from ternquay.figures import MASK, median, mix, text_hash
+from ternquay.numeric import MASK64, median, mix64, text_hash
 from ternquay.state import BalancerState, CacheHost, Hop, Range, Tx
 
 # Nanoseconds.
@@ -123,7 +123,7 @@
     def __init__(self, config: m.Config) -> None:
         super().__init__(GROUP_COUNT, WINDOW_ACCESSES)
         self._configure(config)
-        self.random, self.jitter_seed = Random(config.seed), mix(config.seed ^ mix(config.balancer_index + 1))
+        self.random, self.jitter_seed = Random(config.seed), mix64(config.seed ^ mix64(config.balancer_index + 1))
         self.time_margin = config.clock_quantum + 2 * MS
         self.list_retry_delay = FIRST_LIST_RETRY_NS
         self.extra_hop_tokens = MAX_EXTRA_HOP_TOKENS
@@ -287,7 +287,7 @@
         # Between half and one and a half times `duration`, so that balancers, or clients of one balancer, do not
         # retry in step. It does not draw from `random`, so that the choice of hosts does not depend on it.
         self.jitter_draws += 1
-        return duration // 2 + mix(self.jitter_seed + self.jitter_draws) * duration // MASK
+        return duration // 2 + mix64(self.jitter_seed + self.jitter_draws) * duration // MASK64
 
     def _set_timer(self) -> None:
         at = self.timers.next_time(self.txs)
@@ -346,7 +346,7 @@
         index = key * RANGE_COUNT >> 64
         key_range = self.hot_keys.get(key) or self.ranges.get(index)
         if key_range is None:
-            range_hash = mix(index + 1)
+            range_hash = mix64(index + 1)
             key_range = self.ranges[index] = Range(range_hash % GROUP_COUNT, range_hash)
         return key_range
 
@@ -421,11 +421,11 @@
             order = self.host_orders[group, own_zone] = array("I", own_hosts)
         elif order is None:
             # One multiplication per host and no call: at low rates, almost every transaction computes an order.
-            salt = mix(group + 1) | 1
-            scores: list[float] = [h.hash * salt & MASK for h in self.ordered_hosts]
+            salt = mix64(group + 1) | 1
+            scores: list[float] = [h.hash * salt & MASK64 for h in self.ordered_hosts]
             if not self.equal_weights:
                 scored = zip(self.ordered_hosts, scores, strict=True)
-                scores = [h.weight / -log((d + 1) / (MASK + 2)) for h, d in scored]
+                scores = [h.weight / -log((d + 1) / (MASK64 + 2)) for h, d in scored]
             ranked = sorted(range(len(scores)), key=scores.__getitem__, reverse=True)
             order = self.host_orders[group, own_zone] = array("I", ranked)
         return map(self.ordered_hosts.__getitem__, order)
@@ -453,7 +453,7 @@
             # several hosts skips a cold one, and so does a transaction that exceeds the cold budget.
             warmth = self._warmth(host)
             fraction = min(warmth, host.range_fraction)
-            admitted = fraction >= 1.0 or mix(host.hash + mix(group + 7)) <= fraction * MASK
+            admitted = fraction >= 1.0 or mix64(host.hash + mix64(group + 7)) <= fraction * MASK64
             if admitted and (warmth >= 1.0 or (limit == 1 and self._has_cold_budget(host))):
                 found.append(host)
                 if len(found) >= limit:
@@ -484,7 +484,7 @@
         # A hot key has the first few hosts in the order of its group, so that it does not always spill to the same one.
         share = (key_range.accesses - 1) / max(MIN_SAMPLES, len(self.window))
         copies = 1 << int(share * len(self.ready) * HOT_KEY_SPREAD).bit_length()
-        if self.prefer_own_zone and key_range.hash <= self.own_zone_fraction * MASK:
+        if self.prefer_own_zone and key_range.hash <= self.own_zone_fraction * MASK64:
             for host in self._candidates(key_range.group, copies, tx.hops, own_zone=True):
                 if not self._is_overloaded(host) and self._meets_goal(tx, host):
                     return host
@@ -934,10 +934,10 @@
             else budget
         )
         draw = (
-            mix(host.hash + (self.now - host.started_at) // window) + self.config.balancer_index * GOLDEN_RATIO_64
-            & MASK
+            mix64(host.hash + (self.now - host.started_at) // window) + self.config.balancer_index * GOLDEN_RATIO_64
+            & MASK64
         )
-        return draw < max(budget, host.cold_fraction * turn_fraction) * MASK and self.now >= host.last_cold_hop + int(
+        return draw < max(budget, host.cold_fraction * turn_fraction) * MASK64 and self.now >= host.last_cold_hop + int(
             window / budget
         )
 
--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -9,7 +9,7 @@
 from twisted.internet.protocol import Factory
 
 from ternquay import model as m
-from ternquay.facts import Names
+from ternquay.facts import NameTable
 from ternquay.hosted.shared.fairness import ClientLimiter, SharedCapacity
 from ternquay.hosted.shared.front import CROWDING, TenantFrontend, TenantListener, TenantSockets
 from ternquay.hosted.shared.scheduler import FairScheduler
@@ -97,8 +97,8 @@
     )
 
 
-def names_of(tenant: Tenant, zones: Numbers) -> Names:
-    names = Names(
+def names_of(tenant: Tenant, zones: Numbers) -> NameTable:
+    names = NameTable(
         {
             "Profiles": [{"Name": one.name} for one in tenant.profiles],
             "Tenants": [{"Name": share.name} for share in tenant.shares],
--- a/ternquay/net/config.py
+++ b/ternquay/net/config.py
@@ -9,7 +9,7 @@
 import orjson
 
 from ternquay import model as m
-from ternquay.facts import Names, read_start
+from ternquay.facts import NameTable, parse_deployment
 from ternquay.net.limits import Limits, derive_limits
 from ternquay.net.listing import Address, FieldError, parse_address, parse_list
 
@@ -32,7 +32,7 @@
     management: Address | None
     discovery: Address
     settings: m.Config
-    names: Names
+    names: NameTable
     initial_list: dict[str, Any]
     limits: Limits
 
@@ -92,8 +92,8 @@
     told_at = told.get("management", env.get("EDGE_MANAGEMENT") or None)
     try:
         settings, names, limits = (
-            read_start(parse_seed(told.get("seed")), facts),
-            Names(facts),
+            parse_deployment(parse_seed(told.get("seed")), facts),
+            NameTable(facts),
             derive_limits(facts, sockets, memory, managed=told_at is not None, two=two > 1),
         )
     except KeyError as fault:
--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -14,7 +14,7 @@
 
 from ternquay import model as m
 from ternquay.balance import FORGET_HOST_AFTER_NS, Balancer
-from ternquay.facts import Names
+from ternquay.facts import NameTable
 from ternquay.net.flow import Flow
 from ternquay.net.limits import SECOND, Limits
 from ternquay.net.listing import Address, HostEntry
@@ -121,7 +121,7 @@
 
 class Dispatcher:
     def __init__(
-        self, clock: Clock, start: m.Config, names: Names, limits: Limits, decisions: type[Balancer] = Balancer
+        self, clock: Clock, start: m.Config, names: NameTable, limits: Limits, decisions: type[Balancer] = Balancer
     ) -> None:
         self.clock, self.names, self.limits = clock, names, limits
         self.start = start
@@ -386,7 +386,7 @@
 
     # ---- figures and the list ----
 
-    def refigured(self, start: m.Config, names: Names, limits: Limits) -> None:
+    def refigured(self, start: m.Config, names: NameTable, limits: Limits) -> None:
         """Other profiles, rules or limits from now on; what is open ends by those that it was taken with."""
         self.start, self.names, self.limits = start, names, limits
         self.happened(start)
--- a/ternquay/net/limits.py
+++ b/ternquay/net/limits.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ternquay.facts import MOST, MUST_ASK, US, number, span
+from ternquay.facts import DEFAULT_LIST_MAX_AGE_NS, MAX_NUMBER, US, parse_duration, parse_number
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -99,9 +99,9 @@
     # Four times, above what the program itself takes.
     held = max(1, min(256, (memory_mb - PROGRAM) // 5)) * MIB
     lame, leave = SECOND // 2, min(longest * US, 3 * SECOND) + 600 * MS
-    must_ask = span(facts["Invariants"], "MustAskIn", "Invariants", usual=0) or MUST_ASK
-    grace = span(facts["Invariants"], "DrainGrace", "Invariants", usual=2 * SECOND)
-    idle = span(allowed, "ConnIdle", "Limits", usual=0) or 5 * SECOND
+    must_ask = parse_duration(facts["Invariants"], "MustAskIn", "Invariants", usual=0) or DEFAULT_LIST_MAX_AGE_NS
+    grace = parse_duration(facts["Invariants"], "DrainGrace", "Invariants", usual=2 * SECOND)
+    idle = parse_duration(allowed, "ConnIdle", "Limits", usual=0) or 5 * SECOND
     return Limits(
         sockets=left - spare,
         clients=(left - spare) * 2 // 3,
@@ -119,15 +119,17 @@
         queued_bytes=2 * MIB,
         buffered_bytes=held,
         pipelined=256,
-        open_txs=int(number(allowed, "MostHeld", "Limits", 0, MOST, 0)) or 20000,
-        per_host_connection=max(1, int(number(allowed, "StreamsPerConn", "Limits", 0, MOST, 1))),
+        open_txs=int(parse_number(allowed, "MostHeld", "Limits", 0, MAX_NUMBER, 0)) or 20000,
+        per_host_connection=max(1, int(parse_number(allowed, "StreamsPerConn", "Limits", 0, MAX_NUMBER, 1))),
         presence_check_after=SECOND // 20,
         turn_duration=min(p["ServiceGoal"] for p in facts["Profiles"]) * US // 10,
         new_client_grace=SECOND,
         first_command_timeout=5 * SECOND // 2,
         idle_clients=whole // 6,
-        retry_after=span(allowed, "MaxRetryAfter", "Limits", usual=0) // 4 if allowed.get("RetryAfter") else 0,
-        connect_timeout=span(allowed, "DialTimeout", "Limits", usual=0) or 250 * MS,
+        retry_after=parse_duration(allowed, "MaxRetryAfter", "Limits", usual=0) // 4
+        if allowed.get("RetryAfter")
+        else 0,
+        connect_timeout=parse_duration(allowed, "DialTimeout", "Limits", usual=0) or 250 * MS,
         host_idle_timeout=idle * 3 // 5,
         sweep_interval=SECOND // 4,
         idle_loss_half_life=5 * SECOND,
--- a/ternquay/net/listing.py
+++ b/ternquay/net/listing.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ternquay import model as m
-from ternquay.facts import choice, number
+from ternquay.facts import parse_choice, parse_number
 from ternquay.net.limits import MS
 
 STATUS_BY_PHASE = {"up": m.HostStatus.READY, "draining": m.HostStatus.DRAINING, "removed": m.HostStatus.GONE}
@@ -63,15 +63,15 @@
     name = told.get("id")
     if not isinstance(name, str) or not name:
         raise FieldError(f"{at}.id: a name is wanted, not {name!r:.40}")
-    started_ms = int(number(told, "up_since_ms", at, 0, MAX_TIME_MS, 0))
+    started_ms = int(parse_number(told, "up_since_ms", at, 0, MAX_TIME_MS, 0))
     return HostEntry(
         id=name,
         address=parse_address(told.get("host_port"), f"{at}.host_port"),
         zone=str(told.get("locality", "")),
         kind=str(told.get("flavor", "")),
-        cell=int(number(told, "cell", at, 0, MAX_REVISION, 0)),
-        status=choice(told, "phase", at, STATUS_BY_PHASE),
-        weight=float(number(told, "size", at, 0, 1e6, 0.0)),
+        cell=int(parse_number(told, "cell", at, 0, MAX_REVISION, 0)),
+        status=parse_choice(told, "phase", at, STATUS_BY_PHASE),
+        weight=float(parse_number(told, "size", at, 0, 1e6, 0.0)),
         started_at=started_ms * MS - clock_offset if started_ms else 0,
     )
 
@@ -84,7 +84,7 @@
         # Against a word that counts as true: the list would seem whole, and all that it lacks gone.
         raise FieldError(f"complete: true or false is wanted, not {told.get('complete')!r:.40}")
     try:
-        revision = int(number(told, "revision", "", 0, MAX_REVISION))
+        revision = int(parse_number(told, "revision", "", 0, MAX_REVISION))
         members = tuple(parse_host_entry(one, f"members[{i}]", clock_offset) for i, one in enumerate(told["members"]))
     except KeyError as fault:
         raise FieldError(f"{fault.args[0]}: is missing") from fault
--- a/ternquay/figures.py
+++ b/ternquay/numeric.py
@@ -3,12 +3,12 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-MASK = (1 << 64) - 1
+MASK64 = (1 << 64) - 1
 
 
-def mix(x: int) -> int:
-    x = ((x ^ (x >> 30)) * 0xBF58476D1CE4E5B9) & MASK
-    x = ((x ^ (x >> 27)) * 0x94D049BB133111EB) & MASK
+def mix64(x: int) -> int:
+    x = ((x ^ (x >> 30)) * 0xBF58476D1CE4E5B9) & MASK64
+    x = ((x ^ (x >> 27)) * 0x94D049BB133111EB) & MASK64
     return x ^ (x >> 31)
 
 
--- a/ternquay/rig/baselines/highest_hash.py
+++ b/ternquay/rig/baselines/highest_hash.py
@@ -1,12 +1,12 @@
 """Rendezvous hashing: the usable cache host of highest hash with the key (Thaler and Ravishankar, 1998)."""
 
-from ternquay.figures import mix
+from ternquay.numeric import mix64
 from ternquay.rig.baselines.plain import Plain
 from ternquay.state import CacheHost, Tx
 
 
 def rank(key: int, host: CacheHost) -> int:
-    return mix(key ^ host.hash)
+    return mix64(key ^ host.hash)
 
 
 class Balancer(Plain):
--- a/ternquay/state.py
+++ b/ternquay/state.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from ternquay import model as m
-from ternquay.figures import mix
+from ternquay.numeric import mix64
 
 
 @dataclass(slots=True, eq=False)
@@ -153,7 +153,7 @@
     def lightest_group(self, draw: int) -> int:
         # A random one of the ties; the draw is the range's, or each balancer spills to a place of its own.
         try:
-            return self.index(self.min_load, mix(draw) % len(self))
+            return self.index(self.min_load, mix64(draw) % len(self))
         except ValueError:
             return self.index(self.min_load)
 
--- a/ternquay/wirehost/serve.py
+++ b/ternquay/wirehost/serve.py
@@ -8,7 +8,7 @@
 
 from ternquay import model as m
 from ternquay.balance import Balancer
-from ternquay.facts import US, Names, read_start
+from ternquay.facts import US, NameTable, parse_deployment
 
 ENDS = {
     "done": m.HopOutcome.DONE,
@@ -32,13 +32,13 @@
     """One balancer and the two tables that give its ids small indices."""
 
     def __init__(self, seed: int, facts: dict[str, Any]) -> None:
-        self.balancer = Balancer(read_start(seed, facts))
+        self.balancer = Balancer(parse_deployment(seed, facts))
         self.hosts: dict[str, int] = {}
         self.addresses: list[str] = []
         self.txs: dict[str, int] = {}
         self.words: dict[int, str] = {}
         self.next_tx = 0
-        self.names = Names(facts)
+        self.names = NameTable(facts)
 
     def host(self, address: str) -> int:
         index = self.hosts.get(address)
@@ -89,7 +89,7 @@
             e["Took"] * US,
             e["Ended"],
             e.get("Detail") or 0,
-            self.names.report(e.get("Stats")),
+            self.names.parse_report(e.get("Stats")),
         )
 
     def event(self, e: dict[str, Any]) -> m.Event | None:
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -16,7 +16,7 @@
 
 from ternquay import model as m
 from ternquay.balance import MS, SECOND, Balancer
-from ternquay.facts import Names, read_start
+from ternquay.facts import NameTable, parse_deployment
 from ternquay.net.dispatcher import Dispatcher
 from ternquay.net.driver import TCP_INFO_LAST_DATA
 from ternquay.net.frontend import Frontend
@@ -292,8 +292,8 @@
         self.reactor.advance(1000.0)
         self.limits = replace(derive_limits(facts, sockets, 96), **limits or {})
         self.sockets = Sockets(self.limits)
-        start = read_start(7, facts)
-        self.dispatcher = Dispatcher(self.reactor, start, Names(facts), self.limits)
+        start = parse_deployment(7, facts)
+        self.dispatcher = Dispatcher(self.reactor, start, NameTable(facts), self.limits)
         self.pool = self.dispatcher.pool = Pool(
             self.reactor, self.dispatcher, self.limits, self.sockets, start.parallel_hops
         )
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -8,7 +8,7 @@
 
 from ternquay import model as m
 from ternquay.balance import FORGET_HOST_AFTER_NS, SECOND
-from ternquay.facts import read_start
+from ternquay.facts import parse_deployment
 from ternquay.net.config import ConfigError, read_config
 from tests.helper import FACTS, Net, Play, line, member
 from tests.test_net import mg, va
@@ -22,8 +22,8 @@
 
 
 def test_the_setting_comes_in_both_ways_and_is_a_boolean(tmp_path: Path) -> None:
-    assert not read_start(1, FACTS).gone_is_advisory
-    assert read_start(1, facts(True)).gone_is_advisory and not read_start(1, facts(False)).gone_is_advisory
+    assert not parse_deployment(1, FACTS).gone_is_advisory
+    assert parse_deployment(1, facts(True)).gone_is_advisory and not parse_deployment(1, facts(False)).gone_is_advisory
     path = tmp_path / "x.json"
     for value in (1, "true", None):
         path.write_text(json.dumps(told(1, 2, settings=facts(value))))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -2,7 +2,7 @@
 
 from ternquay import model as m
 from ternquay.balance import INITIAL_ORIGIN_LIMIT, MS, RANGE_COUNT
-from ternquay.figures import text_hash
+from ternquay.numeric import text_hash
 
 from .helper import Play, line
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -10,7 +10,7 @@
 
 from ternquay import model as m
 from ternquay.balance import MS, RANGE_FRACTION_DOWN_PER_SECOND, Balancer
-from ternquay.facts import Names, read_start
+from ternquay.facts import NameTable, parse_deployment
 from ternquay.handover.notes import learned_read, learned_text
 from ternquay.rig.contender import Contender
 from ternquay.rig.judge import judge
@@ -171,26 +171,26 @@
     ],
 )
 def test_a_report_that_is_odd_counts_as_not_told(row: Any, report: m.LoadReport | None) -> None:
-    assert Names(FACTS | REPORT).report(row) == report
+    assert NameTable(FACTS | REPORT).parse_report(row) == report
 
 
 def test_names_that_are_not_known_are_passed_over_and_without_a_source_there_are_none() -> None:
     told = {"Source": "answers", "Names": ["brightness", "concurrent", "tps", "err_ps"]}
-    assert Names(FACTS | {"LoadReport": told}).report([9, 3, 8, 1]) == m.LoadReport(
+    assert NameTable(FACTS | {"LoadReport": told}).parse_report([9, 3, 8, 1]) == m.LoadReport(
         active=3.0, errors_per_second=1.0, completed_per_second=8.0
     )
     for source in ("probe", "none"):
-        assert Names(FACTS | {"LoadReport": told | {"Source": source}}).report([9, 3, 8, 1]) is None
-    assert Names(FACTS).report([1]) is None
+        assert NameTable(FACTS | {"LoadReport": told | {"Source": source}}).parse_report([9, 3, 8, 1]) is None
+    assert NameTable(FACTS).parse_report([1]) is None
 
 
 def test_late_stuck_zero_and_missing_reports_end_nothing_and_blame_nobody() -> None:
-    names, p = Names(FACTS | REPORT), fleet()
+    names, p = NameTable(FACTS | REPORT), fleet()
     before, drawn = homes(p), Random(3)
     rows: list[Any] = [[5.0, 40.0, 0.5], [5.0, 40.0, 0.5], [0, 0, 0], None, [None] * 3, [1.0], "x"]
     for n in range(210):
         tx = p.arrive(f"k{n % 60}")
-        p.feed("", m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.report(drawn.choice(rows))))
+        p.feed("", m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.parse_report(drawn.choice(rows))))
         p.run(5)
     p.list(*live({}))
     assert homes(p) == before
@@ -199,7 +199,7 @@
     for n, row in enumerate(rows):
         tx = p.arrive(f"k{n}")
         said = f"hop {tx}.0 ends DONE, report {row}"
-        p.feed(said, m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.report(row)))
+        p.feed(said, m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.parse_report(row)))
         p.run(300)
     p.list(*live({2: 30.0}))
     p.trace.append(f"rooms {[round(h.range_fraction, 2) for h in p.balancer.ready]}")
@@ -241,11 +241,11 @@
 @pytest.mark.parametrize(("change", "named"), ODD)
 def test_an_odd_setting_is_named(change: dict[str, Any], named: str) -> None:
     with pytest.raises(ValueError, match=f"^{named}:"):
-        read_start(1, FACTS | change)
+        parse_deployment(1, FACTS | change)
 
 
 def test_without_the_new_settings_all_is_as_before() -> None:
-    start = read_start(1, FACTS)
+    start = parse_deployment(1, FACTS)
     assert (start.weight_mode, start.zone, start.cross_zone_price) == (m.WeightMode.NONE, -1, 0.0)
     assert not Balancer(start).prefer_own_zone
 
