--- a/ternquay/handover/notes.py
+++ b/ternquay/handover/notes.py
@@ -3,7 +3,7 @@
     ternquay handover 1 <bytes of the body> <BLAKE2b of the body, 32 hexadecimal digits>
     {"at": ..., "ceiling": ..., ...}
 
-Whole or not at all: what is torn, longer than it says, of another version or no note is told by NoteUnfit.
+Whole or not at all: what is torn, longer than it says, of another version or no note is told by InvalidNoteError.
 """
 
 from dataclasses import asdict, dataclass
@@ -15,11 +15,12 @@
 from ternquay import model as m
 from ternquay.net.listing import HostEntry, parse_address
 
-VERSION, MOST = 1, 1 << 20
-HEAD_MOST = 100
+VERSION = 1
+MAX_BODY_BYTES = 1 << 20
+MAX_HEADER_BYTES = 100
 
 
-class NoteUnfit(ValueError):
+class InvalidNoteError(ValueError):
     """A note that can't be used; the text says why."""
 
 
@@ -36,8 +37,8 @@
     learned: dict[str, Any]  # by a host's id and of all, as the decisions tell it
 
 
-def written(note: Note) -> bytes:
-    """Raises NoteUnfit where it would be longer than anybody reads."""
+def encode_note(note: Note) -> bytes:
+    """Raises InvalidNoteError where it would be longer than anybody reads."""
     members = [
         [x.id, str(x.address), x.zone, x.kind, x.cell, x.status.name, x.weight, x.started_at] for x in note.members
     ]
@@ -52,8 +53,8 @@
             "learned": note.learned,
         }
     )
-    if len(body) > MOST:
-        raise NoteUnfit(f"{len(body)} bytes are more than {MOST}")
+    if len(body) > MAX_BODY_BYTES:
+        raise InvalidNoteError(f"{len(body)} bytes are more than {MAX_BODY_BYTES}")
     return b"ternquay handover %d %d %b\n%b" % (VERSION, len(body), digest(body), body)
 
 
@@ -61,17 +62,17 @@
     return blake2b(body, digest_size=16).hexdigest().encode()
 
 
-def read(data: bytes) -> Note:
-    """Raises NoteUnfit."""
-    head, end, body = data[:HEAD_MOST].partition(b"\n")
+def decode_note(data: bytes) -> Note:
+    """Raises InvalidNoteError."""
+    head, end, body = data[:MAX_HEADER_BYTES].partition(b"\n")
     words = head.split(b" ")
     if not end or words[:2] != [b"ternquay", b"handover"] or len(words) != 5:
-        raise NoteUnfit("it is no note")
+        raise InvalidNoteError("it is no note")
     if words[2] != b"%d" % VERSION:
-        raise NoteUnfit(f"it is of version {words[2][:20]!r}")
+        raise InvalidNoteError(f"it is of version {words[2][:20]!r}")
     body = data[len(head) + 1 :]
     if words[3] != b"%d" % len(body) or words[4] != digest(body):
-        raise NoteUnfit("it is torn")
+        raise InvalidNoteError("it is torn")
     try:
         told = orjson.loads(body)
         members = tuple(
@@ -97,17 +98,17 @@
             learned=told["learned"],
         )
     except (ValueError, KeyError, TypeError, IndexError) as fault:
-        raise NoteUnfit(f"it lacks something: {fault!r}") from fault
+        raise InvalidNoteError(f"it lacks something: {fault!r}") from fault
 
 
-def learned_text(learned: m.Learned, names: dict[int, str]) -> dict[str, Any]:
+def encode_learned(learned: m.Learned, names: dict[int, str]) -> dict[str, Any]:
     """With the hosts' ids in place of indices, which are this process's own."""
     told = asdict(learned)
     told["hosts"] = {names[host["host"]]: host for host in told["hosts"] if host["host"] in names}
     return told
 
 
-def learned_read(told: dict[str, Any], indices: dict[str, int]) -> m.Learned | None:
+def decode_learned(told: dict[str, Any], indices: dict[str, int]) -> m.Learned | None:
     """What is not known here is left out; None where it can't be read."""
     try:
         hosts = tuple(
@@ -119,20 +120,24 @@
 
 
 @dataclass(slots=True)
-class Ceilings:
+class SocketCeilings:
     """How many descriptors each of two may have; the two add up to no more than `whole` at any time."""
 
-    whole: int
-    start: int  # of the second, before the first has told its own
+    total: int
+    successor_share: int  # of the second, before the first has told its own
 
     def alone(self) -> int:
         """With the place that a second one starts in."""
-        return self.whole - self.start
+        return self.total - self.successor_share
 
-    def first(self, before: int, used: int, ending: bool) -> int:
+    def predecessor(self, current: int, used: int, ending: bool) -> int:
         """The first one's: down to a half, or to what it has in use; at its end down with that. Never up."""
-        return min(before, max(used, 1 if ending else self.whole // 2))
+        return min(current, max(used, 1 if ending else self.total // 2))
 
-    def second(self, told: int | None) -> int:
+    def successor(self, predecessor_ceiling: int | None) -> int:
         """The second one's, by what the first has told of its own."""
-        return self.start if told is None else max(self.start, self.whole - told)
+        return (
+            self.successor_share
+            if predecessor_ceiling is None
+            else max(self.successor_share, self.total - predecessor_ceiling)
+        )
--- /dev/null
+++ b/ternquay/net/replacement.py
@@ -0,0 +1,157 @@
+"""One process beside another: who is there, what the second takes over, and how much each may have meanwhile.
+
+Loaded only where the platform holds the listening socket. The files and locks are handover/slots.py's, the note and
+the arithmetic handover/notes.py's; here they meet the clock, the dispatcher and the count of sockets.
+"""
+
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any, Protocol
+
+from loguru import logger
+
+from ternquay.handover.notes import Note, SocketCeilings, decode_learned, encode_learned
+from ternquay.handover.slots import Slots
+from ternquay.net.discovery import Discovery
+from ternquay.net.dispatcher import Dispatcher
+from ternquay.net.limits import MS, SECOND
+from ternquay.net.sockets import Sockets
+
+POLL_INTERVAL_NS = 100 * MS  # between two looks at the other
+NOTE_TIMEOUT_NS = SECOND  # how long the second waits for the first one's note
+NOTE_REFRESH_NS = SECOND // 2  # a note with nothing new in it is written again after so long
+
+
+class ReplaceableService(Protocol):
+    """The service, as far as a replacement has to do with it."""
+
+    reactor: Any
+    dispatcher: Dispatcher
+    sockets: Sockets
+    discovery: Discovery
+
+    def serves(self) -> bool: ...
+
+    def peer_changed(self) -> None:
+        """The other has come, gone, or begun or ceased to serve."""
+
+
+class Replacement:
+    def __init__(self, service: ReplaceableService, folder: Path) -> None:
+        """Raises OSError where the folder can't be used."""
+        self.service, self.slots = service, Slots(folder)
+        limits = service.dispatcher.limits
+        self.ceilings = SocketCeilings(limits.sockets + limits.spare, limits.successor_sockets)
+        self.other_present = self.is_successor = self.other_serves = self.ended = False
+        self.other_since = self.written_at = 0  # when the other was met; when the last note was written
+        self.last_state: tuple[Any, ...] = ()  # what it said
+        self.on_ready: Callable[[], None] | None = None
+
+    def begin(self, on_ready: Callable[[], None]) -> None:
+        """Calls `on_ready` when this process may serve: it has a slot, and what the other had to tell."""
+        self.on_ready = on_ready
+        if self.slots.acquire():
+            self._slot_acquired()
+        else:
+            logger.warning("two processes of this balancer are here already: this one waits until one has ended")
+            self.service.sockets.set_ceiling(0)
+            self._later(self._retry)
+
+    def _retry(self) -> None:
+        if self.ended:
+            return
+        if self.slots.acquire():
+            self._slot_acquired()
+        else:
+            self._later(self._retry)
+
+    def _later(self, what: Callable[[], None]) -> None:
+        self.service.reactor.callLater(POLL_INTERVAL_NS / SECOND, what)
+
+    def _slot_acquired(self) -> None:
+        self.other_since = self.service.dispatcher.now()
+        self.other_present = self.is_successor = self.slots.other_held()
+        self._update_ceiling(None)
+        if self.other_present:
+            logger.info("another process of this balancer is here, to be replaced")
+            self.service.dispatcher.beside(0.5)
+        self.poll()
+
+    def poll(self) -> None:
+        if self.ended:
+            return
+        # Made first, so that a fault in one look does not end them all.
+        self._later(self.poll)
+        service, now = self.service, self.service.dispatcher.now()
+        other = self.slots.other_held()
+        if other != self.other_present:
+            self.other_present, self.is_successor, self.other_since = other, False, now
+            logger.info("another process of this balancer has come beside" if other else "this process is alone again")
+            service.dispatcher.beside(0.5 if other else 1.0)
+        # A clock's tick early, as both may look in the same one.
+        note = self.slots.read(self.other_since - MS) if other else None
+        self._update_ceiling(note)
+        if note is not None and self.is_successor:
+            self._take_over_list(note)
+        if self.on_ready is not None and (
+            note is not None or not self.is_successor or now - self.other_since > NOTE_TIMEOUT_NS
+        ):
+            on_ready, self.on_ready = self.on_ready, None
+            if note is not None and self.is_successor:
+                learned = decode_learned(note.learned, service.dispatcher.hosts)
+                if learned is not None:
+                    service.dispatcher.happened(learned)
+            elif self.is_successor:
+                logger.warning("the other process told nothing: this one serves by the list that it was given")
+            on_ready()
+        if other:
+            self._write_note(now)
+        self.other_serves = note is not None and note.serves
+        service.peer_changed()
+
+    def _update_ceiling(self, note: Note | None) -> None:
+        sockets, mine = self.service.sockets, self.service.sockets.ceiling
+        if not self.other_present:
+            ceiling = self.ceilings.alone()
+        elif self.is_successor:
+            ceiling = self.ceilings.successor(note.ceiling if note is not None else None)
+            if note is None and self.last_state:
+                ceiling = mine  # what the other had told holds: it only goes down
+        else:
+            ceiling = self.ceilings.predecessor(
+                min(mine, self.ceilings.alone()), sockets.open_count(), not self.service.serves()
+            )
+        sockets.set_ceiling(ceiling)
+
+    def _take_over_list(self, note: Note) -> None:
+        """What the other knows of the list counts as known here, if it is newer."""
+        discovery = self.service.discovery
+        same = note.discovery == str(discovery.address)
+        if (same and note.revision > discovery.revision) or (not same and self.on_ready is not None):
+            if same:
+                discovery.revision = note.revision
+            self.service.dispatcher.list_told(True, note.members)
+
+    def _write_note(self, now: int) -> None:
+        service = self.service
+        discovery, dispatcher = service.discovery, service.dispatcher
+        state = (service.sockets.ceiling, service.serves(), discovery.revision, self.other_since)
+        if state == self.last_state and now - self.written_at < NOTE_REFRESH_NS:
+            return
+        self.last_state, self.written_at = state, now
+        names = {index: name for name, index in dispatcher.hosts.items()}
+        self.slots.write(
+            Note(
+                now,
+                service.sockets.ceiling,
+                service.serves(),
+                str(discovery.address),
+                discovery.revision,
+                tuple(dispatcher.members.values()),
+                encode_learned(dispatcher.balancer.learned(), names),
+            )
+        )
+
+    def stop(self) -> None:
+        self.ended = True
+        self.slots.release()
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -147,7 +147,7 @@
 
     def _beside(self, then: Callable[[], None]) -> None:
         """Where the platform holds the socket, another process of this balancer may be here, or come."""
-        from ternquay.net.replace import Replacement
+        from ternquay.net.replacement import Replacement
 
         folder = os.environ.get("TMPDIR", "")
         try:
@@ -162,7 +162,7 @@
     def serves(self) -> bool:
         return not self.unready()
 
-    def met(self) -> None:
+    def peer_changed(self) -> None:
         """From the replacement: against questions and clients that half of the time reach who says no."""
         shut = self.replacement.other_serves and (self.drained or self.ending)
         if shut != self.shut and self.port is not None:
@@ -297,7 +297,7 @@
         if self.reactor.running:
             self.discovery.stop()
             if self.replacement is not None:
-                self.replacement.end()
+                self.replacement.stop()
             logger.info(self.dispatcher.safety.summary())
             logger.info("ended, {} transactions open", sum(not tx.answered for tx in self.dispatcher.txs.values()))
             self.reactor.stop()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,8 +18,16 @@
 
 from ternquay import model as m
 from ternquay.balance import SECOND, Balancer
-from ternquay.handover.beside import NAMES, Slots
-from ternquay.handover.notes import Ceilings, Note, NoteUnfit, learned_read, learned_text, read, written
+from ternquay.handover.notes import (
+    InvalidNoteError,
+    Note,
+    SocketCeilings,
+    decode_learned,
+    decode_note,
+    encode_learned,
+    encode_note,
+)
+from ternquay.handover.slots import SLOT_NAMES, Slots
 from ternquay.net.listing import Address, HostEntry
 from tests.helper import START, T0, Net, line, member
 from tests.test_flow import Store
@@ -33,79 +41,79 @@
 
 
 def test_a_note_is_read_as_it_was_written_or_not_at_all() -> None:
-    data = written(NOTE)
-    assert read(data) == NOTE
+    data = encode_note(NOTE)
+    assert decode_note(data) == NOTE
     for cut in range(len(data)):
-        with pytest.raises(NoteUnfit):
-            read(data[:cut])
+        with pytest.raises(InvalidNoteError):
+            decode_note(data[:cut])
     random = Random(3)
     for _ in range(300):
         spoilt = bytearray(data)
         spoilt[random.randrange(len(data))] ^= 1 << random.randrange(8)
-        with pytest.raises(NoteUnfit):
-            read(bytes(spoilt))
-    with pytest.raises(NoteUnfit, match="version"):
-        read(data.replace(b"handover 1", b"handover 2"))
-    with pytest.raises(NoteUnfit, match="torn"):
-        read(data + b"x")
-    with pytest.raises(NoteUnfit, match="no note"):
-        read(b"#!/bin/sh\n")
-    with pytest.raises(NoteUnfit, match="more than"):
-        written(replace(NOTE, learned={"x": "y" * (1 << 20)}))
+        with pytest.raises(InvalidNoteError):
+            decode_note(bytes(spoilt))
+    with pytest.raises(InvalidNoteError, match="version"):
+        decode_note(data.replace(b"handover 1", b"handover 2"))
+    with pytest.raises(InvalidNoteError, match="torn"):
+        decode_note(data + b"x")
+    with pytest.raises(InvalidNoteError, match="no note"):
+        decode_note(b"#!/bin/sh\n")
+    with pytest.raises(InvalidNoteError, match="more than"):
+        encode_note(replace(NOTE, learned={"x": "y" * (1 << 20)}))
 
 
 def test_what_lies_in_the_folder_never_ends_a_start(tmp_path: Path) -> None:
     first, second, third = Slots(tmp_path), Slots(tmp_path), Slots(tmp_path)
-    assert first.take() and not first.other()
-    assert second.take() and first.other() and second.other() and not third.take()
+    assert first.acquire() and not first.other_held()
+    assert second.acquire() and first.other_held() and second.other_held() and not third.acquire()
     assert second.read(0) is None
     first.write(NOTE)
     assert second.read(5) == NOTE and second.read(6) is None  # not one from before
-    (tmp_path / f"{NAMES[0]}.note").write_bytes(written(NOTE)[:-3])
+    (tmp_path / f"{SLOT_NAMES[0]}.note").write_bytes(encode_note(NOTE)[:-3])
     assert second.read(0) is None
-    (tmp_path / f"{NAMES[0]}.note").unlink()
-    (tmp_path / f"{NAMES[0]}.note").mkdir()
+    (tmp_path / f"{SLOT_NAMES[0]}.note").unlink()
+    (tmp_path / f"{SLOT_NAMES[0]}.note").mkdir()
     assert second.read(0) is None
     first.write(NOTE)  # can't be renamed onto a folder: passed over, and nothing is left beside
     assert not list(tmp_path.glob("*.new"))
-    (tmp_path / f"{NAMES[0]}.note").rmdir()
+    (tmp_path / f"{SLOT_NAMES[0]}.note").rmdir()
     first.write(NOTE)
-    first.end()
-    assert not second.other() and third.take() and second.other()
+    first.release()
+    assert not second.other_held() and third.acquire() and second.other_held()
     assert second.read(0) is None  # the note of who had that slot before is gone
 
 
 def test_a_lock_ends_with_its_process_whatever_ends_it(tmp_path: Path) -> None:
     code = (
         "import sys; sys.path.insert(0, '.'); from pathlib import Path; import time\n"
-        "from ternquay.handover.beside import Slots\n"
-        f"assert Slots(Path({str(tmp_path)!r})).take(); print('here', flush=True); time.sleep(60)"
+        "from ternquay.handover.slots import Slots\n"
+        f"assert Slots(Path({str(tmp_path)!r})).acquire(); print('here', flush=True); time.sleep(60)"
     )
     with subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE) as other:
         assert other.stdout is not None and other.stdout.readline() == b"here\n"
         mine = Slots(tmp_path)
-        assert mine.take() and mine.mine == 1 and mine.other()
+        assert mine.acquire() and mine.index == 1 and mine.other_held()
         other.send_signal(signal.SIGKILL)
         other.wait()
-        assert not mine.other()
+        assert not mine.other_held()
 
 
 def test_the_two_ceilings_never_add_up_to_more_than_the_whole() -> None:
     """Each acts on what it read of the other at its last look, in any order of looks."""
     random = Random(7)
     for _ in range(300):
-        split = Ceilings(random.randrange(60, 900), 24)
-        first, second, told = split.alone(), split.second(None), None
+        split = SocketCeilings(random.randrange(60, 900), 24)
+        first, second, told = split.alone(), split.successor(None), None
         used, ending = random.randrange(split.alone()), False
         for _ in range(40):
             if random.random() < 0.5:
-                first = split.first(first, used, ending)
+                first = split.predecessor(first, used, ending)
                 told = first  # only then is it told
             elif random.random() < 0.7:
-                second = split.second(told)
+                second = split.successor(told)
             used = min(first, max(0, used + random.randrange(-30, 10)))
             ending = ending or random.random() < 0.05
-            assert first + second <= split.whole
+            assert first + second <= split.total
 
 
 def test_what_was_learned_goes_over_by_names_and_half_of_what_is_borne_together() -> None:
@@ -122,8 +130,8 @@
         host.feed(va(number))
     old = net.dispatcher.balancer
     names = {index: name for name, index in net.dispatcher.hosts.items()}
-    told = learned_text(old.learned(), names)
-    learned = learned_read(told | {"hosts": told["hosts"] | {"unheard": told["hosts"]["h1"]}}, {"h1": 7, "h2": 3})
+    told = encode_learned(old.learned(), names)
+    learned = decode_learned(told | {"hosts": told["hosts"] | {"unheard": told["hosts"]["h1"]}}, {"h1": 7, "h2": 3})
     assert learned is not None and {h.host for h in learned.hosts} == {7, 3}
     new = Balancer(replace(START, balancer_count=2))
     new.decide(T0, m.ListChanged(True, (line(7), line(3))))
@@ -135,7 +143,7 @@
     )
     assert new.origin_limit == max(new.min_origin_limit, old.origin_limit / 2)
     assert {h.mean_duration for h in new.hosts.values()} == {h.mean_duration for h in old.hosts.values()}
-    assert learned_read({"hosts": 3}, {}) is None and learned_read(told | {"more": 1}, {}) is None
+    assert decode_learned({"hosts": 3}, {}) is None and decode_learned(told | {"more": 1}, {}) is None
 
 
 def test_a_host_that_is_out_stays_out_for_what_was_left_of_it() -> None:
@@ -291,10 +299,10 @@
 
 def test_a_lock_is_not_taken_by_who_only_looks(tmp_path: Path) -> None:
     mine, other = Slots(tmp_path), Slots(tmp_path)
-    assert mine.take()
-    assert not mine.other() and not mine.other()
-    assert other.take()
-    handle = os.open(tmp_path / NAMES[other.mine], os.O_RDWR)
+    assert mine.acquire()
+    assert not mine.other_held() and not mine.other_held()
+    assert other.acquire()
+    handle = os.open(tmp_path / SLOT_NAMES[other.index], os.O_RDWR)
     with pytest.raises(BlockingIOError):
         fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
     os.close(handle)
@@ -304,17 +312,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     first, second = Slots(tmp_path), Slots(tmp_path)
-    assert first.take() and second.take() and first.other()
+    assert first.acquire() and second.acquire() and first.other_held()
 
     def refused(handle: int, what: int) -> None:
         raise OSError(errno.ENOLCK, "No locks available")
 
     with monkeypatch.context() as broken:
-        broken.setattr("ternquay.handover.beside.fcntl.flock", refused)
-        assert first.other() and not Slots(tmp_path).take()
-    second.end()
-    assert not first.other()
+        broken.setattr("ternquay.handover.slots.fcntl.flock", refused)
+        assert first.other_held() and not Slots(tmp_path).acquire()
+    second.release()
+    assert not first.other_held()
     with monkeypatch.context() as broken:
-        broken.setattr("ternquay.handover.beside.fcntl.flock", refused)
-        assert not first.other()
-    first.end()
+        broken.setattr("ternquay.handover.slots.fcntl.flock", refused)
+        assert not first.other_held()
+    first.release()
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -11,7 +11,7 @@
 from ternquay import model as m
 from ternquay.balance import MS, RANGE_FRACTION_DOWN_PER_SECOND, Balancer
 from ternquay.facts import Names, read_start
-from ternquay.handover.notes import learned_read, learned_text
+from ternquay.handover.notes import decode_learned, encode_learned
 from ternquay.rig.contender import Contender
 from ternquay.rig.judge import judge
 from ternquay.rig.laws.cachehost import Ask
@@ -366,7 +366,7 @@
     second.list(*live({h: 1.0 for h in range(6)}), whole=True)
     assert {h.weight for h in second.balancer.ready} == {0.25, 0.5, 0.75}
     names = {h.index: f"host-{h.index}" for h in p.balancer.ready}
-    told = learned_read(learned_text(p.balancer.learned(), names), {name: n for n, name in names.items()})
+    told = decode_learned(encode_learned(p.balancer.learned(), names), {name: n for n, name in names.items()})
     assert told is not None
     second.feed("", told)
     second.list(*live({h: 1.0 for h in range(6)}))
