--- a/ternquay/net/discovery.py
+++ b/ternquay/net/discovery.py
@@ -1,6 +1,6 @@
-"""Follows the list of cache hosts: one watch after the other, at once; a failed call ends the watching.
+"""Follows the host list of discovery with long polls: each call continues the watch of the one before it.
 
-When the next call goes out, and how long it may take, is decided in net/watch_schedule.py.
+A failed call ends the watch. net/watch_schedule.py decides when the next call starts and how long it may take.
 """
 
 from collections.abc import Callable
@@ -25,27 +25,27 @@
 
 
 class UnexpectedStatus(Exception):
-    """Discovery answered something else than a list."""
+    """Discovery responded with a status other than 200."""
 
 
 class CorruptAnswer(Exception):
-    """What discovery told can't be used; the text names the field."""
+    """The response of discovery can't be used. The message names the field."""
 
 
 @implementer(IAgentEndpointFactory)
 class AddressEndpointFactory:
-    """Connects to an address. Against the library's own way, which looks even an address up in a thread."""
+    """Connects directly to an address. Twisted's own factory resolves even a literal address in a thread."""
 
     def __init__(self, reactor: Any, address: Address) -> None:
         self.reactor, self.address = reactor, address
 
     def endpointForURI(self, uri: Any) -> Any:
-        made = TCP6ClientEndpoint if ":" in self.address.host else TCP4ClientEndpoint
-        return made(self.reactor, self.address.host, self.address.port, 1)
+        endpoint_type = TCP6ClientEndpoint if ":" in self.address.host else TCP4ClientEndpoint
+        return endpoint_type(self.reactor, self.address.host, self.address.port, 1)
 
 
 class BodyCollector(Protocol):
-    """Collects the body of one answer."""
+    """Collects the body of one response, up to `max_bytes`."""
 
     transport: Any
 
@@ -55,7 +55,7 @@
         self.buffer = bytearray()
 
     def end(self) -> None:
-        """Closes its connection. The library hands over a transport that knows no abort."""
+        """Closes the connection. The transport that Twisted passes in has no abort method."""
         self.buffer.clear()
         if self.transport is not None:
             self.transport.stopProducing()
@@ -67,8 +67,8 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         if not self.done.called:
-            # One without a length ends with its connection, and the library does not tell a close from a reset. A list
-            # is one object, so what was cut off can't be read as one.
+            # A body without a length ends with its connection, and Twisted does not tell a close from a reset. The list
+            # is a single JSON object, so a truncated body does not parse.
             if reason.check(ResponseDone, PotentialDataLoss):
                 self.done.callback(bytes(self.buffer))
             else:
@@ -77,22 +77,22 @@
 
 @dataclass(slots=True, eq=False)
 class PendingCall:
-    """One call that is out."""
+    """A call that is in progress."""
 
-    at: int
+    started_at: int
     times: CallTimes
-    answer: "Deferred[None]"
+    result: "Deferred[None]"
     timer: DelayedCall | None = None
-    dropped: bool = False  # nobody waits for it any more
+    dropped: bool = False  # its result is ignored
 
     def drop(self) -> None:
         cancel_call(self.timer)
         self.dropped = True
-        self.answer.cancel()
+        self.result.cancel()
 
 
 class Discovery:
-    """Follows the list at one address until end(); for another address there is another of these."""
+    """Follows the host list at one address until stop(). A change of the address takes a new instance."""
 
     def __init__(
         self,
@@ -107,26 +107,29 @@
         self.address = address
         self.url = f"http://{address}/api/targets"
         self.connections = pool = HTTPConnectionPool(reactor)
-        # Against a call that the library makes twice unseen: discovery works through calls in turn.
+        # Twisted would repeat a failed call without telling: discovery works through its calls one at a time.
         pool.retryAutomatically = False
         pool.maxPersistentPerHost = 1
         self.agent = Agent.usingEndpointFactory(reactor, AddressEndpointFactory(reactor, address), pool)
-        self.revision = -1  # no list of this address is known yet
+        self.revision = -1  # of the latest list; -1: no list of this address is known yet
         self.schedule = WatchSchedule(limits, dispatcher.draw, not dispatcher.start.watch_list)
-        self.stopped = self.retiring = False  # last: no further call, but what is out is still good
+        self.stopped = self.retiring = False  # retiring: no further call starts, but the current one is still read
         self.current_call: PendingCall | None = None
-        self.late_call: PendingCall | None = None  # one that was silent for longer than it may, and may yet be answered
+        self.late_call: PendingCall | None = None  # it has timed out, but a response to it is still accepted
         self.next_call: DelayedCall | None = None
-        self.previous = previous  # the one at another address, until this one has told something
-        self.on_first_result: Callable[[], None] | None = None  # told once, when a call has ended for the first time
+        self.previous = previous  # follows the former address until this one has received a list
+        self.on_first_result: Callable[[], None] | None = None  # called once, when the first call has ended
 
     def watch(self) -> None:
-        """Begins to follow the list, unless it is followed."""
+        """Starts to follow the list unless it is already followed."""
         if self.current_call is None and (self.next_call is None or not self.next_call.active()):
             self._start_call()
 
     def retire(self) -> None:
-        """No further call. What was written by now on the one that is out counts as told, so it is still read."""
+        """Starts no further call, and reads the current one for a moment longer.
+
+        Changes that discovery has written to it by now count as delivered.
+        """
         self.retiring = True
         cancel_call(self.next_call)
         if self.previous is not None:
@@ -135,56 +138,59 @@
         self.reactor.callLater(self.limits.empty_answer_delay / SECOND, self.stop)
 
     def stop(self) -> None:
-        """No further call, and nothing is told any more, not even by the calls that are out."""
+        """Starts no further call and drops those in progress. No list is applied any more."""
         self.stopped = True
         cancel_call(self.next_call)
-        for one in (self.current_call, self.late_call, self.previous):
-            if isinstance(one, PendingCall):
-                one.drop()
-            elif one is not None:
-                one.stop()
+        for source in (self.current_call, self.late_call, self.previous):
+            if isinstance(source, PendingCall):
+                source.drop()
+            elif source is not None:
+                source.stop()
         self.current_call = self.late_call = self.previous = None
         self.connections.closeCachedConnections().addErrback(lambda _: None)
 
-    def apply(self, told: Any) -> None:
-        """Takes a list in discovery's form and goes on from its revision; what raises is not taken."""
-        revision, whole, members = parse_list(told, 0)
+    def apply(self, document: Any) -> None:
+        """Applies a list document and continues from its revision. A document that raises is not applied.
+
+        Raises FieldError.
+        """
+        revision, complete, entries = parse_list(document, 0)
         if revision < self.revision:
-            raise FieldError(f"revision: {revision} is older than {self.revision}, which is known")
-        self.revision = revision  # before the decisions hear of it, as they may ask for the next at once
-        self.dispatcher.list_told(whole, self.start_times.to_monotonic(whole, members, self.dispatcher.now()))
+            raise FieldError(f"revision: {revision} is older than {self.revision}, the latest revision")
+        self.revision = revision  # set first, as the balancer may request the next list from within list_told()
+        self.dispatcher.list_told(complete, self.start_times.to_monotonic(complete, entries, self.dispatcher.now()))
 
     def _start_call(self) -> None:
         if self.stopped or self.retiring:
             return
-        # The versions of one address need not be those of another: there the whole list comes first.
+        # Revisions of different addresses need not agree, so the first call to an address requests the complete list.
         times = self.schedule.next_call()
-        since = f"?index={self.revision}&wait={times.wait // MS}" if self.revision >= 0 else ""
-        answer = self.agent.request(b"GET", (self.url + since).encode()).addCallback(self._collect_body)
-        one = self.current_call = PendingCall(self.dispatcher.now(), times, answer)
-        one.timer = self.reactor.callLater(times.timeout / SECOND, self._call_timed_out, one)
-        answer.addCallback(self._answer_received, one).addErrback(self._call_failed, one)
+        query = f"?index={self.revision}&wait={times.wait // MS}" if self.revision >= 0 else ""
+        result = self.agent.request(b"GET", (self.url + query).encode()).addCallback(self._collect_body)
+        call = self.current_call = PendingCall(self.dispatcher.now(), times, result)
+        call.timer = self.reactor.callLater(times.timeout / SECOND, self._call_timed_out, call)
+        result.addCallback(self._answer_received, call).addErrback(self._call_failed, call)
 
     def _collect_body(self, response: Any) -> "Deferred[bytes]":
         body = BodyCollector(self.limits.list_bytes)
         response.deliverBody(body)
         if response.code != 200:
             body.done.addErrback(lambda _: None)
-            body.end()  # its body may have no end, and each call would leave a connection behind
+            body.end()  # the body may be endless, and each call would leave a connection behind
             raise UnexpectedStatus(f"status {response.code}")
         return body.done.addErrback(self._body_cut_off)
 
-    def _body_cut_off(self, why: Failure) -> Failure:
-        # It had begun to tell, so what is lost of it may count as told.
-        return Failure(CorruptAnswer(f"cut off: {failure_text(why)}"))
+    def _body_cut_off(self, reason: Failure) -> Failure:
+        # The response had begun, so the changes in the lost part may count as delivered.
+        return Failure(CorruptAnswer(f"cut off: {failure_text(reason)}"))
 
-    def _answer_received(self, body: bytes, one: PendingCall) -> None:
-        cancel_call(one.timer)
-        if self.stopped or one.dropped:
+    def _answer_received(self, body: bytes, call: PendingCall) -> None:
+        cancel_call(call.timer)
+        if self.stopped or call.dropped:
             return
-        # Whichever is answered first is the one that goes on.
-        other = self.current_call if one is self.late_call else self.late_call
-        self.current_call, self.late_call = one, None
+        # The call that is answered first continues the watch; the other one is dropped.
+        other = self.current_call if call is self.late_call else self.late_call
+        self.current_call, self.late_call = call, None
         if other is not None:
             other.drop()
         cancel_call(self.next_call)
@@ -198,56 +204,56 @@
             self.previous = None
         self.current_call = None
         self._report_first_result()
-        # At once, as a rule: a later call would be a new watch, with a gap before it.
-        self._schedule_call(self.schedule.answered(self.dispatcher.now() - one.at, self.revision != before))
+        # As a rule without a delay: a later call would begin a new watch, with a gap before it.
+        self._schedule_call(self.schedule.answered(self.dispatcher.now() - call.started_at, self.revision != before))
 
-    def _schedule_call(self, pause: int) -> None:
-        if pause:
-            self.next_call = self.reactor.callLater(pause / SECOND, self._start_call)
+    def _schedule_call(self, delay: int) -> None:
+        if delay:
+            self.next_call = self.reactor.callLater(delay / SECOND, self._start_call)
         else:
             self._start_call()
 
     def _report_first_result(self) -> None:
-        first, self.on_first_result = self.on_first_result, None
-        if first is not None:
-            first()
-
-    def _call_timed_out(self, one: PendingCall) -> None:
-        """Nothing came, or not all of it, in the time that a call may take."""
-        times = one.times
-        if one is self.late_call:
+        callback, self.on_first_result = self.on_first_result, None
+        if callback is not None:
+            callback()
+
+    def _call_timed_out(self, call: PendingCall) -> None:
+        """The complete response did not arrive within the timeout of the call."""
+        times = call.times
+        if call is self.late_call:
             self.late_call = None
-            one.drop()
+            call.drop()
             return
         if times.kept_for > times.timeout and self.late_call is None:
-            self.late_call = one
-            one.timer = self.reactor.callLater((times.kept_for - times.timeout) / SECOND, self._call_timed_out, one)
+            self.late_call = call
+            call.timer = self.reactor.callLater((times.kept_for - times.timeout) / SECOND, self._call_timed_out, call)
         else:
-            one.drop()
-        self._record_failure(CallFailure.SILENT, f"silent, {times.timeout / SECOND:.2f} s after the call")
+            call.drop()
+        self._record_failure(CallFailure.SILENT, f"no response within {times.timeout / SECOND:.2f} s")
 
-    def _call_failed(self, failure: Failure, one: PendingCall) -> None:
-        cancel_call(one.timer)
-        if self.stopped or one.dropped:
+    def _call_failed(self, failure: Failure, call: PendingCall) -> None:
+        cancel_call(call.timer)
+        if self.stopped or call.dropped:
             return
-        if one is self.late_call:
-            self.late_call = None  # those that were made since go on
+        if call is self.late_call:
+            self.late_call = None  # the calls that started since then continue
             return
         self._record_failure(
             CallFailure.CORRUPT if failure.check(CorruptAnswer) else CallFailure.NO_ANSWER, failure_text(failure)
         )
 
-    def _record_failure(self, failure: CallFailure, why: str) -> None:
+    def _record_failure(self, failure: CallFailure, reason: str) -> None:
         self.current_call = None
         if failure is CallFailure.CORRUPT:
-            # What it told is lost, so that only the whole list says how things stand; it is taken at any revision.
+            # The changes in the response are lost, so the next call requests the complete list, of any revision.
             self.revision = -1
-        self.dispatcher.log("WARNING", "discovery: {}", why)
+        self.dispatcher.log("WARNING", "discovery: {}", reason)
         self._report_first_result()
         self._schedule_call(self.schedule.failed(self.dispatcher.now(), failure))
 
 
 def failure_text(failure: Failure) -> str:
-    # The library wraps why a connection ended before there was an answer.
+    """Returns why a call failed. Twisted wraps the reason where the connection ended before a response."""
     reasons = getattr(failure.value, "reasons", None) or [failure]
     return reasons[0].getErrorMessage() or "cut off"
