--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -408,7 +408,7 @@
         try:
             commit = commit_of(_change.decode(body))
             name = commit.record.tenant
-            if commit.entry is None and name in self.host.runtimes and not self.host.runtimes[name].over():
+            if commit.entry is None and name in self.host.runtimes and not self.host.runtimes[name].has_ended():
                 raise InvalidField("state", "transactions of it are still open")
             self._unprepare()
             self.prepared[at] = name, self.host.prepare(self._after(commit), name)
--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -1,4 +1,4 @@
-"""The process of a hosted service: all tenants on one loop, changed one step at a time, ended in order."""
+"""The process of a hosted service: it runs all tenants on one event loop, applies changes, and shuts down in order."""
 
 import gc
 import signal
@@ -25,7 +25,7 @@
     SetState,
     VersionConflict,
 )
-from ternquay.hosted.tenants.runtime import PreparedListeners, ProcessResources, TenantRuntime, bound
+from ternquay.hosted.tenants.runtime import PreparedListeners, ProcessResources, TenantRuntime, bind_listeners
 from ternquay.hosted.tenants.shared_hosts import SharedHostTable
 from ternquay.hosted.tenants.tenant import Guarantee, InvalidField, State, Tenant
 from ternquay.net import library_log
@@ -35,85 +35,85 @@
 from ternquay.net.safety import CloseReason
 from ternquay.net.serve import MonotonicReactor
 
-SWEEP = 250 * MS
-REMOVE_AGAIN = 1.0  # seconds
-WEIGHT_LEAST = 0.001  # of a tenant that was promised nothing
+SWEEP_INTERVAL_NS = 250 * MS
+REMOVE_RETRY_SECONDS = 1.0
+MIN_WEIGHT = 0.001  # of a tenant without a guaranteed part of the CPU
 OWN_DESCRIPTORS = 32  # standard streams, poll, wake-up, store, listeners of the API and a spare
 
 
 class TenantHost:
-    """Runs the tenants of a registry; whoever changes it calls prepare() first and apply() once it is stored."""
+    """Runs the tenants of a registry. To change it, call prepare(), store the change, then call apply()."""
 
     def __init__(self, reactor: Any, service: ServiceConfig, registry: Registry) -> None:
         self.reactor, self.service, self.registry = reactor, service, registry
         self.loop_timing = LoopTiming(SECOND)
         self.scheduler = FairScheduler(reactor, lambda: int(reactor.seconds() * SECOND), self.loop_timing)
         self.sockets = SharedCapacity(max(16, service.process.sockets - OWN_DESCRIPTORS))
-        self.memory = service.process.memory_mb << 20
-        self.own = service.fellows.address if service.fellows is not None else ""
-        self.common = ProcessResources(
+        self.memory_bytes = service.process.memory_mb << 20
+        self.own_address = service.fellows.address if service.fellows is not None else ""
+        self.resources = ProcessResources(
             reactor,
             service.process,
             self.scheduler,
             SharedHostTable(),
             self.sockets,
             lambda: time.time_ns() - int(reactor.seconds() * SECOND),
-            self._retell,
+            self._refresh_lists,
         )
         self.runtimes: dict[str, TenantRuntime] = {}
         self.runtimes_by_id: dict[str, TenantRuntime] = {}
         self.removing: set[str] = set()
-        self.remove: Callable[[str], Any] = self._removed_here
-        self.began, self.ending, self.stopping = reactor.seconds(), False, False
-        self.told: set[str] = set()
-        self.flush = 0  # at the end: for answers that the system has not taken by then
+        self.remove: Callable[[str], Any] = self._remove_unstored
+        self.started_at, self.ending, self.stopping = reactor.seconds(), False, False
+        self.lists_to_refresh: set[str] = set()  # ids of tenants
+        self.flush_timeout = 0  # nanoseconds that the shutdown waits for the system to take answers
 
-    # ---- beginning ----
+    # ---- start ----
 
-    def begin(self) -> None:
-        """Raises InvalidField where a listener can't be bound."""
+    def start(self) -> None:
+        """Starts all tenants. Raises InvalidField if a listener can't be bound."""
         prepared = {}
         for name, entry in self.registry.tenants.items():
             try:
                 places = () if entry.tenant.state is State.ENDING else entry.tenant.listeners
-                prepared[name] = bound(self.reactor, places, self.own)
+                prepared[name] = bind_listeners(self.reactor, places, self.own_address)
             except InvalidField as fault:
                 for one in prepared.values():
                     one.drop()
                 raise InvalidField(f"tenants.{name}.{fault.field}", fault.reason) from fault
         for name in self.registry.tenants:
-            self._made(name)
-        self._settle()
-        for name, tenancy in self.runtimes.items():
-            tenancy.begin(prepared[name])
+            self._create_runtime(name)
+        self._distribute_capacity()
+        for name, runtime in self.runtimes.items():
+            runtime.start(prepared[name])
         self._sweep()
 
-    def _made(self, name: str) -> TenantRuntime:
-        tenancy = TenantRuntime(self.common, self.registry.tenants[name], self.loop_timing)
-        self.runtimes[name] = self.runtimes_by_id[tenancy.id] = tenancy
-        return tenancy
+    def _create_runtime(self, name: str) -> TenantRuntime:
+        runtime = TenantRuntime(self.resources, self.registry.tenants[name], self.loop_timing)
+        self.runtimes[name] = self.runtimes_by_id[runtime.id] = runtime
+        return runtime
 
     # ---- changes ----
 
     def prepare(self, registry: Registry, name: str) -> PreparedListeners:
-        """Binds what the change needs; raises InvalidField with nothing bound."""
+        """Binds the listeners that the change needs. Raises InvalidField and leaves none bound if one can't be."""
         after, before = registry.tenants.get(name), self.registry.tenants.get(name)
         if after is None or after.tenant.state is State.ENDING:
             return PreparedListeners()
         there = before.tenant.listeners if before is not None else ()
         new = tuple(place for place in after.tenant.listeners if place not in there)
         try:
-            return bound(self.reactor, new, self.own)
+            return bind_listeners(self.reactor, new, self.own_address)
         except InvalidField as fault:
             at = after.tenant.listeners.index(new[int(fault.field[len("listeners[") : -1])])
             raise InvalidField(f"listeners[{at}]", fault.reason) from fault
 
     def apply(self, registry: Registry, name: str, prepared: PreparedListeners) -> None:
-        """All of it, in one step of the loop. What raises leaves the other tenants as they are."""
+        """Applies the change to one tenant in one step. If it raises, the other tenants are as they were."""
         self.registry = registry
         if self.ending:
-            # It opens nothing any more. But what is served on until the end is served by what is in force: a member of
-            # a fleet that suspends a tenant elsewhere must not take its txs here meanwhile.
+            # Nothing is opened any more, but tenants are served by their current configuration until the shutdown: when
+            # the fleet suspends a tenant, this member must not take its txs meanwhile.
             prepared.drop()
             entry = registry.tenants.get(name)
             if entry is not None and name in self.runtimes:
@@ -126,23 +126,23 @@
             raise
 
     def _apply(self, registry: Registry, name: str, prepared: PreparedListeners) -> None:
-        entry, tenancy = registry.tenants.get(name), self.runtimes.get(name)
+        entry, runtime = registry.tenants.get(name), self.runtimes.get(name)
         if entry is None:
-            if tenancy is not None:
-                del self.runtimes[name], self.runtimes_by_id[tenancy.id]
+            if runtime is not None:
+                del self.runtimes[name], self.runtimes_by_id[runtime.id]
             self.removing.discard(name)
-            self._settle()
-            if tenancy is not None:
-                tenancy.end()
-        elif tenancy is None:
-            tenancy = self._made(name)
-            self._settle()
-            tenancy.begin(prepared)
+            self._distribute_capacity()
+            if runtime is not None:
+                runtime.remove()
+        elif runtime is None:
+            runtime = self._create_runtime(name)
+            self._distribute_capacity()
+            runtime.start(prepared)
         else:
-            parts = tenancy.entry.tenant.limits != entry.tenant.limits
-            tenancy.change(entry, prepared)
-            if parts:
-                self._settle()
+            limits_changed = runtime.entry.tenant.limits != entry.tenant.limits
+            runtime.change(entry, prepared)
+            if limits_changed:
+                self._distribute_capacity()
 
     def change(self, change: Change) -> None:
         """Applies a change without storing it.
@@ -153,168 +153,169 @@
         after = self.registry.with_change(change)
         self.apply(after, name, self.prepare(after, name))
 
-    def _removed_here(self, name: str) -> None:
+    def _remove_unstored(self, name: str) -> None:
         try:
             self.change(RemoveTenant(name))
         except (InvalidField, NotFound, VersionConflict):
             logger.exception("a tenant that has ended could not be removed")
 
-    def _settle(self) -> None:
-        """Each tenant's parts of the loop, of sockets and of machines that several name."""
-        parts, weights, allocations = {}, {}, {}
-        for tenancy in self.runtimes.values():
-            limits = tenancy.entry.tenant.limits
-            weight = weights[tenancy.id] = max(WEIGHT_LEAST, limits.cpu.least)
-            parts[tenancy.id] = weight, limits.cpu.most
-            allocations[tenancy.id] = share_of(limits.sockets, self.sockets.capacity)
-        self.scheduler.set_shares(parts)
+    def _distribute_capacity(self) -> None:
+        """Sets each tenant's part of the event loop, of the sockets and of cache hosts that several tenants list."""
+        loop_shares, weights, allocations = {}, {}, {}
+        for runtime in self.runtimes.values():
+            limits = runtime.entry.tenant.limits
+            weight = weights[runtime.id] = max(MIN_WEIGHT, limits.cpu.least)
+            loop_shares[runtime.id] = weight, limits.cpu.most
+            allocations[runtime.id] = allocation_of(limits.sockets, self.sockets.capacity)
+        self.scheduler.set_shares(loop_shares)
         self.sockets.set_allocations(allocations)
-        self._retell(self.common.shared_hosts.set_weights(weights))
+        self._refresh_lists(self.resources.shared_hosts.set_weights(weights))
 
-    def _retell(self, ids: set[str]) -> None:
-        """Lists that are others by what other tenants' lists say; told in a turn of their own, once each."""
-        if ids and not self.told:
-            self.reactor.callLater(0, self._tell)
-        self.told |= ids
+    def _refresh_lists(self, ids: set[str]) -> None:
+        """Schedules a refresh of these tenants' host lists, which depend on those of others; one for each tenant."""
+        if ids and not self.lists_to_refresh:
+            self.reactor.callLater(0, self._refresh_now)
+        self.lists_to_refresh |= ids
 
-    def _tell(self) -> None:
-        told, self.told = self.told, set()
-        for id in sorted(told):
+    def _refresh_now(self) -> None:
+        ids, self.lists_to_refresh = self.lists_to_refresh, set()
+        for id in sorted(ids):
             if id in self.runtimes_by_id:
-                self.runtimes_by_id[id].settle()
+                self.runtimes_by_id[id].refresh_list()
 
-    # ---- now and then ----
+    # ---- periodic work ----
 
     def _sweep(self) -> None:
-        self.reactor.callLater(SWEEP / SECOND, self._sweep)
+        self.reactor.callLater(SWEEP_INTERVAL_NS / SECOND, self._sweep)
         self.scheduler.sweep()
-        self._retell(self.common.shared_hosts.expire(int(self.reactor.seconds() * SECOND)))
-        for tenancy in list(self.runtimes.values()):
-            tenancy.swept()
-            name = tenancy.entry.tenant.name
-            if tenancy.over() and name not in self.removing and not self.ending:
+        self._refresh_lists(self.resources.shared_hosts.expire(int(self.reactor.seconds() * SECOND)))
+        for runtime in list(self.runtimes.values()):
+            runtime.sweep()
+            name = runtime.entry.tenant.name
+            if runtime.has_ended() and name not in self.removing and not self.ending:
                 self.removing.add(name)
-                asked = self.remove(name)
-                if asked is not None:
-                    asked.addCallback(self._asked, name)
-        for id, due in self.sockets.reclaimable():
+                pending = self.remove(name)
+                if pending is not None:
+                    pending.addCallback(self._retry_removal, name)
+        for id, excess in self.sockets.reclaimable():
             if id in self.runtimes_by_id:
-                self.runtimes_by_id[id].frontend.give_back(due)
-        self._take_memory_back()
+                self.runtimes_by_id[id].frontend.give_back(excess)
+        self._reclaim_memory()
 
-    def _asked(self, reply: Any, name: str) -> None:
-        """One that could not be removed, as the disk is full, is tried again later."""
+    def _retry_removal(self, reply: Any, name: str) -> None:
+        """Tries again later if the tenant could not be removed, for example because the disk is full."""
         if reply.status >= 300:
-            self.reactor.callLater(REMOVE_AGAIN, self.removing.discard, name)
-
-    def _take_memory_back(self) -> None:
-        """Where all hold more than there is, whoever is furthest over its part loses what it has half-read."""
-        held = {tenancy: tenancy.held() for tenancy in self.runtimes.values()}
-        while sum(held.values()) > self.memory:
-            tenancy = max(held, key=lambda t: held[t] - t.entry.tenant.limits.memory.least * self.memory)
-            clients = [client for client in tenancy.frontend.all if client.kept or client.queued]
+            self.reactor.callLater(REMOVE_RETRY_SECONDS, self.removing.discard, name)
+
+    def _reclaim_memory(self) -> None:
+        """While all tenants together hold too much, drops clients of the tenant that is furthest over its guarantee."""
+        held = {runtime: runtime.buffered_bytes() for runtime in self.runtimes.values()}
+        while sum(held.values()) > self.memory_bytes:
+            runtime = max(held, key=lambda one: held[one] - one.entry.tenant.limits.memory.least * self.memory_bytes)
+            clients = [client for client in runtime.frontend.all if client.kept or client.queued]
             if not clients:
                 break
-            tenancy.frontend.drop(max(clients, key=lambda client: client.kept + client.queued), CloseReason.MEMORY)
-            held[tenancy] = tenancy.held()
+            runtime.frontend.drop(max(clients, key=lambda client: client.kept + client.queued), CloseReason.MEMORY)
+            held[runtime] = runtime.buffered_bytes()
 
     def process(self) -> dict[str, Any]:
-        use = time.process_time()
+        """Returns what the administration API reports of the process."""
+        cpu_seconds = time.process_time()
         return {
             "name": self.service.name,
-            "up_s": round(self.reactor.seconds() - self.began, 1),
+            "up_s": round(self.reactor.seconds() - self.started_at, 1),
             "version": self.registry.version,
-            "cpu_s": round(use, 3),
+            "cpu_s": round(cpu_seconds, 3),
             "sockets": self.sockets.total_used,
             "sockets_most": self.sockets.capacity,
-            "tenants": {name: tenancy.use() for name, tenancy in sorted(self.runtimes.items())},
+            "tenants": {name: runtime.usage() for name, runtime in sorted(self.runtimes.items())},
         }
 
-    # ---- the operators' file again, where there is no store ----
+    # ---- reload of the operators' file, where there is no store ----
 
     def follow(self, registry: Registry) -> None:
-        """Makes the registry what the file says; what does not fit is told and left as it is."""
+        """Applies the file's registry. A change that is not possible is logged, and the tenant stays as it is."""
         for change in differences(self.registry, registry):
             try:
                 self.change(change)
-            except Exception as fault:  # of one tenant, and no reason to leave out the others
+            except Exception as fault:  # concerns one tenant; the others are still changed
                 name = change.tenant.name if isinstance(change, CreateTenant | ReplaceTenant) else change.name
                 expected = isinstance(fault, InvalidField | NotFound | VersionConflict)
                 logger.opt(exception=not expected).bind(tenant=name, cause=str(fault)).error(
-                    "the file's change was not made"
+                    "a change of the file could not be applied"
                 )
 
-    # ---- the end ----
+    # ---- shutdown ----
 
-    def end(self) -> None:
-        """SIGTERM: as a single balancer ends, for all tenants at once."""
+    def shut_down(self) -> None:
+        """Shuts down as a single balancer does, all tenants at once (SIGTERM)."""
         if self.ending:
             return
         self.ending = True
-        logger.info("told to end, {} transactions open", self._open())
+        logger.info("shutting down, {} transactions open", self._open_transactions())
         now = int(self.reactor.seconds() * SECOND)
-        lame = serve_on = leave = flush = 0
-        for tenancy in self.runtimes.values():
-            limits = tenancy.limits
-            tenancy.dispatcher.ends_at = now + limits.last_answer_after
-            lame, leave = max(lame, limits.accept_grace), max(leave, limits.stop_after)
-            serve_on, flush = max(serve_on, limits.leave_after), max(flush, limits.flush_timeout)
-        self.flush = flush
-        self.reactor.callLater(lame / SECOND, self._close)
-        self.reactor.callLater(serve_on / SECOND, self._leave)
-        self.reactor.callLater(leave / SECOND, self._stop)
-
-    def _open(self) -> int:
-        return sum(not tx.answered for tenancy in self.runtimes.values() for tx in tenancy.dispatcher.txs.values())
-
-    def _close(self) -> None:
-        closed = [tenancy.close_ports(not tenancy.frontend.leaving) for tenancy in self.runtimes.values()]
+        accept_grace = leave_after = stop_after = flush = 0
+        for runtime in self.runtimes.values():
+            limits = runtime.limits
+            runtime.dispatcher.ends_at = now + limits.last_answer_after
+            accept_grace, stop_after = max(accept_grace, limits.accept_grace), max(stop_after, limits.stop_after)
+            leave_after, flush = max(leave_after, limits.leave_after), max(flush, limits.flush_timeout)
+        self.flush_timeout = flush
+        self.reactor.callLater(accept_grace / SECOND, self._close_listeners)
+        self.reactor.callLater(leave_after / SECOND, self._close_clients)
+        self.reactor.callLater(stop_after / SECOND, self._stop)
+
+    def _open_transactions(self) -> int:
+        return sum(not tx.answered for runtime in self.runtimes.values() for tx in runtime.dispatcher.txs.values())
+
+    def _close_listeners(self) -> None:
+        closed = [runtime.close_listeners(not runtime.frontend.leaving) for runtime in self.runtimes.values()]
         if not all(closed):
-            self.reactor.callLater(0.01, self._close)
+            self.reactor.callLater(0.01, self._close_listeners)
 
-    def _leave(self) -> None:
-        for tenancy in self.runtimes.values():
-            tenancy.frontend.leave()
-        self._wait()
+    def _close_clients(self) -> None:
+        for runtime in self.runtimes.values():
+            runtime.frontend.leave()
+        self._wait_for_clients()
 
-    def _wait(self) -> None:
-        if any(tenancy.frontend.all for tenancy in self.runtimes.values()):
-            self.reactor.callLater(0.01, self._wait)
+    def _wait_for_clients(self) -> None:
+        if any(runtime.frontend.all for runtime in self.runtimes.values()):
+            self.reactor.callLater(0.01, self._wait_for_clients)
         else:
             self._stop()
 
     def _stop(self) -> None:
         if not self.stopping:
             self.stopping = True
-            after_answers_sent(self.reactor, self._owes, self.flush, self._stopped)
+            after_answers_sent(self.reactor, self._owes_answers, self.flush_timeout, self._stopped)
 
-    def _owes(self) -> bool:
-        return any(tenancy.frontend.owes() for tenancy in self.runtimes.values())
+    def _owes_answers(self) -> bool:
+        return any(runtime.frontend.owes() for runtime in self.runtimes.values())
 
     def _stopped(self) -> None:
         if self.reactor.running:
-            logger.info("ended, {} transactions open", self._open())
+            logger.info("shut down, {} transactions open", self._open_transactions())
             self.reactor.stop()
 
 
-def share_of(part: Guarantee, whole: int) -> Allocation:
-    """A part of the whole in its own unit."""
-    return Allocation(int(part.least * whole), int(part.most * whole))
+def allocation_of(guarantee: Guarantee, capacity: int) -> Allocation:
+    """Returns the guarantee as amounts of the capacity."""
+    return Allocation(int(guarantee.least * capacity), int(guarantee.most * capacity))
 
 
 def differences(old: Registry, new: Registry) -> list[Change]:
-    """The changes that make one registry of the other; first what makes room, then what takes it."""
+    """Returns the changes from one registry to the other: those that free resources first."""
     found: list[Change] = []
     for name, entry in old.tenants.items():
         if name not in new.tenants and entry.tenant.state is not State.ENDING:
             found.append(SetState(name, State.ENDING))
     for name, entry in new.tenants.items():
-        there = old.tenants.get(name)
-        found += [CreateTenant(entry.tenant)] if there is None else _differ(there.tenant, entry.tenant)
+        current = old.tenants.get(name)
+        found += [CreateTenant(entry.tenant)] if current is None else _tenant_differences(current.tenant, entry.tenant)
     return found
 
 
-def _differ(old: Tenant, new: Tenant) -> list[Change]:
+def _tenant_differences(old: Tenant, new: Tenant) -> list[Change]:
     found: list[Change] = []
     if replace(new, state=old.state) != old:
         found.append(ReplaceTenant(replace(new, state=old.state)))
@@ -324,7 +325,7 @@
 
 
 class ServiceProcess:
-    """The host with its store and its API, and the signals that it heeds."""
+    """The tenant host with its store, its administration API and its fleet, and what signals make it do."""
 
     def __init__(self, reactor: Any, service: ServiceConfig) -> None:
         self.reactor, self.service = reactor, service
@@ -338,15 +339,15 @@
             self.host = TenantHost(reactor, service, service.registry)
 
     def _with_store(self) -> None:
-        # Only here, as without a store none of it is even loaded.
+        # Imported here, because a process without a store does not load any of this.
         from ternquay.hosted.administration.api import Api
         from ternquay.hosted.administration.changes import Keeper, Stored
         from ternquay.hosted.store import Store, StoreError
 
-        fellows, life = self.service.fellows, None
+        fleet_config, life = self.service.fellows, None
         store: Store
         try:
-            if fellows is not None:
+            if fleet_config is not None:
                 from ternquay.hosted.fleet.store import FleetStore
 
                 store = member = FleetStore(self.service.store)
@@ -364,19 +365,20 @@
         self.stored = Stored(self.reactor, store)
         self.keeper = Keeper(self.reactor, Api(self.service.operators), self.host, self.stored, time.time_ns)
         self.host.remove = self.keeper.remove
-        if fellows is not None:
+        if fleet_config is not None:
             from ternquay.hosted.fleet.member import FleetMember
 
             assert life is not None
-            self.fleet = FleetMember(self.reactor, fellows, self.host, self.stored, member, life)
+            self.fleet = FleetMember(self.reactor, fleet_config, self.host, self.stored, member, life)
             self.keeper.join(self.fleet)
-            self.host.common.wait = self.fleet.admission_delay
+            self.host.resources.admission_delay = self.fleet.admission_delay
 
-    def begin(self) -> None:
+    def start(self) -> None:
+        """Starts everything. Raises ServiceConfigError."""
         try:
             if self.fleet is not None:
-                self.fleet.start()  # before any tenant takes anything
-            self.host.begin()
+                self.fleet.start()  # before any tenant takes transactions
+            self.host.start()
             if self.service.api is not None:
                 from ternquay.hosted.administration.http import ApiPort
 
@@ -387,34 +389,36 @@
         logger.info("{} serves {} tenants", self.service.name, len(self.host.runtimes))
 
     def reload(self) -> None:
-        """SIGHUP: the file is read again: operators' keys, the certificate, and without a store the tenants."""
+        """Reads the file again (SIGHUP): operators' keys, the certificate and, without a store, the tenants."""
         try:
             new = read_service(Path(self.service.path))
             if self.api is not None and new.api is not None:
                 self.api.reload(new)
         except ServiceConfigError as fault:
-            logger.bind(cause=str(fault)).error("told to read the file again, the old one is kept")
+            logger.bind(cause=str(fault)).error("the reloaded file is invalid; keeping the old one")
             return
         for field in ("process", "store", "listen", "log", "fellows"):
             if getattr(new, field) != getattr(self.service, field) and field != "process":
-                logger.warning("the file has another {}, which waits for the next start", field)
+                logger.warning("the reloaded file changes {}, which takes effect at the next start", field)
         if self.keeper is not None:
-            if new.api is not None:  # else all of them would be locked out until the next start
+            if new.api is not None:  # else all operators would be locked out until the next start
                 self.keeper.api.operators = new.operators
         elif not self.host.ending:
             self.host.follow(new.registry)
-        logger.info("read the file again")
+        logger.info("reloaded the file")
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
+        """Stops the API and the changes, and lets the tenants finish."""
         if self.api is not None:
             self.api.end()
         if self.keeper is not None:
             self.keeper.end()
         if self.fleet is not None:
             self.fleet.step_down()
-        self.host.end()  # a member votes, and renews its lease, while it finishes what it has
+        self.host.shut_down()  # a member votes and renews its lease while it finishes open transactions
 
-    def over(self) -> None:
+    def close(self) -> None:
+        """Closes the fleet's links and the store, after the event loop has stopped."""
         if self.fleet is not None:
             self.fleet.stop()
         if self.stored is not None:
@@ -422,29 +426,30 @@
 
 
 def run(service: ServiceConfig) -> None:
-    """Serves until SIGTERM. Raises ServiceConfigError if it can't begin."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to read again: never an end
+    """Serves until SIGTERM or SIGINT. Raises ServiceConfigError if the service can't start."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until a reload is possible; SIGHUP must never end the process
     logs.begin(service.log.json, service.log.level)
     library_log.begin()
     reactor = MonotonicReactor()
     installReactor(reactor)
     running = ServiceProcess(reactor, service)
     try:
-        running.begin()
+        running.start()
         reactor.mark_turns(running.host.loop_timing)
-        # What is there now stays: to look through it again and again held all transactions up for 50 to 80 ms.
+        # The objects of the start live on. Without the freeze each full garbage collection scans them and stops all
+        # transactions for 50 to 80 ms.
         gc.collect()
         gc.freeze()
-        for number, what in (
-            (signal.SIGTERM, running.end),
-            (signal.SIGINT, running.end),
+        for number, action in (
+            (signal.SIGTERM, running.shut_down),
+            (signal.SIGINT, running.shut_down),
             (signal.SIGHUP, running.reload),
         ):
-            reactor.callWhenRunning(_heed, reactor, number, what)
+            reactor.callWhenRunning(_handle_signal, reactor, number, action)
         reactor.run()
     finally:
-        running.over()
+        running.close()
 
 
-def _heed(reactor: Any, number: signal.Signals, what: Callable[[], None]) -> None:
-    signal.signal(number, lambda *_: reactor.callFromThread(what))
+def _handle_signal(reactor: Any, number: signal.Signals, action: Callable[[], None]) -> None:
+    signal.signal(number, lambda *_: reactor.callFromThread(action))
--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -1,4 +1,4 @@
-"""One tenant on sockets: its listeners, front, door, decisions, pool and source of cache hosts, as its entry has it."""
+"""Runs one tenant on sockets: listeners, frontend, dispatcher, decisions, connection pool and source of cache hosts."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field, replace
@@ -27,13 +27,15 @@
 from ternquay.net.safety import CloseReason, ServerCloseReason
 from ternquay.net.start_times import StartTimes
 
-MOST_HOPS, BACKOFF_MOST, SPARE = 4, SECOND, 8
-NUMBERS_MOST = 10_000
+MAX_HOPS = 4
+MAX_BACKOFF_NS = SECOND
+SPARE_SOCKETS = 8  # for clients that come when all is full: they are told so and closed
+MAX_INDICES = 10_000
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessConfig:
-    """What the process gives all tenants together, and its place among others like it."""
+    """What the process offers all tenants together, and its index among the balancers of the service."""
 
     sockets: int
     memory_mb: int
@@ -44,36 +46,40 @@
 
 @dataclass(slots=True)
 class ProcessResources:
-    """What all tenants of a process share."""
+    """What the tenants of a process share."""
 
     reactor: Any
     process: ProcessConfig
     scheduler: FairScheduler
     shared_hosts: SharedHostTable
     sockets: SharedCapacity
-    difference: Callable[[], int]  # the wall clock less ours
-    retell: Callable[[set[str]], None] = lambda names: None
-    wait: Callable[[str], int] | None = None  # of a member of a fleet: how long a tenant's new txs are told to wait
+    wall_clock_offset: Callable[[], int]  # the wall clock minus the reactor's clock
+    refresh_lists: Callable[[set[str]], None] = lambda ids: None  # of the tenants with these ids
+    # For a member of a fleet that is fenced: how long new transactions of a tenant are told to wait, 0 if it is not.
+    admission_delay: Callable[[str], int] | None = None
 
 
-class Numbers(dict[str, int]):
-    """Small indices for names that are not known before; beyond a bound each is nobody else's."""
+class NameIndex(dict[str, int]):
+    """Assigns small indices to names as they appear. Beyond MAX_INDICES each call gets an index of its own."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.beyond = NUMBERS_MOST
+        self.last_unshared = MAX_INDICES
 
     def get(self, name: str, default: Any = None) -> int:
         if name not in self:
-            if len(self) >= NUMBERS_MOST:
-                self.beyond += 1
-                return self.beyond
+            if len(self) >= MAX_INDICES:
+                self.last_unshared += 1
+                return self.last_unshared
             self[name] = len(self)
         return self[name]
 
 
-def started_of(process: ProcessConfig, tenant: Tenant) -> m.Config:
-    """What the tenant's decisions are told. Its last share is of those who crowd others: beyond it from the first."""
+def decision_config(process: ProcessConfig, tenant: Tenant) -> m.Config:
+    """Returns the configuration of the tenant's decisions.
+
+    An extra share with quota 0 comes last: clients that crowd others are put there, so all they send is over quota.
+    """
     rules = tenant.rules
     return m.Config(
         seed=process.seed,
@@ -86,9 +92,9 @@
         watch_list=False,
         can_cancel=True,
         parallel_hops=True,
-        max_hops=MOST_HOPS,
+        max_hops=MAX_HOPS,
         weight_mode=m.WeightMode.STATIC,
-        max_backoff=BACKOFF_MOST,
+        max_backoff=MAX_BACKOFF_NS,
         clock_quantum=0,
         cold_share=rules.cold_share,
         warm_up_time=rules.warm_within,
@@ -97,7 +103,8 @@
     )
 
 
-def names_of(tenant: Tenant, zones: Numbers) -> Names:
+def decision_names(tenant: Tenant, zones: NameIndex) -> Names:
+    """Returns the names that the tenant's decisions know by index."""
     names = Names(
         {
             "Profiles": [{"Name": one.name} for one in tenant.profiles],
@@ -109,13 +116,13 @@
     return names
 
 
-def limits_of(process: ProcessConfig, tenant: Tenant) -> Limits:
-    """The sizes, counts and times of one tenant; its own limits, within what the process has."""
+def connection_limits(process: ProcessConfig, tenant: Tenant) -> Limits:
+    """Returns the sizes, counts and times for the tenant's connections: its own limits within those of the process."""
     own = tenant.limits
     facts = {
         "Limits": {
             "RetryAfter": True,
-            "MaxRetryAfter": BACKOFF_MOST // 1000,
+            "MaxRetryAfter": MAX_BACKOFF_NS // 1000,
             "StreamsPerConn": 16,
             "DialTimeout": 250_000,
             "ConnIdle": 5_000_000,
@@ -127,23 +134,23 @@
         ],
         "Invariants": {"MustAskIn": 10_000_000},
     }
-    whole = derive_limits(facts, process.sockets, process.memory_mb)
+    limits = derive_limits(facts, process.sockets, process.memory_mb)
     memory = int(own.memory.most * process.memory_mb * (1 << 20))
     return replace(
-        whole,
-        sockets=max(4, int(own.sockets.most * process.sockets) - SPARE),
-        spare=SPARE,
+        limits,
+        sockets=max(4, int(own.sockets.most * process.sockets) - SPARE_SOCKETS),
+        spare=SPARE_SOCKETS,
         clients=own.clients,
         value_bytes=65536,
         answer_bytes=1 << 20,
-        stream_above_bytes=1 << 20,  # kept whole, as a tenant's memory is counted
+        stream_above_bytes=1 << 20,  # answers are buffered whole, since a tenant's memory is accounted
         buffered_bytes=max(1 << 20, min(own.held, memory)),
         idle_clients=max(8, own.clients // 2),
     )
 
 
 class TenantConnection(HostConnection):
-    """To a cache host; what its answers cost is charged to the tenant."""
+    """A connection to a cache host. The time that its answers take is charged to the tenant."""
 
     def rawDataReceived(self, data: bytes) -> None:
         assert isinstance(self.pool, TenantPool)
@@ -154,313 +161,343 @@
 
 
 class TenantPool(Pool):
+    """The tenant's connections to its cache hosts."""
+
     connects = TenantConnection
 
     def __init__(self, scheduler: FairScheduler, name: str, *terms: Any) -> None:
         super().__init__(*terms)
         self.scheduler, self.name = scheduler, name
 
-    def end(self) -> None:
-        """Closes all there is, at once."""
+    def close_all(self) -> None:
+        """Closes all connections at once."""
         for place in list(self.places.values()):
             for connection in list(place.all):
                 connection.drop(ServerCloseReason.REMOVED)
 
 
 class TenantDispatcher(Dispatcher):
-    """Its list goes by the ledger, and what its hops tell of machines that others name too."""
+    """Passes host lists through the shared host table, and reports hops that end at a shared host to it."""
 
-    told: Callable[[bool, tuple[Member, ...]], None]
-    machine_ended: Callable[[Endpoint, m.HopOutcome], None]
+    list_received: Callable[[bool, tuple[Member, ...]], None]
+    shared_hop_ended: Callable[[Endpoint, m.HopOutcome], None]
 
     def __init__(self, *terms: Any) -> None:
         super().__init__(*terms)
-        self.shared: dict[int, Endpoint] = {}
+        self.shared_endpoints: dict[int, Endpoint] = {}
 
     def list_told(self, whole: bool, members: tuple[Member, ...]) -> None:
-        self.told(whole, members)
+        self.list_received(whole, members)
 
-    def settled(self, members: tuple[Member, ...], shared: Mapping[str, Endpoint]) -> None:
-        """The list as the decisions are to have it."""
+    def apply_list(self, members: tuple[Member, ...], shared: Mapping[str, Endpoint]) -> None:
+        """Hands the list to the decisions; `shared` holds the endpoints that other tenants list too, by member id."""
         super().list_told(True, members)
-        self.shared = {self.hosts[id]: place for id, place in shared.items() if id in self.hosts}
+        self.shared_endpoints = {self.hosts[id]: endpoint for id, endpoint in shared.items() if id in self.hosts}
 
     def _ended(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
-        place = self.shared.get(hop.host) if self.shared else None
+        endpoint = self.shared_endpoints.get(hop.host) if self.shared_endpoints else None
         super()._ended(hop, end, answer, note)
-        if place is not None:
-            self.machine_ended(place, end)
+        if endpoint is not None:
+            self.shared_hop_ended(endpoint, end)
 
 
 @dataclass(slots=True)
 class PreparedListeners:
-    """Listeners that a change needs, bound but not accepting yet."""
+    """Listeners that a change needs: bound, but not accepting yet."""
 
     ports: dict[Endpoint, Any] = field(default_factory=dict)
 
     def drop(self) -> None:
+        """Closes the listeners that were not opened."""
         for port in self.ports.values():
-            if port.held:  # else it is in use
+            if port.awaiting_open:  # else it is in use
                 port.stopListening()
 
 
-class Held(TenantListener):
-    """Is bound at once and accepts only from open() on: a change may still fail after it."""
+class PreparedListener(TenantListener):
+    """Binds at once but accepts only after open(), because the change may still fail in between."""
 
-    held = True
+    awaiting_open = True
 
     def startReading(self) -> None:
-        if not self.held:
+        if not self.awaiting_open:
             super().startReading()
 
     def open(self, frontend: TenantFrontend, accepted: Callable[[bool], None]) -> None:
-        self.frontend, self.factory, self.accepted, self.held = frontend, frontend, accepted, False
+        self.frontend, self.factory, self.accepted, self.awaiting_open = frontend, frontend, accepted, False
         self.startReading()
 
 
-def bound(reactor: Any, places: tuple[Endpoint, ...], own: str = "", backlog: int = 1024) -> PreparedListeners:
-    """`own` stands for 0.0.0.0 here. Raises InvalidField, with nothing left bound, if one of them can't be."""
+def bind_listeners(
+    reactor: Any, endpoints: tuple[Endpoint, ...], own_address: str = "", backlog: int = 1024
+) -> PreparedListeners:
+    """Binds a listener to each endpoint; `own_address`, if given, replaces 0.0.0.0.
+
+    Raises InvalidField if one can't be bound, and leaves none bound then.
+    """
     prepared = PreparedListeners()
-    for i, place in enumerate(places):
-        host = own if own and place.host == "0.0.0.0" else place.host
-        port = Held(place.port, Factory(), backlog, host, reactor)
+    for i, endpoint in enumerate(endpoints):
+        host = own_address if own_address and endpoint.host == "0.0.0.0" else endpoint.host
+        port = PreparedListener(endpoint.port, Factory(), backlog, host, reactor)
         try:
             port.startListening()
         except CannotListenError as fault:
             prepared.drop()
             raise InvalidField(f"listeners[{i}]", f"can't be bound: {fault.socketError}") from fault
-        prepared.ports[place] = port
+        prepared.ports[endpoint] = port
     return prepared
 
 
 class TenantRuntime:
-    def __init__(self, common: ProcessResources, entry: TenantEntry, loop_timing: LoopTiming) -> None:
-        self.common, self.entry = common, entry
-        self.id = f"{entry.tenant.name}.{entry.incarnation}"  # one made again under the name is another one
-        tenant, reactor = entry.tenant, common.reactor
-        self.limits = limits_of(common.process, tenant)
-        self.zones, self.cells = Numbers(), Numbers()
-        self.sockets = TenantSockets(self.limits, self.id, common.sockets, tenant.limits.host_connections)
+    """One tenant of the process, run as its registry entry configures it."""
+
+    def __init__(self, resources: ProcessResources, entry: TenantEntry, loop_timing: LoopTiming) -> None:
+        self.resources, self.entry = resources, entry
+        self.id = f"{entry.tenant.name}.{entry.incarnation}"  # a tenant created again under the name has another id
+        tenant, reactor = entry.tenant, resources.reactor
+        self.limits = connection_limits(resources.process, tenant)
+        self.zones, self.cells = NameIndex(), NameIndex()
+        self.sockets = TenantSockets(self.limits, self.id, resources.sockets, tenant.limits.host_connections)
         self.dispatcher = TenantDispatcher(
-            reactor, started_of(common.process, tenant), names_of(tenant, self.zones), self.limits
+            reactor, decision_config(resources.process, tenant), decision_names(tenant, self.zones), self.limits
         )
-        self.dispatcher.told, self.dispatcher.machine_ended = self._told, self._machine_ended
+        self.dispatcher.list_received, self.dispatcher.shared_hop_ended = self._list_received, self._shared_hop_ended
         self.pool = self.dispatcher.pool = TenantPool(
-            common.scheduler, self.id, reactor, self.dispatcher, self.limits, self.sockets, True
+            resources.scheduler, self.id, reactor, self.dispatcher, self.limits, self.sockets, True
         )
         self.loop_timing = TenantLoopTiming(loop_timing, self.limits.turn_duration)
         self.dispatcher.stood_still = self.loop_timing.stood_still
-        self.dues = ClientLimiter(tenant.limits.txs_a_second, tenant.limits.burst)
+        self.client_limiter = ClientLimiter(tenant.limits.txs_a_second, tenant.limits.burst)
         self.frontend = TenantFrontend(
-            reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing, common.scheduler, self.id, self.dues
+            reactor,
+            self.dispatcher,
+            self.limits,
+            self.sockets,
+            self.loop_timing,
+            resources.scheduler,
+            self.id,
+            self.client_limiter,
         )
         self.frontend.open_most = tenant.limits.open_txs
         self.frontend.gate = self._gate
-        self.frontend.fenced = partial(common.wait, tenant.name) if common.wait is not None else None
+        self.frontend.fenced = (
+            partial(resources.admission_delay, tenant.name) if resources.admission_delay is not None else None
+        )
         self.ports: dict[Endpoint, Any] = {}
         self.members: dict[str, Member] = {}
-        self.start_times = StartTimes(common.difference)
+        self.start_times = StartTimes(resources.wall_clock_offset)
         self.discovery: Discovery | None = None
         self.ending_since = 0
 
-    # ---- its beginning, changes and end ----
+    # ---- start, changes and end ----
 
-    def begin(self, prepared: PreparedListeners) -> None:
-        self._open(prepared)
-        self._sourced(self.entry.tenant)
-        self._stand(self.entry.tenant.state)
+    def start(self, prepared: PreparedListeners) -> None:
+        """Opens the listeners and follows the source of cache hosts."""
+        self._open_listeners(prepared)
+        self._use_host_source(self.entry.tenant)
+        self._apply_state(self.entry.tenant.state)
 
     def change(self, entry: TenantEntry, prepared: PreparedListeners) -> None:
-        """The tenant is this from now on; transactions that are open end by what they were taken with."""
+        """Applies another configuration. Open transactions finish under the one that they began with."""
         before, self.entry = self.entry, entry
         try:
-            self._change(before.tenant, entry.tenant, prepared)
+            self._apply_changes(before.tenant, entry.tenant, prepared)
         except BaseException:
-            self.entry = before  # so that the next change makes up for all that differs
+            self.entry = before  # so that the next change applies all that differs
             raise
 
-    def _change(self, old: Tenant, new: Tenant, prepared: PreparedListeners) -> None:
+    def _apply_changes(self, old: Tenant, new: Tenant, prepared: PreparedListeners) -> None:
         if old.limits != new.limits or old.profiles != new.profiles:
-            self._limited(new)
+            self._apply_limits(new)
         if (old.profiles, old.rules, old.shares) != (new.profiles, new.rules, new.shares):
-            start, names = started_of(self.common.process, new), names_of(new, self.zones)
+            start, names = decision_config(self.resources.process, new), decision_names(new, self.zones)
             self.dispatcher.refigured(start, names, self.limits)
         if old.listeners != new.listeners:
-            for place in set(old.listeners) - set(new.listeners):
-                if place in self.ports:
-                    self._close_port(place)
-            self._open(prepared)
+            for endpoint in set(old.listeners) - set(new.listeners):
+                if endpoint in self.ports:
+                    self._close_listener(endpoint)
+            self._open_listeners(prepared)
         if (old.servers, old.source) != (new.servers, new.source):
-            self._sourced(new, old.source)
+            self._use_host_source(new, old.source)
         if old.state is not new.state:
-            self._stand(new.state)
+            self._apply_state(new.state)
 
-    def _limited(self, tenant: Tenant) -> None:
-        self.limits = limits_of(self.common.process, tenant)
+    def _apply_limits(self, tenant: Tenant) -> None:
+        self.limits = connection_limits(self.resources.process, tenant)
         self.dispatcher.limits = self.pool.limits = self.frontend.limits = self.sockets.limits = self.limits
         self.sockets.hosts_most = tenant.limits.host_connections
         self.loop_timing.most = self.limits.turn_duration
-        self.dues.change(tenant.limits.txs_a_second, tenant.limits.burst)
+        self.client_limiter.change(tenant.limits.txs_a_second, tenant.limits.burst)
         self.frontend.open_most = tenant.limits.open_txs
 
-    def _open(self, prepared: PreparedListeners) -> None:
-        for place, port in prepared.ports.items():
+    def _open_listeners(self, prepared: PreparedListeners) -> None:
+        for endpoint, port in prepared.ports.items():
             port.open(self.frontend, self.loop_timing.accepted)
-            self.ports[place] = port
+            self.ports[endpoint] = port
 
     def _gate(self, accept: bool) -> None:
         for port in self.ports.values():
             port.gate(accept)
 
-    def _stand(self, state: State) -> None:
+    def _apply_state(self, state: State) -> None:
         self.frontend.shut = 0 if state is State.ACTIVE else self.limits.retry_after
         if state is State.ENDING and not self.ending_since:
             self.ending_since = self.dispatcher.now()
-            self.close_ports()
+            self.close_listeners()
             self.frontend.leave()
 
-    def close_ports(self, waits: bool = False) -> bool:
-        """With `waits` one stays while not all fit who wait at its door. Whether all are closed."""
-        for place in list(self.ports):
-            self._close_port(place, waits)
+    def close_listeners(self, drain_backlog: bool = False) -> bool:
+        """Closes the listeners; returns whether all are closed.
+
+        With `drain_backlog` a listener stays open while clients wait in its backlog that don't fit in yet.
+        """
+        for endpoint in list(self.ports):
+            self._close_listener(endpoint, drain_backlog)
         if self.ports:
             self.frontend.shed()
         return not self.ports
 
-    def _close_port(self, place: Endpoint, waits: bool = False) -> None:
-        if accept_all_waiting(self.ports[place], self.sockets) or not waits:
-            self.ports.pop(place).stopListening()
+    def _close_listener(self, endpoint: Endpoint, drain_backlog: bool = False) -> None:
+        if accept_all_waiting(self.ports[endpoint], self.sockets) or not drain_backlog:
+            self.ports.pop(endpoint).stopListening()
 
-    def over(self) -> bool:
-        """Whether it is ending and nothing of it is open any more, or has been for too long."""
+    def has_ended(self) -> bool:
+        """Whether the tenant is ending and has nothing open any more, or has been ending for too long."""
         if not self.ending_since:
             return False
         longest = max(one.profile.hard_limit for one in self.entry.tenant.profiles)
         waited = self.dispatcher.now() - self.ending_since
         return (not self.frontend.all and not self.dispatcher.txs) or waited > longest + SECOND
 
-    def end(self) -> None:
-        """It is no more: nothing of it stays."""
-        self.close_ports()
+    def remove(self) -> None:
+        """Closes everything; the tenant exists no longer."""
+        self.close_listeners()
         if self.discovery is not None:
             self.discovery.end()
         for client in list(self.frontend.all):
             self.frontend.drop(client, CloseReason.REMOVED)
-        self.pool.end()
-        self.common.retell(self.common.shared_hosts.remove_tenant(self.dispatcher.now(), self.id))
+        self.pool.close_all()
+        self.resources.refresh_lists(self.resources.shared_hosts.remove_tenant(self.dispatcher.now(), self.id))
 
-    # ---- its cache hosts ----
+    # ---- cache hosts ----
 
-    def _sourced(self, tenant: Tenant, before: Endpoint | None = None) -> None:
+    def _use_host_source(self, tenant: Tenant, before: Endpoint | None = None) -> None:
         old = None
         if self.discovery is not None and tenant.source != before:
-            # What it had written by now counts as told; where servers are listed by hand, the change itself does.
+            # What the old source has sent by now still counts, unless the change itself lists the servers.
             old, self.discovery = self.discovery, None
             (old.end if tenant.source is None else old.retire)()
         if tenant.source is not None and self.discovery is None:
             where = Address(tenant.source.host, tenant.source.port)
-            self.discovery = Discovery(self.common.reactor, self.dispatcher, self.limits, where, self.start_times, old)
+            self.discovery = Discovery(
+                self.resources.reactor, self.dispatcher, self.limits, where, self.start_times, old
+            )
             self.dispatcher.watch = self.discovery.watch
             self.discovery.watch()
         elif tenant.source is None:
-            members = tuple(self._member(server) for server in tenant.servers)
-            self._told(True, self.start_times.dated(True, members, self.dispatcher.now()))
+            members = tuple(self._member_of(server) for server in tenant.servers)
+            self._list_received(True, self.start_times.dated(True, members, self.dispatcher.now()))
 
-    def _member(self, server: Server) -> Member:
-        # The place stands for the host: it is the same by whatever name it goes.
+    def _member_of(self, server: Server) -> Member:
+        # The endpoint identifies the host, whatever name the tenant gives it.
         where = Address(server.endpoint.host, server.endpoint.port)
         standing = m.HostStatus.DRAINING if server.draining else m.HostStatus.READY
         cell = self.cells.get(str(where))
         return Member(str(where), where, server.zone, "", cell, standing, server.weight, server.started)
 
-    def _told(self, whole: bool, members: tuple[Member, ...]) -> None:
-        """From the registry or the source: the ledger has a say in it before the decisions hear of it."""
+    def _list_received(self, whole: bool, members: tuple[Member, ...]) -> None:
+        """Takes a list from the registry or the source and passes it through the shared host table to the decisions."""
         old = self.members
-        kept = {} if whole else dict(old)
-        kept.update({member.id: member for member in members})
-        gone = {id for id, member in kept.items() if member.standing is m.HostStatus.GONE}
+        merged = {} if whole else dict(old)
+        merged.update({member.id: member for member in members})
+        gone = {id for id, member in merged.items() if member.standing is m.HostStatus.GONE}
         if self.entry.tenant.source is not None and whole:
-            gone |= old.keys() - kept.keys()
-        places = [_place((old.get(id) or kept[id]).where) for id in gone]
-        # Where two lines have one place, the machine there is the one that is still listed.
-        self.members = {id: member for id, member in kept.items() if id not in gone}
-        taken = {_place(member.where) for member in self.members.values()}
-        named = {
-            id: ListEntry(_place(member.where), member.standing, member.since) for id, member in self.members.items()
+            gone |= old.keys() - merged.keys()
+        gone_endpoints = [_endpoint_of((old.get(id) or merged[id]).where) for id in gone]
+        # Where two entries have the same endpoint, the host there is the one that is still listed.
+        self.members = {id: member for id, member in merged.items() if id not in gone}
+        listed = {_endpoint_of(member.where) for member in self.members.values()}
+        entries = {
+            id: ListEntry(_endpoint_of(member.where), member.standing, member.since)
+            for id, member in self.members.items()
         }
-        source = self.entry.tenant.source is not None
-        told = self.common.shared_hosts.update_list(
-            self.dispatcher.now(), self.id, named, [place for place in places if source and place not in taken]
+        has_source = self.entry.tenant.source is not None
+        changed = self.resources.shared_hosts.update_list(
+            self.dispatcher.now(),
+            self.id,
+            entries,
+            [endpoint for endpoint in gone_endpoints if has_source and endpoint not in listed],
         )
-        self.settle()
-        self.common.retell(told - {self.id})
+        self.refresh_list()
+        self.resources.refresh_lists(changed - {self.id})
 
-    def settle(self) -> None:
-        """Its list as the ledger has it goes to the decisions."""
-        lines = self.common.shared_hosts.views(self.dispatcher.now(), self.id)
+    def refresh_list(self) -> None:
+        """Hands the decisions the tenant's list as the shared host table has it."""
+        views = self.resources.shared_hosts.views(self.dispatcher.now(), self.id)
         members = tuple(
             replace(
                 member,
-                standing=lines[id].status,
-                since=lines[id].started_at,
-                part=lines[id].cold_fraction,
+                standing=views[id].status,
+                since=views[id].started_at,
+                part=views[id].cold_fraction,
                 zone=member.zone or id,
             )
             for id, member in self.members.items()
         )
-        self.dispatcher.settled(members, {id: line.endpoint for id, line in lines.items() if line.shared})
+        self.dispatcher.apply_list(members, {id: view.endpoint for id, view in views.items() if view.shared})
 
-    def _machine_ended(self, place: Endpoint, end: m.HopOutcome) -> None:
-        told = self.common.shared_hosts.hop_ended(self.dispatcher.now(), place, end)
-        if told:
-            self.common.retell(told)
+    def _shared_hop_ended(self, endpoint: Endpoint, end: m.HopOutcome) -> None:
+        changed = self.resources.shared_hosts.hop_ended(self.dispatcher.now(), endpoint, end)
+        if changed:
+            self.resources.refresh_lists(changed)
 
-    # ---- now and then ----
+    # ---- periodic work and usage ----
 
-    def swept(self) -> None:
+    def sweep(self) -> None:
         if self.sockets.hosts:
             self.pool.swept()
         if self.frontend.all:
             self.frontend.swept()
 
-    def held(self) -> int:
-        """Bytes that it has in memory of half-read and unanswered things."""
+    def buffered_bytes(self) -> int:
+        """Returns the bytes in memory of incomplete requests and answers, and of what is not answered yet."""
         return self.dispatcher.held + self.frontend.kept + self.frontend.queued + self.pool.kept
 
-    def use(self) -> dict[str, Any]:
-        queue = self.common.scheduler.queues.get(self.id)
+    def usage(self) -> dict[str, Any]:
+        """Returns what the administration API reports of the tenant."""
+        queue = self.resources.scheduler.queues.get(self.id)
         return {
             "clients": self.sockets.clients,
             "host_connections": self.sockets.hosts,
             "open": len(self.dispatcher.txs),
-            "held_bytes": self.held(),
+            "held_bytes": self.buffered_bytes(),
             "cpu_s": round(queue.total_ns / SECOND, 3) if queue else 0.0,
             "servers": len(self.members),
         }
 
 
-def _place(where: Address) -> Endpoint:
-    return Endpoint(where.host, where.port)
+def _endpoint_of(address: Address) -> Endpoint:
+    return Endpoint(address.host, address.port)
 
 
 class TenantLoopTiming(LoopTiming):
-    """One tenant's view of the reactor's turns: when they began is the same for all, what is too long is not."""
+    """One tenant's view of the reactor's turns: they begin at the same time for all; each tenant has its own bound."""
 
-    def __init__(self, whole: LoopTiming, most: int) -> None:
-        self.whole, self.most, self.behind = whole, most, 0
+    def __init__(self, process_timing: LoopTiming, most: int) -> None:
+        self.process_timing, self.most, self.behind = process_timing, most, 0
 
     @property
     def began(self) -> int:  # type: ignore[override]
-        return self.whole.began
+        return self.process_timing.began
 
     @property
     def before(self) -> int:  # type: ignore[override]
-        return self.whole.before
+        return self.process_timing.before
 
     @property
     def late(self) -> bool:  # type: ignore[override]
-        return self.whole.late
+        return self.process_timing.late
 
     @property
     def count(self) -> int:  # type: ignore[override]
-        return self.whole.count
+        return self.process_timing.count
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -30,7 +30,7 @@
 
 @pytest.fixture(autouse=True)
 def nothing_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ternquay.hosted.host.bound", lambda *_: PreparedListeners())
+    monkeypatch.setattr("ternquay.hosted.host.bind_listeners", lambda *_: PreparedListeners())
 
 
 class HostedNet(Net):
@@ -44,11 +44,11 @@
         self.reactor.running = True
         service: Any = SimpleNamespace(name="h", process=ProcessConfig(256, 96), fellows=None)
         self.host = TenantHost(self.reactor, service, registry_of(tenant("sur", **terms)))
-        self.host.begin()
-        self.tenancy = self.host.runtimes["sur"]
-        self.limits, self.sockets = self.tenancy.limits, self.tenancy.sockets
-        self.dispatcher, self.pool = self.tenancy.dispatcher, self.tenancy.pool
-        self.frontend: TenantFrontend = self.tenancy.frontend
+        self.host.start()
+        self.runtime = self.host.runtimes["sur"]
+        self.limits, self.sockets = self.runtime.limits, self.runtime.sockets
+        self.dispatcher, self.pool = self.runtime.dispatcher, self.runtime.pool
+        self.frontend: TenantFrontend = self.runtime.frontend
 
     def turn_begins(self) -> None:
         """What comes from here on is read at once; else it waits for its turn."""
@@ -72,7 +72,7 @@
     """The service has been told to end for a second, and a client waits for its last answer."""
     net = HostedNet()
     client = net.client()
-    net.host.end()
+    net.host.shut_down()
     net.run(1000)
     net.turn_begins()
     client.feed(mg(1))
@@ -158,7 +158,7 @@
 class Door:
     """A listener with clients in the system's queue, who are let in one at a time."""
 
-    held, sessionno = False, 0
+    awaiting_open, sessionno = False, 0
 
     def __init__(self, net: HostedNet, waiting: int) -> None:
         self.net, self.waiting, self.closed = net, waiting, False
@@ -183,25 +183,25 @@
 def test_who_waits_at_the_door_is_let_in_before_it_closes(way: str) -> None:
     net = HostedNet()
     door = Door(net, 5)
-    net.tenancy.ports[PLACE] = door
+    net.runtime.ports[PLACE] = door
     if way == "process":
-        net.host.end()
+        net.host.shut_down()
         net.run(510)
     elif way == "tenant":
         net.host.change(SetState("sur", State.ENDING))
     else:
-        net.tenancy._close_port(PLACE)
+        net.runtime._close_listener(PLACE)
     assert door.closed and door.waiting == 0 and len(net.wires) == 5
 
 
 def test_a_door_stays_open_at_the_end_while_not_all_fit_who_wait_there() -> None:
     net = HostedNet(limits=replace(LIMITS, sockets=Guarantee(0.05, 0.1)))
     door = Door(net, 5)
-    net.tenancy.ports[PLACE] = door
+    net.runtime.ports[PLACE] = door
     most = net.limits.sockets + net.limits.spare
     rows = [net.client(f"127.0.1.{n}") for n in range(most)]
     assert net.sockets.full()
-    net.host.end()
+    net.host.shut_down()
     net.run(510)
     assert not door.closed and door.waiting == 5
     net.run(800)  # those who say nothing for a second lose their places
@@ -211,8 +211,8 @@
 def test_a_door_is_closed_in_the_end_whoever_waits_there() -> None:
     net = HostedNet()
     door = Door(net, 10_000)
-    net.tenancy.ports[PLACE] = door
-    net.host.end()
+    net.runtime.ports[PLACE] = door
+    net.host.shut_down()
     net.run(3000)
     assert door.closed and not net.reactor.running
 
@@ -249,7 +249,7 @@
     net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8500))))
     net.host.change(ReplaceTenant(tenant("sur")))
     agent.calls[0].callback(Ending(drained(5), ResponseDone()))
-    assert list(net.tenancy.members) == ["127.0.1.1:11211"] and ready(net)
+    assert list(net.runtime.members) == ["127.0.1.1:11211"] and ready(net)
 
 
 def test_on_loopback_who_waits_at_the_door_as_the_service_ends_is_let_in_and_answered(tmp_path: Path) -> None:
@@ -284,7 +284,7 @@
     waits = net.client()
     waits.feed(mg(1))
     assert waits.protocol.waits and not begun(net)
-    net.tenancy.common.scheduler.scheduled_run.cancel()  # its turn does not come for 6 s
+    net.runtime.resources.scheduler.scheduled_run.cancel()  # its turn does not come for 6 s
     for _ in range(6):
         net.reactor.advance(1.0)
         net.frontend.swept()
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -153,7 +153,7 @@
     """Closes what the test has bound; the library does so in a turn of its own."""
     host.runtimes_by_id.clear()  # as none of them is told what becomes of the others
     for tenancy in host.runtimes.values():
-        tenancy.end()
+        tenancy.remove()
     host.reactor.advance(0.01)
 
 
@@ -177,11 +177,11 @@
 ) -> None:
     one = listening("sur")
     host = hosts(Registry().with_change(CreateTenant(one)), tmp_path)
-    host.begin()
+    host.start()
     tenancy, norte, other = host.runtimes["sur"], listening("norte", 2), place(free_place("127.0.0.1"))
     limits: TenantLimits = replace(SMALL, open_txs=7)
     with monkeypatch.context() as broken:
-        broken.setattr(tenancy, "_limited", lambda tenant: 1 / 0)
+        broken.setattr(tenancy, "_apply_limits", lambda tenant: 1 / 0)
         after = host.registry.with_change(ReplaceTenant(replace(one, limits=limits, listeners=(*one.listeners, other))))
         with pytest.raises(ZeroDivisionError):
             host.apply(after, "sur", host.prepare(after, "sur"))
@@ -202,14 +202,14 @@
 def test_a_tenant_ends_while_a_connection_to_its_cache_host_is_being_made(tmp_path: Path) -> None:
     one = listening("sur", servers=(Server("one", Endpoint("127.0.1.1", 11211)),))
     host = hosts(Registry().with_change(CreateTenant(one)), tmp_path)
-    host.begin()
+    host.start()
     tenancy = host.runtimes["sur"]
     tenancy.pool._dial(next(iter(tenancy.pool.places.values())))
     assert host.reactor.tcpClients and host.sockets.total_used == 1
     host.change(SetState("sur", State.ENDING))
     host.change(RemoveTenant("sur"))
     assert not host.runtimes and not host.runtimes_by_id and host.sockets.total_used == 0
-    assert tenancy.id not in host.scheduler.queues and tenancy.id not in host.common.shared_hosts.lists
+    assert tenancy.id not in host.scheduler.queues and tenancy.id not in host.resources.shared_hosts.lists
     connector = host.reactor.connectors[0]
     assert connector.stoppedConnecting
     over(host)
@@ -225,7 +225,7 @@
         return asked[-1]
 
     host.remove = remove
-    host.begin()
+    host.start()
     host.reactor.advance(1)
     assert len(asked) == 1
     asked[0].callback(Reply(507))
@@ -241,11 +241,11 @@
 def test_a_change_that_ends_after_the_service_was_told_to_end_opens_no_listener(tmp_path: Path) -> None:
     one = listening("sur")
     host = hosts(Registry(), tmp_path)
-    host.begin()
+    host.start()
     host.reactor.running = True
     after = host.registry.with_change(CreateTenant(one))
     prepared = host.prepare(after, "sur")
-    host.end()
+    host.shut_down()
     host.apply(after, "sur", prepared)
     host.reactor.advance(0.01)
     assert host.registry.version == 1 and not host.runtimes
@@ -316,7 +316,7 @@
     assert len(read_service(file).registry.tenants) == 2
     reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
     running = ServiceProcess(reactor, read_service(file))
-    running.begin()
+    running.start()
     before, lines = whole(running.host.registry), []
     handler = logger.add(lambda line: lines.append(line.record["extra"].get("cause")), level="ERROR")
     cuts = range(len(text) - 1)
@@ -343,7 +343,7 @@
         process = one.process
         assert process is not None
         # Told again and again, as until the loop runs it is not heeded.
-        until(lambda: again(process) and b"waits for the next start" in one.log.read_bytes())
+        until(lambda: again(process) and b"takes effect at the next start" in one.log.read_bytes())
         assert one.call("GET", "/v1/tenants").status == 200
         one.file.write_text(whole_file)
     finally:
