--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -21,7 +21,7 @@
 from ternquay.net.dispatcher import Dispatcher, OutgoingHop
 from ternquay.net.host_connection import HostConnection
 from ternquay.net.limits import SECOND, Limits, derive_limits
-from ternquay.net.listing import Address, Member
+from ternquay.net.listing import Address, HostEntry
 from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.pool import Pool
 from ternquay.net.safety import CloseReason, ServerCloseReason
@@ -163,7 +163,7 @@
 class TenantPool(Pool):
     """The tenant's connections to its cache hosts."""
 
-    connects = TenantConnection
+    connection_class = TenantConnection
 
     def __init__(self, scheduler: FairScheduler, name: str, *terms: Any) -> None:
         super().__init__(*terms)
@@ -171,27 +171,27 @@
 
     def close_all(self) -> None:
         """Closes all connections at once."""
-        for place in list(self.places.values()):
-            for connection in list(place.all):
-                connection.drop(ServerCloseReason.REMOVED)
+        for host in list(self.hosts.values()):
+            for connection in list(host.connections):
+                connection.abort(ServerCloseReason.REMOVED)
 
 
 class TenantDispatcher(Dispatcher):
     """Passes host lists through the shared host table, and reports hops that end at a shared host to it."""
 
-    list_received: Callable[[bool, tuple[Member, ...]], None]
+    list_received: Callable[[bool, tuple[HostEntry, ...]], None]
     shared_hop_ended: Callable[[Endpoint, m.HopOutcome], None]
 
     def __init__(self, *terms: Any) -> None:
         super().__init__(*terms)
         self.shared_endpoints: dict[int, Endpoint] = {}
 
-    def list_told(self, whole: bool, members: tuple[Member, ...]) -> None:
-        self.list_received(whole, members)
+    def list_told(self, whole: bool, entries: tuple[HostEntry, ...]) -> None:
+        self.list_received(whole, entries)
 
-    def apply_list(self, members: tuple[Member, ...], shared: Mapping[str, Endpoint]) -> None:
-        """Hands the list to the decisions; `shared` holds the endpoints that other tenants list too, by member id."""
-        super().list_told(True, members)
+    def apply_list(self, entries: tuple[HostEntry, ...], shared: Mapping[str, Endpoint]) -> None:
+        """Hands the list to the decisions; `shared` holds the endpoints that other tenants list too, by entry id."""
+        super().list_told(True, entries)
         self.shared_endpoints = {self.hosts[id]: endpoint for id, endpoint in shared.items() if id in self.hosts}
 
     def _ended(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
@@ -284,7 +284,7 @@
             partial(resources.admission_delay, tenant.name) if resources.admission_delay is not None else None
         )
         self.ports: dict[Endpoint, Any] = {}
-        self.members: dict[str, Member] = {}
+        self.host_list: dict[str, HostEntry] = {}
         self.start_times = StartTimes(resources.wall_clock_offset)
         self.discovery: Discovery | None = None
         self.ending_since = 0
@@ -373,7 +373,7 @@
         """Closes everything; the tenant exists no longer."""
         self.close_listeners()
         if self.discovery is not None:
-            self.discovery.end()
+            self.discovery.stop()
         for client in list(self.frontend.all):
             self.frontend.drop(client, CloseReason.REMOVED)
         self.pool.close_all()
@@ -386,7 +386,7 @@
         if self.discovery is not None and tenant.source != before:
             # What the old source has sent by now still counts, unless the change itself lists the servers.
             old, self.discovery = self.discovery, None
-            (old.end if tenant.source is None else old.retire)()
+            (old.stop if tenant.source is None else old.retire)()
         if tenant.source is not None and self.discovery is None:
             where = Address(tenant.source.host, tenant.source.port)
             self.discovery = Discovery(
@@ -395,31 +395,31 @@
             self.dispatcher.watch = self.discovery.watch
             self.discovery.watch()
         elif tenant.source is None:
-            members = tuple(self._member_of(server) for server in tenant.servers)
-            self._list_received(True, self.start_times.dated(True, members, self.dispatcher.now()))
+            hosts = tuple(self._host_entry(server) for server in tenant.servers)
+            self._list_received(True, self.start_times.to_monotonic(True, hosts, self.dispatcher.now()))
 
-    def _member_of(self, server: Server) -> Member:
+    def _host_entry(self, server: Server) -> HostEntry:
         # The endpoint identifies the host, whatever name the tenant gives it.
         where = Address(server.endpoint.host, server.endpoint.port)
-        standing = m.HostStatus.DRAINING if server.draining else m.HostStatus.READY
+        status = m.HostStatus.DRAINING if server.draining else m.HostStatus.READY
         cell = self.cells.get(str(where))
-        return Member(str(where), where, server.zone, "", cell, standing, server.weight, server.started)
+        return HostEntry(str(where), where, server.zone, "", cell, status, server.weight, server.started)
 
-    def _list_received(self, whole: bool, members: tuple[Member, ...]) -> None:
+    def _list_received(self, whole: bool, hosts: tuple[HostEntry, ...]) -> None:
         """Takes a list from the registry or the source and passes it through the shared host table to the decisions."""
-        old = self.members
+        old = self.host_list
         merged = {} if whole else dict(old)
-        merged.update({member.id: member for member in members})
-        gone = {id for id, member in merged.items() if member.standing is m.HostStatus.GONE}
+        merged.update({host.id: host for host in hosts})
+        gone = {id for id, host in merged.items() if host.status is m.HostStatus.GONE}
         if self.entry.tenant.source is not None and whole:
             gone |= old.keys() - merged.keys()
-        gone_endpoints = [_endpoint_of((old.get(id) or merged[id]).where) for id in gone]
+        gone_endpoints = [_endpoint_of((old.get(id) or merged[id]).address) for id in gone]
         # Where two entries have the same endpoint, the host there is the one that is still listed.
-        self.members = {id: member for id, member in merged.items() if id not in gone}
-        listed = {_endpoint_of(member.where) for member in self.members.values()}
+        self.host_list = {id: host for id, host in merged.items() if id not in gone}
+        listed = {_endpoint_of(host.address) for host in self.host_list.values()}
         entries = {
-            id: ListEntry(_endpoint_of(member.where), member.standing, member.since)
-            for id, member in self.members.items()
+            id: ListEntry(_endpoint_of(host.address), host.status, host.started_at)
+            for id, host in self.host_list.items()
         }
         has_source = self.entry.tenant.source is not None
         changed = self.resources.shared_hosts.update_list(
@@ -434,17 +434,17 @@
     def refresh_list(self) -> None:
         """Hands the decisions the tenant's list as the shared host table has it."""
         views = self.resources.shared_hosts.views(self.dispatcher.now(), self.id)
-        members = tuple(
+        hosts = tuple(
             replace(
-                member,
-                standing=views[id].status,
-                since=views[id].started_at,
-                part=views[id].cold_fraction,
-                zone=member.zone or id,
+                host,
+                status=views[id].status,
+                started_at=views[id].started_at,
+                cold_fraction=views[id].cold_fraction,
+                zone=host.zone or id,
             )
-            for id, member in self.members.items()
+            for id, host in self.host_list.items()
         )
-        self.dispatcher.apply_list(members, {id: view.endpoint for id, view in views.items() if view.shared})
+        self.dispatcher.apply_list(hosts, {id: view.endpoint for id, view in views.items() if view.shared})
 
     def _shared_hop_ended(self, endpoint: Endpoint, end: m.HopOutcome) -> None:
         changed = self.resources.shared_hosts.hop_ended(self.dispatcher.now(), endpoint, end)
@@ -455,13 +455,13 @@
 
     def sweep(self) -> None:
         if self.sockets.hosts:
-            self.pool.swept()
+            self.pool.close_stale()
         if self.frontend.all:
             self.frontend.swept()
 
     def buffered_bytes(self) -> int:
         """Returns the bytes in memory of incomplete requests and answers, and of what is not answered yet."""
-        return self.dispatcher.held + self.frontend.kept + self.frontend.queued + self.pool.kept
+        return self.dispatcher.held + self.frontend.kept + self.frontend.queued + self.pool.buffered_bytes
 
     def usage(self) -> dict[str, Any]:
         """Returns what the administration API reports of the tenant."""
@@ -472,7 +472,7 @@
             "open": len(self.dispatcher.txs),
             "held_bytes": self.buffered_bytes(),
             "cpu_s": round(queue.total_ns / SECOND, 3) if queue else 0.0,
-            "servers": len(self.members),
+            "servers": len(self.host_list),
         }
 
 
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -19,11 +19,11 @@
 from ternquay.balance import Balancer
 from ternquay.net import library_log, meta
 from ternquay.net.closing import accept_all_waiting, after_answers_sent
+from ternquay.net.config import BalancerConfig, ConfigError, read_config
 from ternquay.net.discovery import Discovery
 from ternquay.net.dispatcher import Dispatcher, cancel_call
 from ternquay.net.frontend import Frontend
-from ternquay.net.inherited import adopt, inherited
-from ternquay.net.launch import Launch, LaunchError, read_launch
+from ternquay.net.inherited import adopt_socket, inherited_socket
 from ternquay.net.limits import SECOND
 from ternquay.net.listener import Listener
 from ternquay.net.listing import Address
@@ -33,7 +33,7 @@
 from ternquay.net.pool import Pool
 from ternquay.net.sockets import Sockets
 from ternquay.net.start_times import StartTimes
-from ternquay.net.transports import PatientConnector
+from ternquay.net.transports import BackoffConnector
 
 FIRST_LOOK = 0.001  # seconds: the loop has run once
 # An address that is taken, or can't be ours, is a fault of the configuration; anything else may pass.
@@ -60,7 +60,7 @@
         return listener
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float = 30, bindAddress: Any = None) -> Any:
-        connector = PatientConnector(host, port, factory, timeout, bindAddress, self)
+        connector = BackoffConnector(host, port, factory, timeout, bindAddress, self)
         connector.connect()
         return connector
 
@@ -68,24 +68,24 @@
 class Service:
     """The assembled balancer."""
 
-    def __init__(self, reactor: Any, launch: Launch, decisions: type[Balancer] = Balancer) -> None:
-        self.reactor, self.launch, self.limits = reactor, launch, launch.limits
+    def __init__(self, reactor: Any, config: BalancerConfig, decisions: type[Balancer] = Balancer) -> None:
+        self.reactor, self.config, self.limits = reactor, config, config.limits
         self.start_times = StartTimes(lambda: time.time_ns() - int(reactor.seconds() * SECOND))
         self.sockets = sockets = Sockets(self.limits)
         self.replacement: Any = None
         self.shut = False  # another process takes the clients
-        self.dispatcher = Dispatcher(reactor, launch.start, launch.names, self.limits, decisions)
+        self.dispatcher = Dispatcher(reactor, config.settings, config.names, self.limits, decisions)
         self.pool = self.dispatcher.pool = Pool(
-            reactor, self.dispatcher, self.limits, sockets, launch.start.parallel_hops
+            reactor, self.dispatcher, self.limits, sockets, config.settings.parallel_hops
         )
         self.loop_timing = LoopTiming(self.limits.turn_duration)
         self.dispatcher.stood_still = self.loop_timing.stood_still
         self.frontend = Frontend(reactor, self.dispatcher, self.limits, sockets, self.loop_timing)
-        self.discovery = self._discovery(launch.discovery)
+        self.discovery = self._discovery(config.discovery)
         self.port: Any = None
         self.listen_until = reactor.seconds() + LISTEN_WITHIN
-        self.management = ManagementPort(reactor, self, self.limits) if launch.management is not None else None
-        self.fault: LaunchError | None = None  # found when the loop ran already
+        self.management = ManagementPort(reactor, self, self.limits) if config.management is not None else None
+        self.fault: ConfigError | None = None  # found when the loop ran already
         self.ending = self.drained = self.stopping = False
         self.leaves: list[Any] = []  # the steps of a drain that are still to come
 
@@ -95,29 +95,29 @@
         return discovery
 
     def begin(self) -> None:
-        self.discovery.take(self.launch.known)  # read_launch has read it already
-        if not self.launch.start.watch_list:
+        self.discovery.apply(self.config.initial_list)  # read_config has read it already
+        if not self.config.settings.watch_list:
             self.discovery.watch()
-        where = self.launch.listen
-        held = inherited(where)
-        if self.management is not None and self.launch.management is not None:
-            self.management.begin(self.launch.management)
+        where = self.config.listen
+        held = inherited_socket(where)
+        if self.management is not None and self.config.management is not None:
+            self.management.begin(self.config.management)
         self.pool.sweep()
         self.frontend.sweep()
         if held is not None:
-            self._beside(lambda: self._open(adopt(self.reactor, Listener, held, self.frontend)))
+            self._beside(lambda: self._open(adopt_socket(self.reactor, Listener, held, self.frontend)))
             return
         # Once the loop runs: what the system accepts while a start still takes its time is ours, and waits unread.
-        if self.launch.start.watch_list:
+        if self.config.settings.watch_list:
             self.reactor.callLater(FIRST_LOOK, self._listen)
         else:
             # What is pushed counts as told from the first moment of a process, and the list that it was given may be
             # old: nobody is let in before the first word, or its failure, for a moment.
-            self.discovery.first = self._listen
+            self.discovery.on_first_result = self._listen
             self.reactor.callLater(self.limits.first_list_timeout / SECOND, self._listen)
 
     def _listen(self) -> None:
-        where = self.launch.listen
+        where = self.config.listen
         if self.ending or self.port is not None:
             return
         try:
@@ -128,7 +128,7 @@
     def _not_listening(self, fault: OSError) -> None:
         """Tries again, unless the address is at fault, or it has been tried for long."""
         if fault.errno in NOT_OURS or self.reactor.seconds() > self.listen_until:
-            self.fault = LaunchError(f"listen: {self.launch.listen}: {fault}")
+            self.fault = ConfigError(f"listen: {self.config.listen}: {fault}")
             self.reactor.stop()
             return
         self.dispatcher.log("WARNING", "can't listen yet: {}", fault.strerror)
@@ -143,11 +143,11 @@
         self.frontend.gate = lambda accept: port.gate(accept and not self.shut)
         if isinstance(port, Listener):
             self.frontend.waiting = port.waiting
-        logger.info("{} serves on {}", self.launch.name, self.launch.listen)
+        logger.info("{} serves on {}", self.config.name, self.config.listen)
 
     def _beside(self, then: Callable[[], None]) -> None:
         """Where the platform holds the socket, another process of this balancer may be here, or come."""
-        from ternquay.net.replace import Replacement
+        from ternquay.net.replacement import Replacement
 
         folder = os.environ.get("TMPDIR", "")
         try:
@@ -162,7 +162,7 @@
     def serves(self) -> bool:
         return not self.unready()
 
-    def met(self) -> None:
+    def peer_changed(self) -> None:
         """From the replacement: against questions and clients that half of the time reach who says no."""
         shut = self.replacement.other_serves and (self.drained or self.ending)
         if shut != self.shut and self.port is not None:
@@ -172,20 +172,20 @@
 
     def reload(self) -> None:
         """SIGHUP: the file is read again; where it can't be used, all stays as it is."""
-        old = self.launch
+        old = self.config
         try:
-            new = read_launch(old.path)
-        except LaunchError as fault:
+            new = read_config(old.path)
+        except ConfigError as fault:
             logger.error("told to read the configuration again, the old one is kept: {}", fault)
             return
         # All else is built into what is open now. The seed and the list known are for starts alone.
-        new = replace(new, start=replace(new.start, seed=old.start.seed))
-        for field in ("name", "listen", "management", "limits", "start"):
+        new = replace(new, settings=replace(new.settings, seed=old.settings.seed))
+        for field in ("name", "listen", "management", "limits", "settings"):
             if getattr(new, field) != getattr(old, field):
                 logger.warning("the configuration has another {}, which waits for the next start", field)
         logger.info("read the configuration again, discovery: {}", new.discovery)
         if new.discovery != old.discovery and not self.ending:
-            self.launch = replace(old, discovery=new.discovery)
+            self.config = replace(old, discovery=new.discovery)
             self.discovery.retire()
             self.discovery = self._discovery(new.discovery, self.discovery)
             self.discovery.watch()
@@ -295,15 +295,15 @@
 
     def _stopped(self) -> None:
         if self.reactor.running:
-            self.discovery.end()
+            self.discovery.stop()
             if self.replacement is not None:
-                self.replacement.end()
+                self.replacement.stop()
             logger.info(self.dispatcher.safety.summary())
             logger.info("ended, {} transactions open", sum(not tx.answered for tx in self.dispatcher.txs.values()))
             self.reactor.stop()
 
 
-def run(launch: Launch, decisions: type[Balancer] = Balancer) -> None:
+def run(config: BalancerConfig, decisions: type[Balancer] = Balancer) -> None:
     """Serves until it is told to end; other decisions than the product's are for comparisons."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to read again: never an end
     logger.remove()
@@ -311,10 +311,10 @@
     logger.add(
         sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", level="INFO", backtrace=False, diagnose=False
     )
-    library_log.begin()
+    library_log.install()
     reactor = MonotonicReactor()
     installReactor(reactor)
-    service = Service(reactor, launch, decisions)
+    service = Service(reactor, config, decisions)
     service.begin()
     reactor.mark_turns(service.loop_timing)
     # What is there now stays. Against a look through all of it while it serves: that took 30 ms, of a whole core, in
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -21,7 +21,7 @@
 from ternquay.net.driver import TCP_INFO_LAST_DATA
 from ternquay.net.frontend import Frontend
 from ternquay.net.limits import derive_limits
-from ternquay.net.listing import read_list
+from ternquay.net.listing import parse_list
 from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.pool import Pool
 from ternquay.net.sockets import Sockets
@@ -199,7 +199,7 @@
         self.pending, self.closing, self.lost, self.paused = b"", False, False, False
         self.unread: bytes | None = None  # b"": the other side's end
         self.silent_ms = 0  # since data last came, as the system knows
-        self.taken = 0  # bytes that the system took
+        self.bytes_taken = 0  # bytes that the system took
         self.stuck = False  # it takes none
         protocol.makeConnection(self)
 
@@ -257,7 +257,7 @@
         """The system takes all that was written, until nothing is left."""
         while self.pending and not self.lost and not self.stuck:
             data, self.pending = self.pending, b""
-            self.taken += len(data)
+            self.bytes_taken += len(data)
             self.net.say(f"{self.name} < {shown(data)!r}")
             if self.producer is not None:
                 self.producer.resumeProducing()
@@ -309,7 +309,7 @@
 
     def list(self, *members: dict[str, Any], whole: bool = False) -> None:
         told = {"revision": 1, "complete": whole, "members": list(members)}
-        self.dispatcher.list_told(*read_list(told, 0)[1:])
+        self.dispatcher.list_told(*parse_list(told, 0)[1:])
 
     def client(self) -> Wire:
         count = sum(w.name.startswith("client") for w in self.wires)
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -249,7 +249,7 @@
     net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8500))))
     net.host.change(ReplaceTenant(tenant("sur")))
     agent.calls[0].callback(Ending(drained(5), ResponseDone()))
-    assert list(net.runtime.members) == ["127.0.1.1:11211"] and ready(net)
+    assert list(net.runtime.host_list) == ["127.0.1.1:11211"] and ready(net)
 
 
 def test_on_loopback_who_waits_at_the_door_as_the_service_ends_is_let_in_and_answered(tmp_path: Path) -> None:
