--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -95,7 +95,7 @@
         return discovery
 
     def begin(self) -> None:
-        self.discovery.take(self.config.initial_list)  # read_config has read it already
+        self.discovery.apply(self.config.initial_list)  # read_config has read it already
         if not self.config.settings.watch_list:
             self.discovery.watch()
         where = self.config.listen
@@ -113,7 +113,7 @@
         else:
             # What is pushed counts as told from the first moment of a process, and the list that it was given may be
             # old: nobody is let in before the first word, or its failure, for a moment.
-            self.discovery.first = self._listen
+            self.discovery.on_first_result = self._listen
             self.reactor.callLater(self.limits.first_list_timeout / SECOND, self._listen)
 
     def _listen(self) -> None:
@@ -147,7 +147,7 @@
 
     def _beside(self, then: Callable[[], None]) -> None:
         """Where the platform holds the socket, another process of this balancer may be here, or come."""
-        from ternquay.net.replace import Replacement
+        from ternquay.net.replacement import Replacement
 
         folder = os.environ.get("TMPDIR", "")
         try:
@@ -162,7 +162,7 @@
     def serves(self) -> bool:
         return not self.unready()
 
-    def met(self) -> None:
+    def peer_changed(self) -> None:
         """From the replacement: against questions and clients that half of the time reach who says no."""
         shut = self.replacement.other_serves and (self.drained or self.ending)
         if shut != self.shut and self.port is not None:
@@ -295,9 +295,9 @@
 
     def _stopped(self) -> None:
         if self.reactor.running:
-            self.discovery.end()
+            self.discovery.stop()
             if self.replacement is not None:
-                self.replacement.end()
+                self.replacement.stop()
             logger.info(self.dispatcher.safety.summary())
             logger.info("ended, {} transactions open", sum(not tx.answered for tx in self.dispatcher.txs.values()))
             self.reactor.stop()
