--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -103,9 +103,9 @@
     )
 
 
-def decision_names(tenant: Tenant, zones: NameIndex) -> Names:
+def decision_names(tenant: Tenant, zones: NameIndex) -> NameTable:
     """Returns the names that the tenant's decisions know by index."""
-    names = Names(
+    names = NameTable(
         {
             "Profiles": [{"Name": one.name} for one in tenant.profiles],
             "Tenants": [{"Name": share.name} for share in tenant.shares],
--- a/ternquay/net/limits.py
+++ b/ternquay/net/limits.py
@@ -99,9 +99,9 @@
     # Four times, above what the program itself takes.
     held = max(1, min(256, (memory_mb - PROGRAM) // 5)) * MIB
     lame, leave = SECOND // 2, min(longest * US, 3 * SECOND) + 600 * MS
-    must_ask = parse_duration(facts["Invariants"], "MustAskIn", "Invariants", usual=0) or DEFAULT_LIST_MAX_AGE_NS
-    grace = parse_duration(facts["Invariants"], "DrainGrace", "Invariants", usual=2 * SECOND)
-    idle = parse_duration(allowed, "ConnIdle", "Limits", usual=0) or 5 * SECOND
+    must_ask = parse_duration(facts["Invariants"], "MustAskIn", "Invariants", default=0) or DEFAULT_LIST_MAX_AGE_NS
+    grace = parse_duration(facts["Invariants"], "DrainGrace", "Invariants", default=2 * SECOND)
+    idle = parse_duration(allowed, "ConnIdle", "Limits", default=0) or 5 * SECOND
     return Limits(
         sockets=left - spare,
         clients=(left - spare) * 2 // 3,
@@ -126,10 +126,10 @@
         new_client_grace=SECOND,
         first_command_timeout=5 * SECOND // 2,
         idle_clients=whole // 6,
-        retry_after=parse_duration(allowed, "MaxRetryAfter", "Limits", usual=0) // 4
+        retry_after=parse_duration(allowed, "MaxRetryAfter", "Limits", default=0) // 4
         if allowed.get("RetryAfter")
         else 0,
-        connect_timeout=parse_duration(allowed, "DialTimeout", "Limits", usual=0) or 250 * MS,
+        connect_timeout=parse_duration(allowed, "DialTimeout", "Limits", default=0) or 250 * MS,
         host_idle_timeout=idle * 3 // 5,
         sweep_interval=SECOND // 4,
         idle_loss_half_life=5 * SECOND,
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -27,7 +27,7 @@
     path = tmp_path / "x.json"
     for value in (1, "true", None):
         path.write_text(json.dumps(told(1, 2, settings=facts(value))))
-        with pytest.raises(ConfigError, match=r"^settings: Invariants\.GoneIsAdvice: true or false is wanted"):
+        with pytest.raises(ConfigError, match=r"^settings: Invariants\.GoneIsAdvice: must be true or false"):
             read_config(str(path), {})
     path.write_text(json.dumps(told(1, 2, settings=facts(True))))
     assert read_config(str(path), {}).settings.gone_is_advisory
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -10,7 +10,7 @@
 
 from ternquay import model as m
 from ternquay.balance import MS, RANGE_FRACTION_DOWN_PER_SECOND, Balancer
-from ternquay.facts import Names, read_start
+from ternquay.facts import NameTable, parse_deployment
 from ternquay.handover.notes import decode_learned, encode_learned
 from ternquay.rig.contender import Contender
 from ternquay.rig.judge import judge
