--- a/ternquay/rig/baselines/__init__.py
+++ b/ternquay/rig/baselines/__init__.py
@@ -1,14 +1,14 @@
-"""Other ways to choose a cache host, for comparison only: the product's ordinary path is PAT.
+"""Baseline algorithms that choose a cache host, only for comparison with the PAT algorithm of the product.
 
-Each module has the entry point of ternquay/balance.py. All but the choice is that module's own (admission, the
-origin's gate, health, the guard of the four rules), so that a difference is the choice's alone.
+Each module has the same entry point as ternquay/balance.py. It replaces only the choice of a host: admission, the
+origin limit, health and the four rules are those of the product, so that a difference comes from the choice alone.
 """
 
 from importlib import import_module
 
 from ternquay.balance import Balancer
 
-NAMES = {
+MODULES = {
     "random": "random_choice",
     "highest-hash": "highest_hash",
     "bounded-load": "bounded_load",
@@ -17,9 +17,9 @@
 
 
 def load(name: str) -> type[Balancer]:
-    """The decisions of that name; `pat` are the product's own."""
+    """The balancer class with that algorithm; `pat` is the one of the product."""
     if name == "pat":
         return Balancer
-    module = import_module(f"{__name__}.{NAMES[name]}")
+    module = import_module(f"{__name__}.{MODULES[name]}")
     found: type[Balancer] = module.Balancer
     return found
--- a/ternquay/rig/baselines/plain.py
+++ b/ternquay/rig/baselines/baseline.py
@@ -1,10 +1,12 @@
-"""What all baselines share: they pick one of the usable cache hosts with room, in time or none."""
+"""The base class of all baselines."""
 
 from ternquay import balance
 from ternquay.state import CacheHost, Tx
 
 
-class Plain(balance.Balancer):
+class BaselineBalancer(balance.Balancer):
+    """Picks one usable cache host that is warm or within its cold budget; none if that one would miss the goal."""
+
     def _pick(self, tx: Tx, pool: list[CacheHost]) -> CacheHost:
         raise NotImplementedError
 
--- a/ternquay/rig/baselines/least_inflight.py
+++ b/ternquay/rig/baselines/least_inflight.py
@@ -1,9 +1,9 @@
-"""The usable cache host with the fewest hops of ours in flight, ties drawn."""
+"""The usable cache host with the fewest hops in flight from this balancer; ties are broken at random."""
 
-from ternquay.rig.baselines.plain import Plain
+from ternquay.rig.baselines.baseline import BaselineBalancer
 from ternquay.state import CacheHost, Tx
 
 
-class Balancer(Plain):
+class Balancer(BaselineBalancer):
     def _pick(self, tx: Tx, pool: list[CacheHost]) -> CacheHost:
         return min(pool, key=lambda h: (h.in_flight, self.random.random()))
--- a/ternquay/rig/baselines/random_choice.py
+++ b/ternquay/rig/baselines/random_choice.py
@@ -1,9 +1,9 @@
-"""Any usable cache host with room, drawn anew for each hop."""
+"""A random usable cache host for each hop."""
 
-from ternquay.rig.baselines.plain import Plain
+from ternquay.rig.baselines.baseline import BaselineBalancer
 from ternquay.state import CacheHost, Tx
 
 
-class Balancer(Plain):
+class Balancer(BaselineBalancer):
     def _pick(self, tx: Tx, pool: list[CacheHost]) -> CacheHost:
         return self.random.choice(pool)
--- a/ternquay/rig/contender.py
+++ b/ternquay/rig/contender.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from ternquay.rig.baselines import NAMES
+from ternquay.rig.baselines import MODULES
 from ternquay.rig.terms import DayError, read_toml
 from ternquay.rig.twins import TWINS
 
@@ -32,8 +32,8 @@
 
 
 def by_decisions(name: str) -> Contender:
-    if name != "pat" and name not in NAMES and name not in TWINS:
-        raise DayError(f"--decisions: {name}: there are pat, {', '.join([*NAMES, *TWINS])}")
+    if name != "pat" and name not in MODULES and name not in TWINS:
+        raise DayError(f"--decisions: {name}: there are pat, {', '.join([*MODULES, *TWINS])}")
     return Contender(name, name)
 
 
@@ -41,7 +41,7 @@
     """`now` is the work tree; a revision is unpacked below `scratch`."""
     if name in ("now", "pat"):
         return Contender(name)
-    if name in NAMES:
+    if name in MODULES:
         return Contender(name, name)
     if name.endswith(".toml"):
         return Contender(Path(name).stem, over=read_settings(Path(name)))
--- a/ternquay/wirehost/__init__.py
+++ b/ternquay/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the bench's wire and the decisions; it decides nothing."""
+"""The adapter between the wire protocol of the bench and the balancer. It takes no decisions."""
--- a/ternquay/wirehost/__main__.py
+++ b/ternquay/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""Serves the bench on standard input and output: python -m ternquay.wirehost."""
+"""Serves the bench on standard input and output; started as `python -m ternquay.wirehost`."""
 
 import sys
 
--- a/ternquay/wirehost/serve.py
+++ b/ternquay/wirehost/serve.py
@@ -1,4 +1,4 @@
-"""Reads batches, hands each event to its instance, writes the actions back."""
+"""Reads batches of events, passes each event to its balancer instance, and writes the actions."""
 
 import gc
 from traceback import format_exc
@@ -10,7 +10,7 @@
 from ternquay.balance import Balancer
 from ternquay.facts import US, NameTable, parse_deployment
 
-ENDS = {
+OUTCOMES = {
     "done": m.HopOutcome.DONE,
     "err": m.HopOutcome.ERROR,
     "busy": m.HopOutcome.FULL,
@@ -21,117 +21,130 @@
     "skipped": m.HopOutcome.SKIPPED,
     "enoent": m.HopOutcome.MISS,
 }
-STANDINGS = {"IN": m.HostStatus.READY, "LAME": m.HostStatus.DRAINING, "OUT": m.HostStatus.GONE}
+STATUSES = {"IN": m.HostStatus.READY, "LAME": m.HostStatus.DRAINING, "OUT": m.HostStatus.GONE}
 
 
 class WireError(Exception):
-    """What came in is not the wire's."""
+    """The input violates the wire protocol."""
 
 
 class Instance:
-    """One balancer and the two tables that give its ids small indices."""
+    """One balancer, with the tables that map ids on the wire to indices."""
 
     def __init__(self, seed: int, facts: dict[str, Any]) -> None:
         self.balancer = Balancer(parse_deployment(seed, facts))
         self.hosts: dict[str, int] = {}
         self.addresses: list[str] = []
         self.txs: dict[str, int] = {}
-        self.words: dict[int, str] = {}
+        self.correlations: dict[int, str] = {}
         self.next_tx = 0
         self.names = NameTable(facts)
 
-    def host(self, address: str) -> int:
+    def host_index(self, address: str) -> int:
+        """The index of a host; an unknown address gets the next one."""
         index = self.hosts.get(address)
         if index is None:
             index = self.hosts[address] = len(self.addresses)
             self.addresses.append(address)
         return index
 
-    def lines(self, records: list[dict[str, Any]] | None) -> tuple[m.ListedHost, ...]:
+    def listed_hosts(self, records: list[dict[str, Any]] | None) -> tuple[m.ListedHost, ...]:
         return tuple(
             m.ListedHost(
-                host=self.host(r["Host"]),
+                host=self.host_index(r["Host"]),
                 address=r["Host"],
                 zone=self.names.zones.get(r.get("Locality"), -1),
                 kind=self.names.kinds.get(r.get("ClassOfHost"), -1),
                 cell=r.get("Block") or 0,
-                status=STANDINGS[r["Availability"]],
+                status=STATUSES[r["Availability"]],
                 weight=float(r.get("CapacityHint") or 0.0),
                 started_at=(r.get("OnlineSince") or 0) * US,
             )
             for r in records or ()
         )
 
-    def arrival(self, e: dict[str, Any]) -> m.Event:
+    def decode_arrival(self, message: dict[str, Any]) -> m.Event:
         tx = self.next_tx
         self.next_tx += 1
-        word = e["Corr"]
-        self.txs[word] = tx
-        self.words[tx] = word
+        correlation = message["Corr"]
+        self.txs[correlation] = tx
+        self.correlations[tx] = correlation
         return m.TxArrived(
             tx,
-            self.names.profiles[e["Type"]],
-            self.names.shares.get(e.get("Realm") or "", -1),
-            e.get("Subject"),
-            e["Ttl"] * US,
-            bool(e.get("IsRetry")),
-            bool(e.get("Mutates")),
+            self.names.profiles[message["Type"]],
+            self.names.shares.get(message.get("Realm") or "", -1),
+            message.get("Subject"),
+            message["Ttl"] * US,
+            bool(message.get("IsRetry")),
+            bool(message.get("Mutates")),
         )
 
-    def reply(self, e: dict[str, Any]) -> m.Event | None:
-        tx = self.txs.get(e["Corr"])
+    def decode_reply(self, message: dict[str, Any]) -> m.Event | None:
+        tx = self.txs.get(message["Corr"])
         if tx is None:
             return None
         return m.HopEnded(
             tx,
-            e["Trial"],
-            ENDS[e["StateCode"]],
-            e["Took"] * US,
-            e["Ended"],
-            e.get("Detail") or 0,
-            self.names.parse_report(e.get("Stats")),
+            message["Trial"],
+            OUTCOMES[message["StateCode"]],
+            message["Took"] * US,
+            message["Ended"],
+            message.get("Detail") or 0,
+            self.names.parse_report(message.get("Stats")),
         )
 
-    def event(self, e: dict[str, Any]) -> m.Event | None:
-        name = e["msg"]
+    def decode_event(self, message: dict[str, Any]) -> m.Event | None:
+        """The event that a message stands for, or None if the balancer ignores it. Raises WireError."""
+        name = message["msg"]
         if name == "Arrival":
-            return self.arrival(e)
+            return self.decode_arrival(message)
         if name == "Reply":
-            return self.reply(e)
+            return self.decode_reply(message)
         if name == "Fired":
             return m.TimerFired()
         if name == "Gone":
-            tx = self.txs.get(e["Corr"])
+            tx = self.txs.get(message["Corr"])
             return None if tx is None else m.ClientGone(tx)
         if name == "Membership":
-            if e["Mode"] == "Error":
+            if message["Mode"] == "Error":
                 return m.ListUnavailable()
-            return m.ListChanged(e["Mode"] != "Partial", self.lines(e.get("Records")))
+            return m.ListChanged(message["Mode"] != "Partial", self.listed_hosts(message.get("Records")))
         if name in ("StatusBack", "Inbox", "Flowing"):
-            return None  # nothing asks for probes, peers or streams yet
+            return None  # no action requests probes, peer messages or streams yet
         raise WireError(f"unknown message {name!r}")
 
-    def action(self, who: int, a: m.Action) -> dict[str, Any]:
-        if isinstance(a, m.SendHop):
+    def encode_action(self, instance_id: int, action: m.Action) -> dict[str, Any]:
+        if isinstance(action, m.SendHop):
             return {
                 "msg": "Deliver",
-                "Who": who,
-                "Corr": self.words[a.tx],
-                "Host": self.addresses[a.host],
-                "NotPast": a.deadline // US,
+                "Who": instance_id,
+                "Corr": self.correlations[action.tx],
+                "Host": self.addresses[action.host],
+                "NotPast": action.deadline // US,
             }
-        if isinstance(a, m.SetTimer):
-            return {"msg": "Defer", "Who": who, "Nonce": "t", "When": -(-a.at // US)}
-        if isinstance(a, m.RollBack):
-            return {"msg": "Busy", "Who": who, "Corr": self.words[a.tx], "Backoff": a.backoff // US}
-        if isinstance(a, m.Abandon):
-            return {"msg": "Fail", "Who": who, "Corr": self.words[a.tx]}
-        if isinstance(a, m.CancelHop):
-            return {"msg": "AbortAttempt", "Who": who, "Corr": self.words[a.tx], "Trial": a.hop}
-        return {"msg": "Subscribe", "Who": who, "Want": True}
-
-
-def read(line: bytes) -> dict[str, Any]:
+        if isinstance(action, m.SetTimer):
+            return {"msg": "Defer", "Who": instance_id, "Nonce": "t", "When": -(-action.at // US)}
+        if isinstance(action, m.RollBack):
+            return {
+                "msg": "Busy",
+                "Who": instance_id,
+                "Corr": self.correlations[action.tx],
+                "Backoff": action.backoff // US,
+            }
+        if isinstance(action, m.Abandon):
+            return {"msg": "Fail", "Who": instance_id, "Corr": self.correlations[action.tx]}
+        if isinstance(action, m.CancelHop):
+            return {
+                "msg": "AbortAttempt",
+                "Who": instance_id,
+                "Corr": self.correlations[action.tx],
+                "Trial": action.hop,
+            }
+        return {"msg": "Subscribe", "Who": instance_id, "Want": True}
+
+
+def decode_line(line: bytes) -> dict[str, Any]:
+    """A message. Raises WireError."""
     try:
         value = orjson.loads(line)
     except orjson.JSONDecodeError as fault:
@@ -141,64 +154,66 @@
     return value
 
 
-class Host:
-    """All the instances of this process. They share nothing."""
+class InstanceTable:
+    """All balancer instances of this process. They share no state."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
 
-    def one(self, now: int, e: dict[str, Any], out: list[bytes]) -> None:
-        who = e["Who"]
-        name = e["msg"]
+    def handle(self, now: int, message: dict[str, Any], out: list[bytes]) -> None:
+        """Handle one message and append the encoded actions to `out`."""
+        instance_id = message["Who"]
+        name = message["msg"]
         if name == "Init":
-            self.instances[who] = Instance(e["Nonce64"], e["Facts"])
+            self.instances[instance_id] = Instance(message["Nonce64"], message["Facts"])
             return
         if name == "Killed":
-            self.instances.pop(who, None)
+            self.instances.pop(instance_id, None)
             return
-        instance = self.instances[who]
-        happened = instance.event(e)
-        if happened is None:
+        instance = self.instances[instance_id]
+        event = instance.decode_event(message)
+        if event is None:
             return
         try:
-            actions = instance.balancer.decide(now, happened)
+            actions = instance.balancer.decide(now, event)
         except Exception:
-            out.append(orjson.dumps({"msg": "GiveIn", "Who": who, "BodyText": format_exc()[-2000:]}))
+            out.append(orjson.dumps({"msg": "GiveIn", "Who": instance_id, "BodyText": format_exc()[-2000:]}))
             return
-        for a in actions:
-            out.append(orjson.dumps(instance.action(who, a)))
+        for action in actions:
+            out.append(orjson.dumps(instance.encode_action(instance_id, action)))
 
-    def batch(self, now: int, events: list[dict[str, Any]]) -> bytes:
+    def handle_batch(self, now: int, events: list[dict[str, Any]]) -> bytes:
         out: list[bytes] = []
-        for e in events:
+        for message in events:
             try:
-                self.one(now, e, out)
+                self.handle(now, message, out)
             except (KeyError, TypeError, AttributeError) as fault:
-                raise WireError(f"malformed {e.get('msg')}: {fault!r}") from fault
+                raise WireError(f"malformed {message.get('msg')}: {fault!r}") from fault
         out.append(b'{"msg":"Eor"}\n')
         return b"\n".join(out)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Serve batches until the input ends. Raises WireError if the input violates the protocol."""
     gc.freeze()
-    gc.disable()  # no cycles are kept; a collection within a batch would be booked as CPU
-    host = Host()
+    gc.disable()  # no reference cycles arise, and a collection would count as CPU time of a batch
+    table = InstanceTable()
     now: int | None = None
     events: list[dict[str, Any]] = []
     for line in source:
-        e = read(line)
-        name = e["msg"]
+        message = decode_line(line)
+        name = message["msg"]
         if name == "Round":
-            if now is not None or not isinstance(e.get("Wall"), int):
-                raise WireError("a round within a round, or without its clock")
-            now = e["Wall"] * US
+            if now is not None or not isinstance(message.get("Wall"), int):
+                raise WireError("Round inside a round, or without an integer Wall")
+            now = message["Wall"] * US
         elif now is None:
             raise WireError(f"{name} outside a round")
         elif name == "EofBatch":
-            sink.write(host.batch(now, events))
+            sink.write(table.handle_batch(now, events))
             sink.flush()
             now, events = None, []
         else:
-            events.append(e)
+            events.append(message)
     if now is not None:
-        raise WireError("the input ended within a round")
+        raise WireError("input ended inside a round")
--- a/tests/test_review_gaps.py
+++ b/tests/test_review_gaps.py
@@ -43,9 +43,9 @@
 
 def test_the_wait_of_a_rollback_is_in_microseconds_on_the_wire() -> None:
     one = Instance(7, FACTS)
-    one.words[0] = "c"
-    assert one.action(3, m.RollBack(0, 50 * MS)) == {"msg": "Busy", "Who": 3, "Corr": "c", "Backoff": 50_000}
-    assert one.action(3, m.SendHop(0, one.host("h"), 7 * MS))["NotPast"] == 7_000
+    one.correlations[0] = "c"
+    assert one.encode_action(3, m.RollBack(0, 50 * MS)) == {"msg": "Busy", "Who": 3, "Corr": "c", "Backoff": 50_000}
+    assert one.encode_action(3, m.SendHop(0, one.host_index("h"), 7 * MS))["NotPast"] == 7_000
 
 
 def test_a_commit_is_synced_before_it_counts_as_made(tmp_path: Path) -> None:
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -209,12 +209,12 @@
 def test_the_adapter_hands_on_weights_and_reports() -> None:
     instance = Instance(7, FACTS | REPORT | {"Weights": "live"})
     record = {"Host": "10.0.0.1:80", "Locality": "a", "ClassOfHost": "k", "Block": 0, "Availability": "IN"}
-    assert [x.weight for x in instance.lines([record, record | {"CapacityHint": 0.25}])] == [0.0, 0.25]
-    instance.arrival({"Corr": "t", "Type": "read", "Subject": "a", "Ttl": 9000})
+    assert [x.weight for x in instance.listed_hosts([record, record | {"CapacityHint": 0.25}])] == [0.0, 0.25]
+    instance.decode_arrival({"Corr": "t", "Type": "read", "Subject": "a", "Ttl": 9000})
     told = {"Corr": "t", "Trial": 0, "StateCode": "done", "Took": 5, "Ended": True, "Stats": [1, 20, 0.9]}
-    ended = instance.reply(told)
+    ended = instance.decode_reply(told)
     assert isinstance(ended, m.HopEnded) and ended.report == m.LoadReport(active=1.0, service_time=20_000_000.0)
-    ended = instance.reply(told | {"Stats": None})
+    ended = instance.decode_reply(told | {"Stats": None})
     assert isinstance(ended, m.HopEnded) and ended.report is None
 
 
