--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -1,8 +1,8 @@
-"""One connection to a cache host: the attempts on it in their order, and how each of them ends.
+"""One connection to a cache host: its hops in order, and how each of them ends.
 
-How it is known that a command was written: the connection is the pull producer of its own transport, which asks for
-more exactly when the system has taken the last byte of what it was given, and gets one command at a time. A connection
-that ends before it asked has not written its last command whole.
+The connection is the pull producer of its own transport, so that it knows which commands were written. The transport
+asks for more exactly when the operating system has taken the last byte it was given, and gets one command at a time. A
+connection that ends before the transport asked has not written its last command completely.
 """
 
 from collections import deque
@@ -27,42 +27,43 @@
 
 @implementer(IPullProducer)
 class HostConnection(Driver):
-    """Thin driver of one connection: the machine reads, this keeps the hops on it in order."""
+    """The protocol of one connection. The HostSide state machine parses responses; this class keeps hops in order."""
 
     def __init__(self, pool: "Pool", host: "HostConnections") -> None:
         self.pool, self.host = pool, host
-        self.address = host.address  # where it leads; the host may go on at another
+        self.address = host.address  # of this connection; the host may have moved to another one since
         self.connector: Any = None
         self.machine = HostSide(pool.limits.line_bytes, pool.limits.answer_bytes, pool.limits.stream_above_bytes)
-        self.buffered_bytes = 0  # bytes of an answer that is not whole
+        self.buffered_bytes = 0  # of an incomplete response
         self.to_write: deque[OutgoingHop] = deque()
         self.writing: OutgoingHop | None = None
-        self.hops: deque[OutgoingHop] = deque()  # given to the transport, in order; given-up ones stay in place
+        self.hops: deque[OutgoingHop] = deque()  # given to the transport, in order; given-up ones keep their place
         self.idle_since = 0
-        self.idle_before_hop = -1  # how long it had been idle before the hop it is used for now, until something comes
+        self.idle_before_hop = -1  # idle time before the current hop, until the first bytes of a response; else -1
         self.established = self.closing = False
-        self.incoming: Flow | None = None  # a large value that is coming in
-        self.outgoing: Flow | None = None  # one that is going out, as the value of `writing`
-        self.write_pending = False  # the system has not taken yet what it was given of that
-        self.write_pending_since = 0  # since when
-        self.cache_result = 0  # what the cache host said of the read that `flow` answers
-        self.incoming_moved_at = 0  # when something of `flow` came, or was let come again
+        self.incoming: Flow | None = None  # a large value that is being received
+        self.outgoing: Flow | None = None  # the large value of `writing`, which is being sent
+        self.write_pending = False  # the operating system has not taken all bytes of `outgoing` yet
+        self.write_pending_since = 0
+        self.cache_result = 0  # reported by the cache host for the read that `incoming` answers
+        self.incoming_moved_at = 0  # when bytes of `incoming` arrived, or reading was paused or resumed
 
     def may_send(self) -> bool:
-        """Whether what is new may go out here: the host is listed, does not drain, and is where this leads."""
+        """Returns whether new hops may be sent: the host is listed as ready at the address of this connection."""
         return self.host.ready and self.address == self.host.address
 
     def sends_large_value(self) -> bool:
-        """A large value goes out here, or is about to: nothing else may wait for its writer."""
+        """Returns whether a large value is being sent or queued. Its client may be slow, so no other hop may wait."""
         return self.outgoing is not None or any(hop.tx.flow is not None for hop in self.to_write)
 
     def load(self) -> int:
+        """Returns the number of hops on this connection."""
         return len(self.hops) + len(self.to_write)
 
-    # ---- from the transport ----
+    # ---- calls of the transport ----
 
     def connectionMade(self) -> None:
-        if self.closing:  # dropped while it was being made
+        if self.closing:  # aborted while connecting
             self.transport.abortConnection()
             return
         super().connectionMade()
@@ -72,7 +73,7 @@
             self.pool.connection_idle(self)
 
     def resumeProducing(self) -> None:
-        """The system has taken all that the transport was given."""
+        """Writes the next command. The operating system has taken all bytes that the transport was given."""
         self.write_pending = False
         if self.outgoing is not None:
             self.write_outgoing()
@@ -81,7 +82,7 @@
         skipped = False
         while self.to_write and self.writing is None and not self.closing:
             if not self.may_send():
-                # The last place before the first byte: a fault while a list was taken may have kept recall() away.
+                # The last check before the first byte: an error in handling a list may have prevented recall().
                 self.recall()
                 return
             hop = self.to_write.popleft()
@@ -94,7 +95,8 @@
             self.settle()
 
     def begin(self, hop: OutgoingHop) -> None:
-        left = max(1, (hop.not_past - self.pool.dispatcher.now()) // MS)
+        """Writes the command of a hop, or its line where the value is streamed."""
+        remaining_ms = max(1, (hop.not_past - self.pool.dispatcher.now()) // MS)
         self.pool.dispatcher.safety.begun(hop.tx.answered, hop.tx.requester.id, hop.number)
         self.writing = hop
         self.hops.append(hop)
@@ -102,18 +104,18 @@
         flow = hop.tx.flow
         if flow is None:
             hop.written = True
-            self.transport.write(hop.tx.message.forward(left))
+            self.transport.write(hop.tx.message.forward(remaining_ms))
         else:
             flow.touched = True
             self._write_started()
             self.outgoing, flow.sink = flow, self.write_outgoing
             self.transport.write(hop.tx.message.forward(hop.tx.ttl // MS))
-        # The library would write it in the loop's next turn, and who was there at the last look may have gone by then.
-        # What comes of a broken connection the loop hears of by itself.
+        # Twisted would write in the next turn of the loop, and the client that was just seen may have gone by then. The
+        # reactor reports a broken connection by itself.
         self.transport.doWrite()
 
     def write_outgoing(self) -> None:
-        """Passes on what has come of a large value, as far as the system takes it."""
+        """Forwards the received part of a large value as fast as the operating system takes it."""
         flow, hop = self.outgoing, self.writing
         if flow is None or hop is None or self.write_pending or self.closing or flow.broken:
             return
@@ -129,7 +131,7 @@
             flow.taken()
 
     def _write_started(self) -> None:
-        """The system is given some of a large value."""
+        """Records that the operating system was given bytes of a large value."""
         self.write_pending, self.write_pending_since = True, self.pool.dispatcher.now()
 
     def stopProducing(self) -> None:
@@ -143,7 +145,7 @@
             self.idle_before_hop = -1
         for item in self.machine.feed(data):
             if self.closing:
-                return  # an answer before this one ended the rest
+                return  # the previous response closed the connection
             if isinstance(item, Answer):
                 self.answer_received(item)
             elif isinstance(item, Begun):
@@ -156,37 +158,41 @@
             self.pool.buffered_bytes += len(self.machine.buffer) - self.buffered_bytes
             self.buffered_bytes = len(self.machine.buffer)
             if self.pool.buffered_bytes > self.pool.limits.buffered_bytes:
-                self.machine.fault = "more than there is room for"
+                self.machine.fault = "incomplete responses exceed the buffer limit"
         if self.machine.fault and not self.closing:
-            self.pool.dispatcher.log("WARNING", "{} answered badly: {}", self.host.address, self.machine.fault)
+            self.pool.dispatcher.log(
+                "WARNING", "{} sent an invalid response: {}", self.host.address, self.machine.fault
+            )
             self.abort(ServerCloseReason.BAD_ANSWER)
 
     def answer_received(self, answer: Answer) -> None:
+        """Ends the first hop with a complete response."""
         hop = self.hops.popleft()
         if hop is self.writing and not hop.written:
-            # Before its last byte was written it can't have run, whatever the cache host says.
+            # The hop can't have run before its last byte was written, whatever the cache host says.
             self.pool.dispatcher.hop_ended(
                 hop, answer.end if answer.end is m.HopOutcome.FULL else m.HopOutcome.UNREACHABLE
             )
             return self.abort(ServerCloseReason.BAD_ANSWER)
-        # Before the door hears of it, as what that sets free may go to the same cache host.
+        # First, as the dispatcher may send another hop to the same cache host from within hop_ended().
         if not self.machine.fault:
             self.settle()
         self.pool.dispatcher.hop_ended(hop, answer.end, answer.body, answer.note)
 
-    # ---- a large value ----
+    # ---- a large value that is being received ----
 
     def value_started(self, begun: Begun) -> None:
+        """The header of a large value arrived."""
         self.cache_result, self.incoming_moved_at = begun.note, self.pool.dispatcher.now()
         self.incoming = Flow(begun.length, self.pool.limits.chunk_bytes, self.hold_incoming, self.value_unwanted)
-        self.return_waiting()  # against what is small behind what is large
+        self.return_waiting()  # other hops would wait behind the large value
 
     def value_unwanted(self) -> None:
-        """Nobody takes the large value that comes in."""
+        """The value that is being received has no reader any more."""
         self.abort(ServerCloseReason.VALUE_UNWANTED)
 
     def value_data(self, data: bytes) -> None:
-        """With its first byte it is the answer: it has come in time, and no other hop can give it any more."""
+        """Forwards bytes of the value. The first byte commits the transaction: no other hop can answer it any more."""
         flow, hop = self.incoming, self.hops[0]
         self.incoming_moved_at = self.pool.dispatcher.now()
         if flow is None:
@@ -194,10 +200,11 @@
         if not hop.ended:
             self.pool.dispatcher.hop_ended(hop, m.HopOutcome.DONE, flow, self.cache_result)
         elif flow.sink is nothing:
-            flow.broken = True  # given up before it came: read, and dropped
+            flow.broken = True  # the hop was given up before: read and discard the value
         flow.offer(data)
 
     def value_finished(self) -> None:
+        """The last byte of the value arrived."""
         self.hops.popleft()
         flow, self.incoming = self.incoming, None
         if not self.machine.fault:
@@ -206,13 +213,13 @@
             flow.finish()
 
     def hold_incoming(self, paused: bool) -> None:
-        """Whoever takes the value is behind, or goes on."""
+        """Pauses reading while the reader of the value is behind, and resumes it."""
         if not self.closing:
             self.incoming_moved_at = self.pool.dispatcher.now()
             self.hold_reading(paused)
 
     def receive_stalled(self) -> bool:
-        """A large value has begun, and nothing more of it comes though nobody holds it back."""
+        """Returns whether a large value stopped arriving although reading is not paused."""
         flow = self.incoming
         return (
             flow is not None
@@ -221,9 +228,9 @@
         )
 
     def send_stalled(self) -> bool:
-        """A large value goes out, and the cache host takes no more of it: its client is held back meanwhile.
+        """Returns whether the cache host stopped reading a large value, whose client is paused meanwhile.
 
-        A piece counts as taken once all of it is, so this bound is longer than the one for what comes in.
+        A chunk counts as taken when all of it is, so this limit is effectively longer than that of receive_stalled().
         """
         return (
             self.write_pending
@@ -239,24 +246,25 @@
         self.pool.sockets.descriptor_freed(self)
         self.fail_hops()
 
-    # ---- from the pool ----
+    # ---- calls of the pool ----
 
     def enqueue(self, hop: OutgoingHop) -> None:
+        """Sends a hop as soon as those before it are written."""
         hop.connection = self
         self.to_write.append(hop)
         if self.established and self.writing is None:
             self.resumeProducing()
 
     def give_up(self, hop: OutgoingHop) -> None:
-        """The hop is over for us; all others on this connection go on."""
+        """Stops waiting for a hop. The others on this connection continue."""
         if hop in self.to_write:
             self.to_write.remove(hop)
         elif hop is self.writing and all(other.ended for other in self.hops):
-            hop.written = False  # and the rest of it never will be: the connection is closed at once
+            hop.written = False  # and never will be: settle() aborts the connection
         self.settle()
 
     def recall(self) -> None:
-        """Nothing new may go out here any more: what was not begun ends as never sent, and is decided on anew."""
+        """Ends hops that have not started as skipped, as no new hop may be sent here; the balancer decides again."""
         self.return_waiting()
         if self.established:
             self.settle()
@@ -264,13 +272,13 @@
             self.abort(ServerCloseReason.LEAVING)
 
     def return_waiting(self) -> None:
-        """What was not begun ends as never sent, and goes out elsewhere."""
+        """Ends hops that have not started as skipped, so that they are sent elsewhere."""
         waiting, self.to_write = self.to_write, deque()
         for hop in waiting:
             self.pool.dispatcher.hop_ended(hop, m.HopOutcome.SKIPPED)
 
     def settle(self) -> None:
-        """Idle again, or of no more use: with nothing but given-up hops on it, it is closed to end them."""
+        """Reports an idle connection, and aborts one whose hops are all given up, which ends them."""
         if not self.established or self.closing or self.to_write:
             return
         if not self.hops:
@@ -279,7 +287,7 @@
             self.abort(ServerCloseReason.GIVEN_UP)
 
     def abort(self, reason: ServerCloseReason) -> None:
-        """At once, with all that is on it."""
+        """Closes the connection at once and fails its hops."""
         if not self.closing:
             self.closing = True
             self.pool.dispatcher.safety.closing_server(reason)
@@ -291,7 +299,7 @@
             self.fail_hops()
 
     def close(self, reason: ServerCloseReason) -> None:
-        """An idle one: nothing is on it."""
+        """Closes an idle connection."""
         if not self.closing:
             self.closing = True
             self.pool.dispatcher.safety.closing_server(reason)
@@ -299,21 +307,21 @@
             self.close_after_write()
 
     def fail_hops(self) -> None:
-        """All that is on it has ended: the command in the transport's hands and those behind it never ran."""
+        """Ends all hops. The command that the transport still holds and those behind it never ran."""
         hops, self.hops, waiting = self.hops, deque(), self.to_write
         self.to_write = deque()
         flow, self.incoming, self.outgoing = self.incoming, None, None
         if flow is not None:
             flow.break_off()
         for hop in hops:
-            end = m.HopOutcome.UNREACHABLE if hop is self.writing else m.HopOutcome.RESET
-            self.pool.dispatcher.hop_ended(hop, end)
+            outcome = m.HopOutcome.UNREACHABLE if hop is self.writing else m.HopOutcome.RESET
+            self.pool.dispatcher.hop_ended(hop, outcome)
         for hop in waiting:
             self.pool.dispatcher.hop_ended(hop, m.HopOutcome.UNREACHABLE)
 
 
 class ConnectionFactory(ClientFactory):
-    """Makes one connection, and hands on that it could not be made."""
+    """Creates one connection and reports a failure to connect."""
 
     noisy = False
 
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -1,4 +1,4 @@
-"""Connections to cache hosts: one attempt on each while sockets last, several in order when they don't."""
+"""The pool of connections to cache hosts: one hop on each while sockets are available, else several in order."""
 
 from typing import Any
 
@@ -17,46 +17,47 @@
 
     def __init__(self, index: int, address: Address) -> None:
         self.index, self.address = index, address
-        self.ready = self.gone = False  # ready: what is new may go there
+        self.ready = self.gone = False  # ready: new hops may be sent to it
         self.connections: dict[HostConnection, None] = {}
-        self.idle: list[HostConnection] = []  # the one used last at the end
+        self.idle: list[HostConnection] = []  # the most recently used one last
 
 
 class Pool:
-    """The connections to all cache hosts, and the choice of one for each attempt."""
+    """Keeps the connections to all cache hosts and picks one for each hop."""
 
-    connection_class = HostConnection  # what drives one connection
+    connection_class = HostConnection  # the protocol of one connection
 
     def __init__(
         self, reactor: Any, dispatcher: Dispatcher, limits: Limits, sockets: Sockets, allow_sharing: bool
     ) -> None:
         self.reactor, self.dispatcher, self.limits, self.sockets = reactor, dispatcher, limits, sockets
-        # Where a transaction may not be out twice, a given-up hop may not stay behind on a shared connection.
+        # Where a transaction may have only one hop in flight, a given-up hop must not stay on a shared connection.
         self.allow_sharing = allow_sharing
         self.hosts: dict[int, HostConnections] = {}
-        self.buffered_bytes = 0  # bytes of half-read answers on all connections
+        self.buffered_bytes = 0  # of incomplete responses, on all connections
         self.idle_loss = IdleLoss(limits)
         sockets.close_idle_host = self.close_idlest
 
-    # ---- for the door ----
+    # ---- calls of the dispatcher ----
 
     def listed(self, index: int, address: Address, ready: bool) -> None:
+        """Adds or updates a cache host of the host list."""
         host = self.hosts.setdefault(index, HostConnections(index, address))
         if address != host.address or not ready:
             self._close_idle(host)
         host.address, host.ready = address, ready
 
     def unlisted(self, index: int) -> None:
-        """The cache host is gone for good; its host goes with its last connection."""
+        """Removes a cache host that is gone for good; its record goes with its last connection."""
         host = self.hosts.get(index)
         if host is None:
-            return  # a fault within the list that told of it: nothing of it came this far
+            return  # the list that named it failed before it reached the pool
         host.ready, host.gone = False, True
         self.recall(index)
         self._remove_if_unused(host)
 
     def recall(self, index: int) -> None:
-        """Of a host that drains, or is at another address, connections carry nothing that they have not begun."""
+        """Takes back the hops that connections have not started, where the host drains or its address changed."""
         for connection in list(self.hosts[index].connections):
             if not connection.may_send():
                 connection.recall()
@@ -66,22 +67,24 @@
             self.hosts.pop(host.index, None)
 
     def send(self, hop: OutgoingHop) -> None:
+        """Sends a hop on an idle, new or shared connection, or ends it as skipped where there is none."""
         host = self.hosts.get(hop.host)
-        # Not to one that drains, though the decisions should know: they may have failed on the list that said so.
-        # Nor what is partly written elsewhere: those bytes are gone.
-        spent = hop.tx.flow is not None and hop.tx.flow.touched
+        # A draining host gets no hop. The balancer should know, but it may have failed on the list that said so.
+        # A streamed value that was partly written elsewhere can't be sent again, as its first bytes are not kept.
+        partly_written = hop.tx.flow is not None and hop.tx.flow.touched
         connection = (
             self._pick_connection(host, hop.tx.flow is None)
-            if host is not None and host.ready and (not spent)
+            if host is not None and host.ready and (not partly_written)
             else None
         )
         if connection is None:
-            # Not the cache host's fault, and never sent.
+            # The hop was never sent, and the cache host is not at fault.
             self.dispatcher.hop_ended(hop, m.HopOutcome.SKIPPED)
         else:
             connection.enqueue(hop)
 
     def give_up(self, hop: OutgoingHop) -> None:
+        """Stops waiting for a hop."""
         if hop.connection is not None:
             hop.connection.give_up(hop)
 
@@ -91,7 +94,7 @@
         now = self.dispatcher.now()
         while host.idle:
             connection = host.idle.pop()
-            # What the cache host closed, or added to its answer, may lie here unread: the hop would be lost.
+            # An unread close, or unread bytes after the last response, would lose the hop.
             idle_time = now - connection.idle_since
             if (
                 idle_time < self.limits.host_idle_timeout
@@ -105,9 +108,11 @@
             return self._connect(host)
         if not self.allow_sharing or not may_share:
             return None
-        may = (c for c in host.connections if c.may_send() and c.incoming is None and not c.sends_large_value())
-        least = min(may, key=HostConnection.load, default=None)
-        return least if least is not None and least.load() < self.limits.per_host_connection else None
+        usable = (c for c in host.connections if c.may_send() and c.incoming is None and not c.sends_large_value())
+        least_loaded = min(usable, key=HostConnection.load, default=None)
+        return (
+            least_loaded if least_loaded is not None and least_loaded.load() < self.limits.per_host_connection else None
+        )
 
     def _connect(self, host: HostConnections) -> HostConnection:
         connection = self.connection_class(self, host)
@@ -122,7 +127,8 @@
         return connection
 
     def connection_idle(self, connection: HostConnection) -> None:
-        # One that was taken up for a hop that was not begun has idle_time on.
+        """Records that a connection has no hops."""
+        # If the connection was picked for a hop that did not start, its idle time continues.
         connection.idle_since, connection.idle_before_hop = (
             self.dispatcher.now() - max(0, connection.idle_before_hop),
             -1,
@@ -133,6 +139,7 @@
             connection.host.idle.append(connection)
 
     def connection_lost(self, connection: HostConnection) -> None:
+        """Forgets a connection that is closed or about to close."""
         host = connection.host
         if connection in host.connections:
             del host.connections[connection]
@@ -149,28 +156,29 @@
             connection.close(ServerCloseReason.LEAVING)
 
     def close_idlest(self) -> bool:
-        """Closes the connection that has been idle longest."""
-        first = (host.idle[0] for host in self.hosts.values() if host.idle)
-        oldest = min(first, key=lambda c: c.idle_since, default=None)
+        """Closes the connection that has been idle longest. Returns False where none is idle."""
+        candidates = (host.idle[0] for host in self.hosts.values() if host.idle)
+        oldest = min(candidates, key=lambda c: c.idle_since, default=None)
         if oldest is None:
             return False
         oldest.close(ServerCloseReason.IDLE)
         return True
 
     def sweep(self) -> None:
-        # Made first, so that a fault in one look does not end them all.
+        """Calls close_stale() at a fixed interval."""
+        # The next sweep is scheduled first, so that an exception in one does not end them all.
         self.reactor.callLater(self.limits.sweep_interval / SECOND, self.sweep)
         self.close_stale()
 
     def close_stale(self) -> None:
-        """Closes what stands idle before the cache host may: a write that crosses that is lost."""
+        """Closes stalled connections, and idle ones before the cache host may: a hop that crosses a close is lost."""
         before = self.dispatcher.now() - self.limits.host_idle_timeout
         for host in list(self.hosts.values()):
             while host.idle and host.idle[0].idle_since <= before:
                 host.idle[0].close(ServerCloseReason.UNFIT)
             for connection in [c for c in host.connections if c.receive_stalled() and not c.has_unread_bytes()]:
-                self.dispatcher.log("WARNING", "{} breaks off a large value", host.address)
+                self.dispatcher.log("WARNING", "{} stopped sending a large value", host.address)
                 connection.abort(ServerCloseReason.VALUE_STOPPED)
             for connection in [c for c in host.connections if c.send_stalled()]:
-                self.dispatcher.log("WARNING", "{} takes no more of a large value", host.address)
+                self.dispatcher.log("WARNING", "{} stopped reading a large value", host.address)
                 connection.abort(ServerCloseReason.VALUE_STOPPED)
