--- a/ternquay/net/limits.py
+++ b/ternquay/net/limits.py
@@ -1,4 +1,4 @@
-"""Every size, count and time that the balancer keeps to on sockets, filled once at start and handed down."""
+"""The limits of one process on sizes, counts and times, computed once at start and passed down."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -8,149 +8,153 @@
 MS = 1_000_000
 SECOND = 1_000_000_000
 MIB = 1 << 20
-SILENCE = 6 * SECOND  # what a silent watch misses counts as told so long after (the platform's page on the fleet)
-CONNECTION = 16 << 10  # bytes that a connection at rest takes, of ours and of the library's; measured: docs/bounds.md
-PROGRAM = 30  # MB that the program takes with its decisions, all connections at rest
+SILENCE_NS = 6 * SECOND  # the platform counts a change that a silent watch missed as delivered after this time
+CONNECTION_BYTES = 16 << 10  # memory of an idle connection in this program and in Twisted, see docs/bounds.md
+PROGRAM_MB = 30  # memory of the program and its decisions, all connections idle
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """Times are whole nanoseconds, sizes bytes."""
+    """The limits of one process. Times are nanoseconds, sizes are bytes."""
 
-    # Sockets of all kinds: clients may fill theirs and the spare, hosts what is left of the whole.
+    # Sockets in total. Clients may use `clients` and the spare ones, connections to cache hosts the rest of the total.
     sockets: int
     clients: int
-    spare: int  # for clients that come when all is full: they are told so and closed
-    # Callers at the management address, set aside; one that has sent no whole call goes after so long.
-    management_connections: int
-    management_timeout: int
+    spare: int  # for clients that connect while all places are taken: they get a refusal and are closed
+    management_connections: int  # reserved for callers of the management address
+    management_timeout: int  # for a complete request there
     backlog: int
-    successor_sockets: int  # of the sockets, set aside for a process that starts beside this one
-    accepts_per_turn: int  # clients in one turn of the loop, as far as they fit
-    # Bytes: of one line, of a value that a client writes or a cache host answers with, queued for one client;
-    # held: of all commands, of half-read ones, of half-read answers, of answers not taken yet.
+    successor_sockets: int  # reserved for a process that starts beside this one to replace it
+    accepts_per_turn: int  # clients accepted in one turn of the loop, as far as there are sockets
+    # Bytes of one line, of a value that a client writes, and of one that a cache host returns.
     line_bytes: int
     value_bytes: int
     answer_bytes: int
-    stream_above_bytes: int  # a longer one flows through in pieces of about `chunk_bytes`
+    stream_above_bytes: int  # longer values are streamed in chunks of about `chunk_bytes`
     chunk_bytes: int
-    queued_bytes: int
+    queued_bytes: int  # of responses to one client
+    # Separately for all commands, all incomplete commands, all incomplete responses and all unread responses.
     buffered_bytes: int
     # Transactions: waiting on one client connection, open at a time, on one connection to a cache host.
     pipelined: int
     open_txs: int
     per_host_connection: int
-    turn_duration: int  # a turn of the loop that has lasted so long takes no more of them
-    retry_after: int  # what is turned away for want of room is told to wait so long
-    # A hop that begins later than this after its client was there is asked about: has it left?
+    turn_duration: int  # a turn of the loop that has taken longer accepts no more transactions
+    retry_after: int  # sent to clients with a refusal for want of room
+    # A hop that starts later than this after its client was last seen requires a check that the client is still there.
     presence_check_after: int
-    # A new client that has sent nothing is not closed for another before so long.
-    new_client_grace: int
-    first_command_timeout: int  # one that has sent no whole command line by then is closed when room is short
-    idle_clients: int  # connections that had an answer and stand idle; the one idle longest is closed beyond that
+    new_client_grace: int  # a new client that has sent nothing keeps its place this long
+    first_command_timeout: int  # for the first complete command line, after which a client loses its place if needed
+    idle_clients: int  # idle connections that had a response; beyond that the longest idle one is closed
     # Connections to cache hosts.
     connect_timeout: int
-    host_idle_timeout: int  # ours are closed well before the cache host does it
-    idle_loss_half_life: int  # what was seen of idle ones counts half after so long, and for nothing under so many
-    idle_loss_min_samples: int
+    host_idle_timeout: int  # well below the idle timeout of the cache hosts
+    idle_loss_half_life: int  # of the observations of idle connections
+    idle_loss_min_samples: int  # fewer observations have no effect
     sweep_interval: int
-    # A client with a command or an answer half way on which nothing moves for so long is closed.
-    stall_timeout: int
+    stall_timeout: int  # without progress in a command or response that has begun to arrive or to be sent
     # Discovery.
-    watch_wait: int  # at most
-    answer_slack_max: int  # beyond the wait of a watch: at most, and until it is known how late answers come
+    watch_wait: int  # the longest wait of a watch
+    answer_slack_max: int  # how late a response may be: the maximum, and the value until the lateness is known
     answer_slack_min: int
-    first_wait: int  # the wait of a call that begins a watch, which may stand in a queue for so long
-    queue_time: int
-    empty_answer_delay: int  # before the next watch, if one came back at once with nothing
-    pushed_retry_max: int  # between failed calls at most, where lists are pushed
-    watch_retry_min: int  # where they are asked for: at first, and at most
+    first_wait: int  # the wait of a call that begins a watch
+    queue_time: int  # how long such a call may be in discovery's queue
+    empty_answer_delay: int  # before the next watch, if one returned at once without news
+    pushed_retry_max: int  # the longest delay between failed calls, where lists are pushed
+    watch_retry_min: int  # the first and the longest delay between failed calls, where lists are requested
     watch_retry_max: int
-    fast_retry_window: int  # for so long after one that may have missed what counts as told, calls are hurried
-    fast_retry_max: int  # between failed calls then, at most
-    first_list_timeout: int  # where lists are pushed: a start waits so long for it at most
+    fast_retry_window: int  # calls are repeated fast for this long after one that may have missed a delivered change
+    fast_retry_max: int  # the longest delay between failed calls in that window
+    first_list_timeout: int  # where lists are pushed: a start waits this long for the first one
     list_bytes: int
-    # A planned end: accepting for so long, serving on for so long on what is open, the last answer, with time
-    # left for it to be written, and gone at the latest.
+    # The steps of a planned shutdown, as durations since its request: clients are still accepted, open connections are
+    # still served, the last response is due with time left to write it, and the process exits.
     accept_grace: int
-    drain_cutoff_after: int  # a drain: what then owes nothing and has not moved for `new_client_grace` is cut off
+    drain_cutoff_after: (
+        int  # at a drain: clients without an open request that were quiet for `new_client_grace` are closed
+    )
     leave_after: int
     last_answer_after: int
     stop_after: int
-    flush_timeout: int  # for answers that the system has not taken by then
-    warning_interval: int  # of one kind of warning there is one in so long, with the count of those between
+    flush_timeout: int  # for responses that the operating system has not taken by then
+    warning_interval: int  # each kind of warning is logged once in this time, with the number of those suppressed
 
 
 def derive_limits(
     facts: dict[str, Any], sockets: int, memory_mb: int, managed: bool = False, two: bool = False
 ) -> Limits:
-    allowed = facts["Limits"]
-    # Standard streams, poll, wake-up, the listener, a spare of the library's, and discovery with two calls, one that
-    # ends and one that idles, come first.
-    # No fixed number, but what a quarter of the memory bears: a connection takes as much with its buffers at rest.
-    whole = min(sockets, max(1024, (memory_mb - PROGRAM) * MIB // 4 // CONNECTION))
-    operators = max(4, min(16, whole // 16))
-    # Two of the operators' callers may be accepted beyond their bound before the oldest goes; and their listener.
-    fixed = 16 + (operators + 3 if managed else 0)
-    # Where another process may be beside this one, both bear that; and what is held can't be given back at once.
-    left, memory_mb = (whole - 2 * fixed, memory_mb // 2) if two else (whole - fixed, memory_mb)
-    spare = max(4, left // 8)
-    longest = max(p["HardLimit"] for p in facts["Profiles"])
-    # Four times, above what the program itself takes.
-    held = max(1, min(256, (memory_mb - PROGRAM) // 5)) * MIB
-    lame, leave = SECOND // 2, min(longest * US, 3 * SECOND) + 600 * MS
-    must_ask = span(facts["Invariants"], "MustAskIn", "Invariants", usual=0) or MUST_ASK
-    grace = span(facts["Invariants"], "DrainGrace", "Invariants", usual=2 * SECOND)
-    idle = span(allowed, "ConnIdle", "Limits", usual=0) or 5 * SECOND
+    """Returns the limits for the settings and the process's socket and memory limits.
+
+    `managed`: the process listens on a management address. `two`: a second process may run beside this one, so each
+    may use only its part. Raises ValueError, TypeError or KeyError for settings that can't be used.
+    """
+    settings = facts["Limits"]
+    # Instead of a fixed maximum, idle connections with their buffers may use up to a quarter of the memory.
+    total = min(sockets, max(1024, (memory_mb - PROGRAM_MB) * MIB // 4 // CONNECTION_BYTES))
+    callers = max(4, min(16, total // 16))
+    # 16 descriptors are taken by the standard streams, epoll, the wake-up pipe, the listener, a spare of Twisted's, and
+    # discovery with one call that ends and one that idles. Management adds its listener and two callers, which may be
+    # accepted beyond the limit before the oldest one is closed.
+    reserved = 16 + (callers + 3 if managed else 0)
+    # Where a second process may run, both need these. Memory in use can't be released at once, so each gets half.
+    available, memory_mb = (total - 2 * reserved, memory_mb // 2) if two else (total - reserved, memory_mb)
+    spare = max(4, available // 8)
+    longest_hard_limit = max(p["HardLimit"] for p in facts["Profiles"])
+    # The limit applies to four kinds of buffers, above the memory of the program itself.
+    buffered = max(1, min(256, (memory_mb - PROGRAM_MB) // 5)) * MIB
+    accept_time, stop_time = SECOND // 2, min(longest_hard_limit * US, 3 * SECOND) + 600 * MS
+    list_max_age = span(facts["Invariants"], "MustAskIn", "Invariants", usual=0) or MUST_ASK
+    drain_grace = span(facts["Invariants"], "DrainGrace", "Invariants", usual=2 * SECOND)
+    conn_idle = span(settings, "ConnIdle", "Limits", usual=0) or 5 * SECOND
     return Limits(
-        sockets=left - spare,
-        clients=(left - spare) * 2 // 3,
+        sockets=available - spare,
+        clients=(available - spare) * 2 // 3,
         spare=spare,
-        management_connections=operators,
+        management_connections=callers,
         management_timeout=2 * SECOND,
-        successor_sockets=min(24, left // 4) if two else 0,
+        successor_sockets=min(24, available // 4) if two else 0,
         backlog=1024,
         accepts_per_turn=16,
         line_bytes=2048,
         value_bytes=4 * MIB,
         answer_bytes=4 * MIB,
         stream_above_bytes=65536,
-        chunk_bytes=max(8192, min(65536, held // 256)),
+        chunk_bytes=max(8192, min(65536, buffered // 256)),
         queued_bytes=2 * MIB,
-        buffered_bytes=held,
+        buffered_bytes=buffered,
         pipelined=256,
-        open_txs=int(number(allowed, "MostHeld", "Limits", 0, MOST, 0)) or 20000,
-        per_host_connection=max(1, int(number(allowed, "StreamsPerConn", "Limits", 0, MOST, 1))),
+        open_txs=int(number(settings, "MostHeld", "Limits", 0, MOST, 0)) or 20000,
+        per_host_connection=max(1, int(number(settings, "StreamsPerConn", "Limits", 0, MOST, 1))),
         presence_check_after=SECOND // 20,
         turn_duration=min(p["ServiceGoal"] for p in facts["Profiles"]) * US // 10,
         new_client_grace=SECOND,
         first_command_timeout=5 * SECOND // 2,
-        idle_clients=whole // 6,
-        retry_after=span(allowed, "MaxRetryAfter", "Limits", usual=0) // 4 if allowed.get("RetryAfter") else 0,
-        connect_timeout=span(allowed, "DialTimeout", "Limits", usual=0) or 250 * MS,
-        host_idle_timeout=idle * 3 // 5,
+        idle_clients=total // 6,
+        retry_after=span(settings, "MaxRetryAfter", "Limits", usual=0) // 4 if settings.get("RetryAfter") else 0,
+        connect_timeout=span(settings, "DialTimeout", "Limits", usual=0) or 250 * MS,
+        host_idle_timeout=conn_idle * 3 // 5,
         sweep_interval=SECOND // 4,
         idle_loss_half_life=5 * SECOND,
         idle_loss_min_samples=8,
         stall_timeout=5 * SECOND,
-        watch_wait=min(SILENCE // 3, must_ask // 2),
-        answer_slack_max=SILENCE // 6,
-        answer_slack_min=SILENCE // 24,
+        watch_wait=min(SILENCE_NS // 3, list_max_age // 2),
+        answer_slack_max=SILENCE_NS // 6,
+        answer_slack_min=SILENCE_NS // 24,
         first_wait=SECOND // 20,
-        queue_time=5 * SILENCE // 12,
+        queue_time=5 * SILENCE_NS // 12,
         empty_answer_delay=SECOND // 10,
-        pushed_retry_max=max(SECOND // 20, min(SECOND, grace // 2)),
-        watch_retry_min=SILENCE // 12,
-        watch_retry_max=SILENCE // 6,
-        fast_retry_window=2 * SILENCE,
-        fast_retry_max=SILENCE // 24,
+        pushed_retry_max=max(SECOND // 20, min(SECOND, drain_grace // 2)),
+        watch_retry_min=SILENCE_NS // 12,
+        watch_retry_max=SILENCE_NS // 6,
+        fast_retry_window=2 * SILENCE_NS,
+        fast_retry_max=SILENCE_NS // 24,
         first_list_timeout=SECOND,
         list_bytes=8 * MIB,
-        accept_grace=lame,
+        accept_grace=accept_time,
         drain_cutoff_after=3 * SECOND,
-        leave_after=max(lame, leave - SECOND // 3),
-        last_answer_after=leave - 20 * MS,
-        stop_after=leave,
+        leave_after=max(accept_time, stop_time - SECOND // 3),
+        last_answer_after=stop_time - 20 * MS,
+        stop_after=stop_time,
         flush_timeout=60 * MS,
         warning_interval=SECOND,
     )
