--- a/tests/test_review_gaps.py
+++ b/tests/test_review_gaps.py
@@ -53,7 +53,7 @@
     store = Store(tmp_path / "x.db")
     assert store.db.execute("PRAGMA synchronous").fetchone()[0] == 2
     assert store.db.execute("PRAGMA journal_mode").fetchone()[0] == "wal"
-    store.lost = True
+    store.needs_reopen = True
     assert store.changes(0, 1) == [] and store.db.execute("PRAGMA synchronous").fetchone()[0] == 2
     store.close()
 
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -32,7 +32,7 @@
 from tests.test_hosted_parts import SMALL
 from tests.test_registry import tenant
 from tests.test_review_links import free, serving, told, until
-from tests.test_store import CALLS, NONE, answer, call, keeper, whole
+from tests.test_store import CALLS, UNLIMITED, answer, call, keeper, whole
 
 # ---- COMMIT that raises ----
 
@@ -268,12 +268,12 @@
     one = keeper(tmp_path / "x.db")
     held, replies = held_store(one), []
     for n in range(3):
-        asked = call("POST", "/v1/tenants", document(f"t{n}", f"127.0.0.1:{7000 + n}", limits=NONE))
+        asked = call("POST", "/v1/tenants", document(f"t{n}", f"127.0.0.1:{7000 + n}", limits=UNLIMITED))
         one.call(asked).addCallback(lambda reply, n: replies.append((n, reply.status)), n)
     assert replies == [] and len(held) == 1
     one.end()
     assert replies == [(1, 503), (2, 503)]
-    late = call("POST", "/v1/tenants", document("t9", "127.0.0.1:7009", limits=NONE))
+    late = call("POST", "/v1/tenants", document("t9", "127.0.0.1:7009", limits=UNLIMITED))
     one.call(late).addCallback(lambda reply: replies.append((9, reply.status)))
     assert replies[2:] == [(9, 503)]
     held.pop().callback(None)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store under crashes: kill -9 at every step, torn and spoilt logs, full and read-only disks, repeated calls."""
+"""The store under failures: kill -9 at every step, torn or corrupt logs, full and read-only disks, repeated calls."""
 
 import os
 import shutil
@@ -29,43 +29,43 @@
 NOW = 1_800_000_000 * 10**9
 
 
-class Direct:
-    """The store without its thread."""
+class DirectStore:
+    """Runs the store's operations at once instead of in the store's thread."""
 
     def __init__(self, store: Store) -> None:
         self.store = store
 
-    def do(self, what: Callable[..., Any], *terms: Any) -> "Deferred[Any]":
-        return maybeDeferred(what, *terms)
+    def do(self, operation: Callable[..., Any], *arguments: Any) -> "Deferred[Any]":
+        return maybeDeferred(operation, *arguments)
 
 
-class Applied:
-    """Whoever runs the tenants, as far as the keeper sees it."""
+class FakeApplier:
+    """Stands in for what runs the tenants, and reports each of its steps."""
 
-    def __init__(self, registry: Registry, step: Callable[[str], None]) -> None:
-        self.registry, self.step = registry, step
+    def __init__(self, registry: Registry, on_step: Callable[[str], None]) -> None:
+        self.registry, self.on_step = registry, on_step
 
-    def prepare(self, registry: Registry, tenant: str) -> "Applied":
-        self.step("prepared")
+    def prepare(self, registry: Registry, tenant: str) -> "FakeApplier":
+        self.on_step("prepared")
         return self
 
     def drop(self) -> None:
         pass
 
     def apply(self, registry: Registry, tenant: str, prepared: Any) -> None:
-        self.step("applying")
+        self.on_step("applying")
         self.registry = registry
-        self.step("applied")
+        self.on_step("applied")
 
     def process(self) -> dict[str, Any]:
         return {}
 
 
-def keeper(path: Path, step: Callable[[str], None] = lambda what: None) -> Keeper:
-    store = Store(path, step)
-    applier: Any = Applied(store.registry(), step)
-    direct: Any = Direct(store)
-    return Keeper(Clock(), Api(OPERATORS), applier, direct, lambda: NOW)
+def keeper(path: Path, on_step: Callable[[str], None] = lambda step: None) -> Keeper:
+    store = Store(path, on_step)
+    applier: Any = FakeApplier(store.registry(), on_step)
+    stored: Any = DirectStore(store)
+    return Keeper(Clock(), Api(OPERATORS), applier, stored, lambda: NOW)
 
 
 def answer(one: Keeper, call: Call) -> Reply:
@@ -79,7 +79,7 @@
     return Call(method, path, {}, headers, orjson.dumps(body) if body is not None else b"", "127.0.0.1")
 
 
-NONE = {part: {"least": 0.0, "most": 1.0} for part in ("cpu", "sockets", "memory")}
+UNLIMITED = {resource: {"least": 0.0, "most": 1.0} for resource in ("cpu", "sockets", "memory")}
 CALLS = [
     call("POST", "/v1/tenants", document("sur", "127.0.0.1:7001", ("10.0.0.1:80",)), "a"),
     call("POST", "/v1/tenants", document("norte", "127.0.0.1:7002", ("10.0.0.1:80",)), "b"),
@@ -91,7 +91,7 @@
 
 
 def whole(registry: Registry) -> Any:
-    """All that a registry says, but the digests of keys, which are drawn anew."""
+    """Returns the contents of a registry without the digests of keys, which are random."""
     return registry.version, {
         name: (
             entry.version,
@@ -102,70 +102,70 @@
     }
 
 
-def test_killed_at_every_step_of_a_change_there_is_all_of_it_or_none(tmp_path: Path) -> None:
+def test_after_a_kill_at_any_step_a_change_is_stored_as_a_whole_or_not_at_all(tmp_path: Path) -> None:
     steps: list[str] = []
     expected, replies = [whole(Registry())], []
     one = keeper(tmp_path / "whole.db", steps.append)
     steps.clear()
-    for told in CALLS:
-        replies.append(answer(one, told))
+    for one_call in CALLS:
+        replies.append(answer(one, one_call))
         expected.append(whole(one.applier.registry))
     assert [reply.status for reply in replies] == [201, 201, 200, 200, 201, 202] and len(steps) == 6 * 11
-    halves = 0
+    unacknowledged = 0
     for last in range(1, len(steps) + 1):
         path = tmp_path / f"{last}.db"
         Store(path).close()
-        acknowledged = until_killed(path, last)
+        acknowledged = run_until_killed(path, last)
         again = keeper(path)
         found = whole(again.applier.registry)
         assert found in expected, f"half of a change after step {last}, {steps[last - 1]}"
         done = expected.index(found)
         assert acknowledged <= done <= acknowledged + 1
-        halves += done > acknowledged
-        # Whoever got no answer calls again, and whoever did may: each is answered as it was, or would have been.
-        for n, told in enumerate(CALLS):
-            reply = answer(again, told)
+        unacknowledged += done > acknowledged
+        # A caller without a reply repeats its call, and one with a reply may: both get the reply of the first call.
+        for n, one_call in enumerate(CALLS):
+            reply = answer(again, one_call)
             assert reply.status == replies[n].status
             assert ("idempotency-replayed" in reply.headers) == (n < done)
-            kept = {name: value for name, value in replies[n].body.items() if name != "token"}
-            assert {name: value for name, value in reply.body.items() if name != "token"} == kept
+            expected_body = {name: value for name, value in replies[n].body.items() if name != "token"}
+            assert {name: value for name, value in reply.body.items() if name != "token"} == expected_body
         assert whole(again.applier.registry) == whole(again.stored.store.registry()) == expected[-1]
         assert [one.version for one in again.stored.store.changes(0, 100)] == [1, 2, 3, 4, 5, 6]
         again.stored.store.close()
-    assert halves >= len(CALLS)  # stored and not answered yet: the repeated call finds its answer
+    assert unacknowledged >= len(CALLS)  # stored but not answered yet: the repeated call finds its reply
 
 
-def until_killed(path: Path, last: int) -> int:
-    """Makes the changes in a process that is killed at its `last` step; how many it acknowledged."""
+def run_until_killed(path: Path, last: int) -> int:
+    """Makes the changes in a process that is killed at its `last` step. Returns how many it acknowledged."""
     reader, writer = os.pipe()
     child = os.fork()
     if child == 0:
         try:
-            left = [last]
+            remaining = [last]
 
-            def step(what: str) -> None:
-                left[0] -= 1
-                if not left[0]:
+            def on_step(step: str) -> None:
+                remaining[0] -= 1
+                if not remaining[0]:
                     os.kill(os.getpid(), signal.SIGKILL)
 
-            one = keeper(path, step)
-            for told in CALLS:
-                if answer(one, told).status < 300:
+            one = keeper(path, on_step)
+            for one_call in CALLS:
+                if answer(one, one_call).status < 300:
                     os.write(writer, b"x")
         finally:
             os._exit(7)
     os.close(writer)
     _, status = os.waitpid(child, 0)
     assert os.WIFSIGNALED(status) and os.WTERMSIG(status) == signal.SIGKILL
-    with os.fdopen(reader, "rb") as told_by:
-        return len(told_by.read())
+    with os.fdopen(reader, "rb") as acknowledgements:
+        return len(acknowledgements.read())
 
 
-def changed(store: Store, many: int) -> list[Any]:
-    """Tenants made one by one; what the registry says after each."""
+def create_tenants(store: Store, count: int) -> list[Any]:
+    """Creates tenants one by one. Returns the contents of the registry before and after each."""
     registry = store.registry()
     seen = [whole(registry)]
-    for n in range(many):
+    for n in range(count):
         one = tenant(f"t{n}", n + 1, limits=SMALL)
         registry = registry.with_change(CreateTenant(one))
         store.commit(
@@ -175,38 +175,36 @@
     return seen
 
 
-def test_a_log_that_is_torn_or_spoilt_anywhere_gives_what_was_whole(tmp_path: Path) -> None:
+def test_a_log_that_is_torn_or_corrupt_anywhere_gives_its_complete_changes(tmp_path: Path) -> None:
     base = tmp_path / "base.db"
     store = Store(base)
-    seen = changed(store, 4)
+    seen = create_tenants(store, 4)
     wal = Path(f"{base}-wal").read_bytes()
     data = base.read_bytes()
     store.close()
     found: list[int] = []
     for cut in (*range(0, len(wal), 997), len(wal)):
-        for spoilt in (False, True):
+        for corrupt in (False, True):
             path = tmp_path / "torn.db"
             for old in tmp_path.glob("torn.db*"):
                 old.unlink()
             path.write_bytes(data)
-            torn = bytearray(wal if spoilt else wal[:cut])
-            if spoilt and cut < len(torn):
+            torn = bytearray(wal if corrupt else wal[:cut])
+            if corrupt and cut < len(torn):
                 torn[cut] ^= 0xFF
             Path(f"{path}-wal").write_bytes(torn)
             again = Store(path)
             state = whole(again.registry())
             assert state in seen
             found.append(seen.index(state))
-            # It goes on from there, and the versions only rise.
-            changed_to = again.registry().with_change(CreateTenant(tenant("after", 99, limits=SMALL)))
-            again.commit(
-                Commit(ChangeRecord(changed_to.version, NOW, "me", "after", "make", b"{}"), changed_to.tenants["after"])
-            )
+            # The store works on from there, and versions only rise.
+            after = again.registry().with_change(CreateTenant(tenant("after", 99, limits=SMALL)))
+            again.commit(Commit(ChangeRecord(after.version, NOW, "me", "after", "make", b"{}"), after.tenants["after"]))
             again.close()
     assert set(found) >= {0, 4} and len(set(found)) > 2
 
 
-def test_a_full_disk_turns_a_change_away_and_a_later_one_goes_in(tmp_path: Path) -> None:
+def test_a_full_disk_rejects_a_change_and_a_later_one_succeeds(tmp_path: Path) -> None:
     one = keeper(tmp_path / "full.db")
     assert answer(one, CALLS[0]).status == 201
     db = one.stored.store.db
@@ -221,7 +219,7 @@
     assert answer(one, call("POST", "/v1/tenants", big)).status == 201
 
 
-def test_a_read_only_disk_turns_changes_away(tmp_path: Path) -> None:
+def test_a_read_only_disk_rejects_changes(tmp_path: Path) -> None:
     one = keeper(tmp_path / "ro.db")
     assert answer(one, CALLS[0]).status == 201
     one.stored.store.db.execute("PRAGMA query_only = ON")
@@ -230,7 +228,7 @@
     assert answer(one, CALLS[2]).status == 200
 
 
-def test_what_is_no_store_or_is_another_process_says_so(tmp_path: Path) -> None:
+def test_a_file_that_is_no_store_or_is_in_use_is_refused(tmp_path: Path) -> None:
     (tmp_path / "text.db").write_text("this is no database, though it is long enough to be one" * 99)
     with pytest.raises(StoreError, match=r"text\.db"):
         Store(tmp_path / "text.db")
@@ -249,9 +247,9 @@
         Store(tmp_path / "mine.db")
 
 
-def test_a_tenant_that_can_not_be_read_is_not_passed_over(tmp_path: Path) -> None:
+def test_a_tenant_that_can_not_be_read_is_an_error(tmp_path: Path) -> None:
     store = Store(tmp_path / "x.db")
-    changed(store, 2)
+    create_tenants(store, 2)
     store.db.execute("UPDATE tenants SET body = '{}' WHERE name = 't1'")
     with pytest.raises(StoreError, match="can't be read"):
         store.registry()
@@ -259,15 +257,15 @@
     shutil.rmtree(tmp_path)
 
 
-def test_a_version_is_never_given_out_twice(tmp_path: Path) -> None:
+def test_a_version_is_never_used_twice(tmp_path: Path) -> None:
     store = Store(tmp_path / "x.db")
-    changed(store, 2)
-    with pytest.raises(StoreError, match="version 2 is there already"):
+    create_tenants(store, 2)
+    with pytest.raises(StoreError, match="version 2 is stored already"):
         store.commit(Commit(ChangeRecord(2, NOW, "me", "t9", "make", b"{}"), None))
     assert store.registry().version == 2
 
 
-def test_a_key_of_a_call_is_bound_to_it_and_to_whoever_called(tmp_path: Path) -> None:
+def test_an_idempotency_key_is_bound_to_its_call(tmp_path: Path) -> None:
     one = keeper(tmp_path / "x.db")
     first = answer(one, CALLS[0])
     again = answer(one, CALLS[0])
@@ -278,7 +276,7 @@
     assert answer(one, call("POST", "/v1/tenants", document("otro", "127.0.0.1:7009"), "\n")).status == 400
 
 
-def test_denied_calls_are_noted_and_alike_ones_make_one_line(tmp_path: Path) -> None:
+def test_denied_calls_are_audited_and_equal_ones_share_a_line(tmp_path: Path) -> None:
     one = keeper(tmp_path / "x.db")
     for n in range(5000):
         wrong = Call(
@@ -287,26 +285,26 @@
         assert answer(one, wrong).status == 401
     assert len(one.notes) <= 1001
     one.reactor.advance(1.0)
-    rows = [noted for _, noted in one.stored.store.audit(0, 5000)]
-    assert sum(noted.count for noted in rows) == 5000 and {noted.status for noted in rows} == {401}
-    assert {noted.who for noted in rows} <= {"-.main", ""} and "AAAA" not in repr(rows)
+    rows = [record for _, record in one.stored.store.audit(0, 5000)]
+    assert sum(record.count for record in rows) == 5000 and {record.status for record in rows} == {401}
+    assert {record.who for record in rows} <= {"-.main", ""} and "AAAA" not in repr(rows)
 
 
-def test_too_many_changes_at_once_are_told_to_come_back(tmp_path: Path) -> None:
+def test_changes_beyond_the_queue_are_told_to_retry(tmp_path: Path) -> None:
     one = keeper(tmp_path / "x.db")
-    held: list[Deferred[Any]] = []
+    delayed: list[Deferred[Any]] = []
 
-    def later(what: Callable[..., Any], *terms: Any) -> "Deferred[Any]":
-        held.append(Deferred())
-        return held[-1].addCallback(lambda _: what(*terms))
+    def delay(what: Callable[..., Any], *arguments: Any) -> "Deferred[Any]":
+        delayed.append(Deferred())
+        return delayed[-1].addCallback(lambda _: what(*arguments))
 
-    one.stored.do = later  # type: ignore[method-assign]
+    one.stored.do = delay  # type: ignore[method-assign]
     replies: list[Reply] = []
     for n in range(100):
-        told = call("POST", "/v1/tenants", document(f"t{n}", f"127.0.0.1:{7000 + n}", limits=NONE))
-        one.call(told).addCallback(replies.append)
+        creation = call("POST", "/v1/tenants", document(f"t{n}", f"127.0.0.1:{7000 + n}", limits=UNLIMITED))
+        one.call(creation).addCallback(replies.append)
     assert [reply.status for reply in replies] == [503] * 35
-    while held:
-        held.pop(0).callback(None)
+    while delayed:
+        delayed.pop(0).callback(None)
     assert sorted(reply.status for reply in replies) == [201] * 65 + [503] * 35
     assert one.applier.registry.version == 65
