--- a/ternquay/net/limits.py
+++ b/ternquay/net/limits.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ternquay.facts import MOST, MUST_ASK, US, number, span
+from ternquay.facts import DEFAULT_LIST_MAX_AGE_NS, MAX_NUMBER, US, parse_duration, parse_number
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -103,9 +103,9 @@
     # The limit applies to four kinds of buffers, above the memory of the program itself.
     buffered = max(1, min(256, (memory_mb - PROGRAM_MB) // 5)) * MIB
     accept_time, stop_time = SECOND // 2, min(longest_hard_limit * US, 3 * SECOND) + 600 * MS
-    list_max_age = span(facts["Invariants"], "MustAskIn", "Invariants", usual=0) or MUST_ASK
-    drain_grace = span(facts["Invariants"], "DrainGrace", "Invariants", usual=2 * SECOND)
-    conn_idle = span(settings, "ConnIdle", "Limits", usual=0) or 5 * SECOND
+    list_max_age = parse_duration(facts["Invariants"], "MustAskIn", "Invariants", default=0) or DEFAULT_LIST_MAX_AGE_NS
+    drain_grace = parse_duration(facts["Invariants"], "DrainGrace", "Invariants", default=2 * SECOND)
+    conn_idle = parse_duration(settings, "ConnIdle", "Limits", default=0) or 5 * SECOND
     return Limits(
         sockets=available - spare,
         clients=(available - spare) * 2 // 3,
@@ -123,15 +123,17 @@
         queued_bytes=2 * MIB,
         buffered_bytes=buffered,
         pipelined=256,
-        open_txs=int(number(settings, "MostHeld", "Limits", 0, MOST, 0)) or 20000,
-        per_host_connection=max(1, int(number(settings, "StreamsPerConn", "Limits", 0, MOST, 1))),
+        open_txs=int(parse_number(settings, "MostHeld", "Limits", 0, MAX_NUMBER, 0)) or 20000,
+        per_host_connection=max(1, int(parse_number(settings, "StreamsPerConn", "Limits", 0, MAX_NUMBER, 1))),
         presence_check_after=SECOND // 20,
         turn_duration=min(p["ServiceGoal"] for p in facts["Profiles"]) * US // 10,
         new_client_grace=SECOND,
         first_command_timeout=5 * SECOND // 2,
         idle_clients=total // 6,
-        retry_after=span(settings, "MaxRetryAfter", "Limits", usual=0) // 4 if settings.get("RetryAfter") else 0,
-        connect_timeout=span(settings, "DialTimeout", "Limits", usual=0) or 250 * MS,
+        retry_after=parse_duration(settings, "MaxRetryAfter", "Limits", default=0) // 4
+        if settings.get("RetryAfter")
+        else 0,
+        connect_timeout=parse_duration(settings, "DialTimeout", "Limits", default=0) or 250 * MS,
         host_idle_timeout=conn_idle * 3 // 5,
         sweep_interval=SECOND // 4,
         idle_loss_half_life=5 * SECOND,
