--- a/tests/helper.py
+++ b/tests/helper.py
@@ -26,14 +26,14 @@
 from ternquay.net.pool import Pool
 from ternquay.net.sockets import Sockets
 
-READ = m.Profile(m.Semantics.IDEMPOTENT, m.DedupScope.ALL, 0, 600 * MS, 1500 * MS, 0.0)
-MARKED = replace(READ, semantics=m.Semantics.JOURNALLED, dedup_window=300 * MS)
-ONCE = replace(READ, semantics=m.Semantics.NON_IDEMPOTENT)
-START = m.Config(
+IDEMPOTENT = m.Profile(m.Semantics.IDEMPOTENT, m.DedupScope.ALL, 0, 600 * MS, 1500 * MS, 0.0)
+JOURNALLED = replace(IDEMPOTENT, semantics=m.Semantics.JOURNALLED, dedup_window=300 * MS)
+NON_IDEMPOTENT = replace(IDEMPOTENT, semantics=m.Semantics.NON_IDEMPOTENT)
+CONFIG = m.Config(
     seed=7,
     balancer_count=2,
     balancer_index=0,
-    profiles=(READ, MARKED, ONCE, replace(MARKED, dedup_scope=m.DedupScope.ZONE)),
+    profiles=(IDEMPOTENT, JOURNALLED, NON_IDEMPOTENT, replace(JOURNALLED, dedup_scope=m.DedupScope.ZONE)),
     quotas=(4.0, 1000.0),
     cache_aside=False,
     origin_kind=-1,
@@ -53,35 +53,35 @@
 TRACES = Path(__file__).parent / "traces"
 
 
-def line(host: int, standing: m.HostStatus = m.HostStatus.READY, since: int = 0, kind: int = 0) -> m.ListedHost:
+def listed_host(host: int, standing: m.HostStatus = m.HostStatus.READY, since: int = 0, kind: int = 0) -> m.ListedHost:
     return m.ListedHost(host, f"10.0.0.{host}:80", host % 2, kind, host % 2, standing, 1.0, since)
 
 
-def same(name: str, trace: list[str]) -> None:
+def check_trace(name: str, trace: list[str]) -> None:
     path, text = TRACES / f"{name}.txt", "\n".join(trace) + "\n"
     if os.environ.get("UPDATE_TRACES"):
         path.write_text(text)
     assert text == path.read_text()
 
 
-class Play:
+class Scenario:
     """One balancer, a clock, and the trace of both."""
 
     def __init__(self, hosts: int = 4, *, origin: bool = False, **terms: Any) -> None:
         if origin:
             terms |= {"cache_aside": True, "origin_kind": 1}
-        self.balancer = Balancer(replace(START, **terms))
-        self.now, self.due, self.tx = T0, 0, 0
+        self.balancer = Balancer(replace(CONFIG, **terms))
+        self.now, self.timer_at, self.last_tx = T0, 0, 0
         self.trace: list[str] = []
         self.hops: dict[int, list[int]] = {}
-        lines = [line(h) for h in range(hosts)] + ([line(9, kind=1)] if origin else [])
+        lines = [listed_host(h) for h in range(hosts)] + ([listed_host(9, kind=1)] if origin else [])
         self.list(*lines, whole=True)
 
     def feed(self, said: str, event: m.Event) -> list[str]:
         done = []
         for a in self.balancer.decide(self.now, event):
             if isinstance(a, m.SetTimer):
-                self.due = a.at
+                self.timer_at = a.at
                 continue
             if isinstance(a, m.SendHop):
                 self.hops.setdefault(a.tx, []).append(a.host)
@@ -105,25 +105,25 @@
     def arrive(
         self, key: str | None = "a", profile: int = 0, share: int = -1, ttl: int = 900, again: bool = False
     ) -> int:
-        self.tx += 1
-        event = m.TxArrived(self.tx, profile, share, key, ttl * MS, again, profile > 0)
-        self.feed(f"tx {self.tx} profile {profile} key {key}", event)
-        return self.tx
+        self.last_tx += 1
+        event = m.TxArrived(self.last_tx, profile, share, key, ttl * MS, again, profile > 0)
+        self.feed(f"tx {self.last_tx} profile {profile} key {key}", event)
+        return self.last_tx
 
-    def end(self, tx: int, end: m.HopOutcome, hop: int = 0, took: int = 10, note: int = 1) -> None:
+    def end_hop(self, tx: int, end: m.HopOutcome, hop: int = 0, took: int = 10, note: int = 1) -> None:
         closed = end is m.HopOutcome.DONE
         self.feed(f"hop {tx}.{hop} ends {end.name}", m.HopEnded(tx, hop, end, took * MS, closed, note))
 
     def run(self, ms: int) -> None:
         """Lets time pass and the timer fire."""
         until = self.now + ms * MS
-        while self.due and self.due <= until:
-            self.now, self.due = self.due, 0
+        while self.timer_at and self.timer_at <= until:
+            self.now, self.timer_at = self.timer_at, 0
             self.feed("timer", m.TimerFired())
         self.now = until
 
     def matches(self, name: str) -> None:
-        same(name, self.trace)
+        check_trace(name, self.trace)
 
 
 FACTS: dict[str, Any] = {
@@ -170,7 +170,7 @@
     }
 
 
-class Listening(threading.Thread):
+class ThreadedServer(threading.Thread):
     """A stand-in on loopback: each connection is answered by a thread of its own."""
 
     def __init__(self) -> None:
@@ -187,7 +187,7 @@
         raise NotImplementedError
 
 
-def shown(data: bytes) -> bytes:
+def shortened(data: bytes) -> bytes:
     return data if len(data) < 90 else data[:60] + b"... %d bytes" % len(data)
 
 
@@ -258,7 +258,7 @@
         while self.pending and not self.lost and not self.stuck:
             data, self.pending = self.pending, b""
             self.bytes_taken += len(data)
-            self.net.say(f"{self.name} < {shown(data)!r}")
+            self.net.say(f"{self.name} < {shortened(data)!r}")
             if self.producer is not None:
                 self.producer.resumeProducing()
         if self.closing and not self.lost and not self.pending:
@@ -267,7 +267,7 @@
 
     def feed(self, data: bytes, cut: int = 0) -> None:
         """Bytes from the other side, in pieces of `cut`."""
-        self.net.say(f"{self.name} > {shown(data)!r}")
+        self.net.say(f"{self.name} > {shortened(data)!r}")
         for at in range(0, len(data), cut or len(data)):
             if not self.lost:
                 self.protocol.dataReceived(data[at : at + (cut or len(data))])
@@ -340,4 +340,4 @@
             self.take()
 
     def matches(self, name: str) -> None:
-        same(name, self.trace)
+        check_trace(name, self.trace)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -13,10 +13,10 @@
 from ternquay import model as m
 from ternquay.balance import MS, SECOND, Balancer
 from ternquay.state import Tx
-from tests.helper import START, T0, line
+from tests.helper import CONFIG, T0, listed_host
 
 COLD, WARM = 0, 1
-SPAN = START.overload_window
+SPAN = CONFIG.overload_window
 
 
 class Fleet:
@@ -25,7 +25,7 @@
     def __init__(self, many: int, rate: float, seed: int, even: bool = True, **terms: Any) -> None:
         self.draw, self.rate = Random(seed), rate
         self.start = replace(
-            START, balancer_count=many, can_cancel=True, parallel_hops=False, warm_up_time=30 * SECOND, **terms
+            CONFIG, balancer_count=many, can_cancel=True, parallel_hops=False, warm_up_time=30 * SECOND, **terms
         )
         parts = [1.0 if even else self.draw.expovariate(1.0) for _ in range(many)]
         self.rates = [rate * part / sum(parts) for part in parts]
@@ -35,14 +35,14 @@
 
     def _one(self, number: int) -> Balancer:
         one = Balancer(replace(self.start, balancer_index=number, seed=number + 1))
-        one.decide(T0, m.ListChanged(True, (line(WARM), line(COLD, since=T0))))
+        one.decide(T0, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, since=T0))))
         # As measured at warm hosts, of which each has the same load.
         one.arrival_rate = one.rate_per_weight = self.rates[number]
         return one
 
     def restart(self, number: int, now: int) -> None:
         one = self.all[number] = Balancer(replace(self.start, balancer_index=number, seed=self.draw.getrandbits(32)))
-        one.decide(now, m.ListChanged(True, (line(WARM), line(COLD, since=T0))))
+        one.decide(now, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, since=T0))))
         one.arrival_rate = one.rate_per_weight = self.rates[number]
 
     def wants(self, one: Balancer, now: int) -> None:
@@ -71,7 +71,7 @@
 
 
 def _tx(number: int, now: int) -> Tx:
-    return Tx(number, START.profiles[0], False, goal_at=now + SECOND, deadline=now + SECOND)
+    return Tx(number, CONFIG.profiles[0], False, goal_at=now + SECOND, deadline=now + SECOND)
 
 
 def allowed(fleet: Fleet, now: int) -> float:
@@ -111,9 +111,9 @@
     """In the simulator, and on a machine that has just started, the first second of the clock is the day's."""
     sent = 0
     for number in range(100):
-        one = Balancer(replace(START, balancer_index=number, balancer_count=100))
+        one = Balancer(replace(CONFIG, balancer_index=number, balancer_count=100))
         now = SECOND
-        one.decide(now, m.ListChanged(True, (line(WARM), line(COLD, since=now))))
+        one.decide(now, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, since=now))))
         one.arrival_rate = one.rate_per_weight = 0.3
         one.now, one.actions = now, []
         tx = one.txs[1] = _tx(1, now)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,7 +24,7 @@
 from ternquay.net.listing import Address
 from ternquay.net.serve import Service
 from ternquay.net.start_times import StartTimes
-from tests.helper import FACTS, Listening, Net, member
+from tests.helper import FACTS, Net, ThreadedServer, member
 from tests.hosted_helper import ROOT
 from tests.test_flow import Store
 from tests.test_net import TOLD, Agent, mg, ms
@@ -654,7 +654,7 @@
 """
 
 
-class TurnsAway(Listening):
+class TurnsAway(ThreadedServer):
     """A cache host that notes when commands came, and turns the next one away if it is told to."""
 
     away: list[bool] = []
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -9,7 +9,7 @@
 from ternquay.balance import Balancer
 from ternquay.net.limits import MS, SECOND, Limits, derive_limits
 from ternquay.net.watch_schedule import CallFailure, WatchSchedule
-from tests.helper import START, T0
+from tests.helper import CONFIG, T0
 
 PROFILE = {"Name": "read", "Semantics": "repeatable", "ServiceGoal": 150_000, "HardLimit": 500_000}
 SILENCE = 6 * SECOND
@@ -124,7 +124,7 @@
 
 def test_where_lists_are_asked_for_no_wait_is_longer_than_the_list_that_is_held_counts() -> None:
     for must_ask in (SECOND // 2, 2 * SECOND, 60 * SECOND):
-        balancer = Balancer(replace(START, watch_list=True, list_max_age=must_ask))
+        balancer = Balancer(replace(CONFIG, watch_list=True, list_max_age=must_ask))
         waits = []
         for _ in range(12):
             balancer.decide(T0, m.ListUnavailable())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -29,7 +29,7 @@
 )
 from ternquay.handover.slots import SLOT_NAMES, Slots
 from ternquay.net.listing import Address, HostEntry
-from tests.helper import START, T0, Net, line, member
+from tests.helper import CONFIG, T0, Net, listed_host, member
 from tests.test_flow import Store
 from tests.test_management import OUT, READY, call, says
 from tests.test_net import mg, va
@@ -133,8 +133,8 @@
     told = encode_learned(old.learned(), names)
     learned = decode_learned(told | {"hosts": told["hosts"] | {"unheard": told["hosts"]["h1"]}}, {"h1": 7, "h2": 3})
     assert learned is not None and {h.host for h in learned.hosts} == {7, 3}
-    new = Balancer(replace(START, balancer_count=2))
-    new.decide(T0, m.ListChanged(True, (line(7), line(3))))
+    new = Balancer(replace(CONFIG, balancer_count=2))
+    new.decide(T0, m.ListChanged(True, (listed_host(7), listed_host(3))))
     new.decide(T0, learned)
     assert (
         new.mean_duration == old.mean_duration > 0
@@ -147,8 +147,8 @@
 
 
 def test_a_host_that_is_out_stays_out_for_what_was_left_of_it() -> None:
-    new = Balancer(START)
-    new.decide(T0, m.ListChanged(True, (line(1), line(2))))
+    new = Balancer(CONFIG)
+    new.decide(T0, m.ListChanged(True, (listed_host(1), listed_host(2))))
     out = m.LearnedHost(1, 5e6, 0.0, 0, SECOND, SECOND // 2, True)
     new.decide(T0, m.Learned(4e6, 10.0, 2.0, 0.5, 20.0, 9e6, (out,)))
     new.decide(T0, m.TxArrived(1, 0, -1, "a", SECOND, False, False))
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -35,7 +35,7 @@
 from ternquay.hosted.tenants.shared_hosts import FAILURES_TO_EJECT, GONE_RETENTION_NS, ListEntry, SharedHostTable
 from ternquay.hosted.tenants.tenant import ApiKey, Endpoint, Guarantee, InvalidField, Scope
 from ternquay.net.loop_timing import LoopTiming
-from tests.helper import START, T0
+from tests.helper import CONFIG, T0
 from tests.hosted_helper import document
 from tests.test_registry import LIMITS, registry_of, tenant
 
@@ -611,7 +611,7 @@
 
 def test_tenants_that_share_a_cold_host_send_it_together_what_one_might() -> None:
     def sent(part: float) -> int:
-        balancer = Balancer(replace(START, balancer_count=1, overload_window=10 * SECOND, warm_up_time=100 * SECOND))
+        balancer = Balancer(replace(CONFIG, balancer_count=1, overload_window=10 * SECOND, warm_up_time=100 * SECOND))
         balancer.rate_per_weight = 20.0
         line = m.ListedHost(0, "a", 0, 0, 0, m.HostStatus.READY, 1.0, T0 - 1, part)
         balancer.decide(T0, m.ListChanged(True, (line,)))
@@ -628,7 +628,7 @@
 
 
 def test_other_figures_are_for_what_comes_and_what_is_open_ends_by_those_it_was_taken_with() -> None:
-    balancer = Balancer(START)
+    balancer = Balancer(CONFIG)
     balancer.decide(
         T0, m.ListChanged(True, tuple(m.ListedHost(n, f"h{n}", 0, 0, 0, m.HostStatus.READY, 1.0, 0) for n in range(3)))
     )
@@ -636,7 +636,7 @@
         a for a in balancer.decide(T0, m.TxArrived(1, 2, -1, "k", 900 * MS, False, True)) if isinstance(a, m.SendHop)
     ]
     assert len(sends) == 1  # a non-idempotent one is out
-    balancer.decide(T0 + MS, replace(START, profiles=(START.profiles[0],), quotas=()))
+    balancer.decide(T0 + MS, replace(CONFIG, profiles=(CONFIG.profiles[0],), quotas=()))
     actions = balancer.decide(T0 + 2 * MS, m.HopEnded(1, 0, m.HopOutcome.RESET, MS, False, 0))
     assert any(isinstance(a, m.Abandon) for a in actions) and not any(isinstance(a, m.SendHop) for a in actions)
     again = balancer.decide(T0 + 3 * MS, m.TxArrived(2, 0, 0, "k", 900 * MS, False, False))
--- a/tests/test_laws.py
+++ b/tests/test_laws.py
@@ -11,7 +11,7 @@
 from ternquay.rig.laws.listing import Entry, Listing
 from ternquay.rig.laws.origin import Origin
 from ternquay.rig.terms import MS, SECOND, ListTerms, OriginTerms, Planned, planned, read_day
-from tests.helper import same
+from tests.helper import check_trace
 
 READ, ONCE, NOTE = 0, 2, 3
 SMALL: dict[str, Any] = {
@@ -119,7 +119,7 @@
     scene.run(300)
     scene.ask("evicted", key="k")
     scene.run(100)
-    same("law_cache_host", scene.trace)
+    check_trace("law_cache_host", scene.trace)
 
 
 def test_a_write_voids_copies_and_a_repeat_of_a_mark_has_no_effect() -> None:
@@ -138,7 +138,7 @@
     seen = scene.fleet.seen
     assert seen[first].stamp == seen[repeat].stamp and seen[repeat].effect == 0 != seen[first].effect
     assert seen[late].effect
-    same("law_marks", scene.trace)
+    check_trace("law_marks", scene.trace)
 
 
 def test_work_stops_with_its_transaction_unless_the_origin_has_it() -> None:
@@ -153,7 +153,7 @@
     scene.cancel(stored)
     scene.run(100)
     assert [bool(scene.fleet.seen[t].effect) for t in (running, queued, stored)] == [False, False, True]
-    same("law_cancel", scene.trace)
+    check_trace("law_cancel", scene.trace)
 
 
 def test_a_host_dies_comes_back_cold_and_tips_over() -> None:
@@ -170,7 +170,7 @@
             break
     scene.trace[3:] = [line for line in scene.trace[3:] if "asked" not in line]
     assert scene.fleet.tips[0].pushed > 4.0
-    same("law_cold", scene.trace)
+    check_trace("law_cold", scene.trace)
 
 
 def test_a_silent_host_answers_what_it_took_once_it_is_well() -> None:
@@ -178,7 +178,7 @@
     scene.run(300)
     ticket = scene.ask("swallowed")
     scene.run(1000)
-    same("law_silent", scene.trace)
+    check_trace("law_silent", scene.trace)
     assert scene.fleet.seen[ticket].fate == "swallowed"
 
 
--- a/tests/test_meta.py
+++ b/tests/test_meta.py
@@ -4,7 +4,7 @@
 
 from ternquay.net import meta
 from ternquay.net.limits import MIB
-from tests.helper import same
+from tests.helper import check_trace
 
 ID = b"O9b1f03aa5c7e2d41"
 READ = b"mg k1 v " + ID + b" Pc=read,d=480\r\n"
@@ -38,7 +38,7 @@
 def test_commands_are_read_alike_however_they_are_cut() -> None:
     data = READ + b"mn\r\n" + WRITE + b"ms k3 0 " + ID + b" Pc=mark,d=9,r=1,size=3\r\n\r\n" + READ
     assert len({tuple(client(data, cut)) for cut in CUTS}) == 1
-    same("net_commands", client(data, 7))
+    check_trace("net_commands", client(data, 7))
 
 
 @pytest.mark.parametrize("size", [0, 65536])
@@ -94,7 +94,7 @@
         said = {tuple(client(data + READ, cut)) for cut in CUTS}
         assert len(said) == 1
         trace += [f"{data[:60]!r}", *(f"    {x}" for x in said.pop())]
-    same("net_bad_commands", trace)
+    check_trace("net_bad_commands", trace)
 
 
 def test_answers_are_read_alike_however_they_are_cut() -> None:
@@ -109,7 +109,7 @@
     )
     asked = (READ, READ, WRITE, WRITE, READ)
     assert len({tuple(host(data, cut, *asked)) for cut in CUTS}) == 1
-    same("net_answers", host(data, 7, *asked))
+    check_trace("net_answers", host(data, 7, *asked))
 
 
 def test_what_is_no_answer_is_a_fault_after_the_whole_answers_before_it() -> None:
@@ -129,4 +129,4 @@
         said = {tuple(host(whole + bad, cut, READ, READ)) for cut in CUTS}
         assert len(said) == 1
         trace += [f"{bad[:60]!r}", *(f"    {x}" for x in said.pop())]
-    same("net_bad_answers", trace)
+    check_trace("net_bad_answers", trace)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -32,7 +32,7 @@
     Tenant,
     TenantLimits,
 )
-from tests.helper import MARKED, READ
+from tests.helper import IDEMPOTENT, JOURNALLED
 
 S = 10**9
 LIMITS = TenantLimits(100.0, 50, 1000, 1 << 20, 100, 50, *(Guarantee(0.2, 0.8),) * 3)
@@ -44,7 +44,7 @@
             name,
             (Endpoint("127.0.0.1", 7000 + number),),
             (Server("one", Endpoint(f"127.0.1.{number}", 11211)),),
-            (NamedProfile("read", READ), NamedProfile("mark", MARKED)),
+            (NamedProfile("read", IDEMPOTENT), NamedProfile("mark", JOURNALLED)),
             RuleSettings(S // 2, 0.2, 20 * S, 4.0, S),
             LIMITS,
             (Share("school", 5.0),),
@@ -112,11 +112,11 @@
     (ReplaceTenant(tenant("sur", state=State.ENDING)), "state"),
     (ReplaceTenant(tenant("sur", profiles=())), "profiles"),
     (
-        ReplaceTenant(tenant("sur", profiles=(NamedProfile("m", replace(MARKED, dedup_window=0)),))),
+        ReplaceTenant(tenant("sur", profiles=(NamedProfile("m", replace(JOURNALLED, dedup_window=0)),))),
         "profiles[0].memory",
     ),
     (
-        ReplaceTenant(tenant("sur", profiles=(NamedProfile("r", replace(READ, hard_limit=1)),))),
+        ReplaceTenant(tenant("sur", profiles=(NamedProfile("r", replace(IDEMPOTENT, hard_limit=1)),))),
         "profiles[0].hard_limit",
     ),
     (ReplaceTenant(tenant("sur", rules=RuleSettings(S, 1.5, S, 4.0, S))), "rules.cold_share"),
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -19,7 +19,7 @@
 from ternquay.net.listing import Address, FieldError, parse_list
 from ternquay.net.serve import Service
 from ternquay.net.start_times import StartTimes
-from tests.helper import FACTS, Net, Play, line, member
+from tests.helper import FACTS, Net, Scenario, listed_host, member
 from tests.test_net import TOLD, Agent, Response, mg, va
 
 ROOT = Path(__file__).parents[1]
@@ -274,12 +274,12 @@
 
 def test_a_host_that_was_gone_and_is_told_again_gets_its_keys_back() -> None:
     """Under the same index, as a caller may keep it: the record is a new one, the order of a group held the old."""
-    play = Play(hosts=3)
+    play = Scenario(hosts=3)
     tx = play.arrive("a")
     home = play.hops[tx][0]
-    play.end(tx, m.HopOutcome.DONE)
-    play.list(line(home, m.HostStatus.GONE))
-    play.list(line(home))
+    play.end_hop(tx, m.HopOutcome.DONE)
+    play.list(listed_host(home, m.HostStatus.GONE))
+    play.list(listed_host(home))
     assert play.hops[play.arrive("a")] == [home]
 
 
@@ -287,7 +287,7 @@
     def weighed(*hints: float) -> tuple[m.ListedHost, ...]:
         return tuple(m.ListedHost(n, f"h{n}", 0, 0, 0, m.HostStatus.READY, hint, 0) for n, hint in enumerate(hints))
 
-    old, new = Play(hosts=0, weight_mode=m.WeightMode.STATIC), Play(hosts=0, weight_mode=m.WeightMode.STATIC)
+    old, new = Scenario(hosts=0, weight_mode=m.WeightMode.STATIC), Scenario(hosts=0, weight_mode=m.WeightMode.STATIC)
     for hints in ((1.0, 1.0, 1.0, 1.0), (4.0, 1.0, 0.5, 1.0)):
         old.list(*weighed(*hints), whole=True)
         for group in range(64):
@@ -298,18 +298,19 @@
 
 
 def test_ranges_are_replaced_and_the_list_changes_while_hops_are_out() -> None:
-    play, out = Play(hosts=4), []
+    play, out = Scenario(hosts=4), []
     for n in range(1200):
         out.append(play.arrive(f"k{n % 90}"))
         if n % 97 == 0:
             drains = n // 97 % 4
             play.list(
-                *(line(h, m.HostStatus.DRAINING if h == drains else m.HostStatus.READY) for h in range(4)), whole=True
+                *(listed_host(h, m.HostStatus.DRAINING if h == drains else m.HostStatus.READY) for h in range(4)),
+                whole=True,
             )
         if len(out) > 6:
-            play.end(out.pop(0), m.HopOutcome.DONE)
+            play.end_hop(out.pop(0), m.HopOutcome.DONE)
     for tx in out:
-        play.end(tx, m.HopOutcome.DONE)
+        play.end_hop(tx, m.HopOutcome.DONE)
     balancer = play.balancer
     assert not balancer.txs and balancer.in_flight == 0 and all(h.in_flight == 0 for h in balancer.hosts.values())
     counts = sum(r.accesses for r in (*balancer.ranges.values(), *balancer.hot_keys.values()))
@@ -317,12 +318,12 @@
 
 
 def test_where_a_copy_lies_is_not_kept_for_hosts_that_are_gone() -> None:
-    play = Play(hosts=2)
+    play = Scenario(hosts=2)
     for n in range(300):
-        play.list(line(n), line(n + 1), whole=True)
-        play.end(play.arrive("hot"), m.HopOutcome.DONE)
+        play.list(listed_host(n), listed_host(n + 1), whole=True)
+        play.end_hop(play.arrive("hot"), m.HopOutcome.DONE)
     for _ in range(600):  # past the next time that ranges are placed
-        play.end(play.arrive("hot"), m.HopOutcome.DONE)
+        play.end_hop(play.arrive("hot"), m.HopOutcome.DONE)
     assert all(len(hosts) <= 2 for hosts in play.balancer.known_copies.values())
 
 
--- a/tests/test_review_step.py
+++ b/tests/test_review_step.py
@@ -12,7 +12,7 @@
 from ternquay.net.discovery import Discovery
 from ternquay.net.listing import Address
 from ternquay.net.start_times import StartTimes
-from tests.helper import START, T0, Net
+from tests.helper import CONFIG, T0, Net
 from tests.test_net import Agent, mg
 
 MANY, HOSTS = 24, 12
@@ -26,7 +26,7 @@
         self.now, self.order, self.number = T0, 0, 0
         self.events: list[tuple[int, int, int, m.Event]] = []
         self.balancers = [
-            Balancer(replace(START, seed=seed, balancer_count=MANY, balancer_index=n, **terms))
+            Balancer(replace(CONFIG, seed=seed, balancer_count=MANY, balancer_index=n, **terms))
             for n, seed in enumerate(seeds(MANY))
         ]
         self.sent: list[tuple[int, int, int]] = []  # when, by whom, where
@@ -163,7 +163,7 @@
     tens = Counter(at // (10 * MS) for at in fleet.backs)
     assert max(tens.values()) < len(fleet.backs) / 3, tens
     mean = sum(at - T0 - MS for at in fleet.backs) / len(fleet.backs)
-    assert 0.9 < mean / (0.1 * START.profiles[0].service_goal) < 1.1  # as long as it was, on the whole
+    assert 0.9 < mean / (0.1 * CONFIG.profiles[0].service_goal) < 1.1  # as long as it was, on the whole
 
 
 def test_what_is_turned_away_for_want_of_room_does_not_come_back_together() -> None:
@@ -196,7 +196,7 @@
 def test_instances_with_one_seed_do_not_ask_for_the_list_in_step() -> None:
     wakes = []
     for number in range(MANY):
-        balancer = Balancer(replace(START, balancer_index=number, balancer_count=MANY, watch_list=True))
+        balancer = Balancer(replace(CONFIG, balancer_index=number, balancer_count=MANY, watch_list=True))
         balancer.decide(T0, m.ListUnavailable())
         wakes.append(min(at for at, _, what in balancer.timers.heap if what == -2))
     assert max(Counter(at // BIN for at in wakes).values()) <= MANY // 2, wakes
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -21,7 +21,7 @@
 from ternquay.rig.terms import read_day
 from ternquay.wirehost.serve import Instance
 
-from .helper import FACTS, Play, line
+from .helper import FACTS, Scenario, listed_host
 
 LIVE: dict[str, Any] = {"weight_mode": m.WeightMode.LIVE}
 SIZES = (0.5, 1.0, 1.5)
@@ -30,22 +30,23 @@
 def live(held: dict[int, float], hosts: int = 6, zones: int = 1) -> list[m.ListedHost]:
     """The list as it stands when host n, of kind n % 3 and its size, holds so many a core."""
     return [
-        replace(line(h, kind=h % 3), zone=h % zones, weight=SIZES[h % 3] / (1 + held.get(h, 0.0))) for h in range(hosts)
+        replace(listed_host(h, kind=h % 3), zone=h % zones, weight=SIZES[h % 3] / (1 + held.get(h, 0.0)))
+        for h in range(hosts)
     ]
 
 
-def fleet(hosts: int = 6, zones: int = 1, **terms: Any) -> Play:
-    p = Play(0, **(LIVE | terms))
+def fleet(hosts: int = 6, zones: int = 1, **terms: Any) -> Scenario:
+    p = Scenario(0, **(LIVE | terms))
     p.list(*live({}, hosts, zones), whole=True)
     return p
 
 
-def homes(p: Play, keys: int = 60, ends: m.HopOutcome = m.HopOutcome.DONE) -> list[int]:
+def homes(p: Scenario, keys: int = 60, ends: m.HopOutcome = m.HopOutcome.DONE) -> list[int]:
     found = []
     for n in range(keys):
         tx = p.arrive(f"k{n}")
         found.append(p.hops[tx][0])
-        p.end(tx, ends)
+        p.end_hop(tx, ends)
         p.run(5)
     return found
 
@@ -62,7 +63,7 @@
 
 
 def test_a_larger_host_has_more_keys_and_a_balancer_that_starts_late_has_the_same_homes() -> None:
-    p, late = fleet(12), Play(0, **LIVE)
+    p, late = fleet(12), Scenario(0, **LIVE)
     drawn = Random(2)
     for n in range(20):  # it starts while most hold some
         late.list(*live({h: drawn.choice((0.0, 0.4, 1.9)) for h in range(12)}, 12), whole=not n)
@@ -114,7 +115,7 @@
     assert 0 < len(kept) < before.count(0) / 2 and p.balancer.hosts[0].range_fraction == pytest.approx(0.2)
     for _ in range(60):
         p.run(1000)
-        p.end(p.arrive("k1"), m.HopOutcome.DONE)
+        p.end_hop(p.arrive("k1"), m.HopOutcome.DONE)
     assert p.balancer.hosts[0].range_fraction == 1.0 and homes(p, 400) == before
 
 
@@ -261,12 +262,12 @@
     for n in range(400):
         tx = near.arrive(f"k{n % 60}")
         if near.hops.get(tx):
-            near.end(tx, m.HopOutcome.DONE, took=2000 if near.hops[tx][0] % 2 else 20)
+            near.end_hop(tx, m.HopOutcome.DONE, took=2000 if near.hops[tx][0] % 2 else 20)
         near.run(50)
     strained = near.balancer.own_zone_fraction
     assert strained < 0.8
     for n in range(2000):
-        near.end(near.arrive(f"k{n % 60}"), m.HopOutcome.DONE)
+        near.end_hop(near.arrive(f"k{n % 60}"), m.HopOutcome.DONE)
         near.run(20)
     assert near.balancer.own_zone_fraction == 1.0 and {home % 2 for home in homes(near)} == {1}
 
@@ -280,10 +281,10 @@
 # ---- late reads ----
 
 
-def aside(**terms: Any) -> Play:
-    p = Play(4, origin=True, **terms)
+def aside(**terms: Any) -> Scenario:
+    p = Scenario(4, origin=True, **terms)
     for n in range(40):
-        p.end(p.arrive(f"k{n}"), m.HopOutcome.DONE)
+        p.end_hop(p.arrive(f"k{n}"), m.HopOutcome.DONE)
         p.run(5)
     p.trace.clear()
     return p
@@ -293,7 +294,7 @@
     p = aside()
     p.arrive("k1")
     p.run(400)
-    p.end(p.tx, m.HopOutcome.DONE, hop=1)
+    p.end_hop(p.last_tx, m.HopOutcome.DONE, hop=1)
     p.arrive("k2", profile=1)  # a write is there already
     p.run(400)
     p.balancer.origin_limit = 2.0
@@ -304,7 +305,7 @@
 
 
 def test_a_late_read_is_left_alone_where_cache_hosts_fetch() -> None:
-    p = Play(4)
+    p = Scenario(4)
     homes(p, 40)
     tx = p.arrive("k1")
     p.run(400)
@@ -359,7 +360,7 @@
 
 
 def test_who_takes_over_from_another_process_has_its_homes_at_once() -> None:
-    p, second = fleet(), Play(0, **LIVE)
+    p, second = fleet(), Scenario(0, **LIVE)
     p.run(1000)
     p.list(*live({0: 20.0}))
     before = homes(p)
--- a/tests/test_stood_still.py
+++ b/tests/test_stood_still.py
@@ -12,7 +12,7 @@
 import orjson
 
 from ternquay.net.loop_timing import STOOD, LoopTiming
-from tests.helper import FACTS, Listening, Net, member
+from tests.helper import FACTS, Net, ThreadedServer, member
 from tests.hosted_helper import ROOT
 from tests.test_endings import TurnsAway, begun
 from tests.test_net import mg
@@ -123,7 +123,7 @@
     assert not net.reactor.tcpClients and not net.dispatcher.txs
 
 
-class Discovery(Listening):
+class Discovery(ThreadedServer):
     """Answers the first call at once, and holds each watch until it is told what to say."""
 
     def __init__(self) -> None:
