--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -428,7 +428,7 @@
 def run(service: ServiceConfig) -> None:
     """Serves until SIGTERM or SIGINT. Raises ServiceConfigError if the service can't start."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until a reload is possible; SIGHUP must never end the process
-    logs.begin(service.log.json, service.log.level)
+    logs.configure(service.log.json, service.log.level)
     library_log.install()
     reactor = MonotonicReactor()
     installReactor(reactor)
--- a/ternquay/hosted/logs.py
+++ b/ternquay/hosted/logs.py
@@ -1,4 +1,4 @@
-"""The log of a hosted service: a JSON object a line, with the tenant and version that it is about, and the cause."""
+"""The log of a hosted service: one JSON object a line, with the tenant, the version and the cause of an event."""
 
 import sys
 from typing import Any, TextIO
@@ -9,38 +9,40 @@
 FIELDS = ("tenant", "version", "cause", "who", "kind", "status", "clock", "fleet")
 
 
-def line_of(record: dict[str, Any]) -> str:
-    """One line of what loguru hands in; what is bound and not known here is left out, so no value slips in."""
-    told: dict[str, Any] = {
+def format_record(record: dict[str, Any]) -> str:
+    """Returns the log line of a loguru record. Bound fields that are not in FIELDS are left out, so no value leaks."""
+    entry: dict[str, Any] = {
         "at": record["time"].isoformat(timespec="milliseconds"),
         "level": record["level"].name,
         "message": record["message"],
     }
-    told.update({name: record["extra"][name] for name in FIELDS if name in record["extra"]})
+    entry.update({name: record["extra"][name] for name in FIELDS if name in record["extra"]})
     if record["exception"] is not None:
-        fault = record["exception"]
-        told["fault"] = f"{fault.type.__name__ if fault.type else ''}: {fault.value}"[:500]
-        told["trace"] = _trace(fault.traceback)
-    return orjson.dumps(told).decode()
+        exception = record["exception"]
+        entry["fault"] = f"{exception.type.__name__ if exception.type else ''}: {exception.value}"[:500]
+        entry["trace"] = _frames(exception.traceback)
+    return orjson.dumps(entry).decode()
 
 
-def _trace(frame: Any) -> list[str]:
-    found: list[str] = []
-    while frame is not None and len(found) < 40:
-        found.append(f"{frame.tb_frame.f_code.co_filename.rpartition('/')[2]}:{frame.tb_lineno}")
-        frame = frame.tb_next
-    return found
+def _frames(traceback: Any) -> list[str]:
+    """Returns FILE:LINE of up to 40 frames."""
+    frames: list[str] = []
+    while traceback is not None and len(frames) < 40:
+        frames.append(f"{traceback.tb_frame.f_code.co_filename.rpartition('/')[2]}:{traceback.tb_lineno}")
+        traceback = traceback.tb_next
+    return frames
 
 
-def begin(json: bool, level: str, out: TextIO = sys.stderr) -> None:
+def configure(json: bool, level: str, out: TextIO = sys.stderr) -> None:
+    """Sends the log to `out`, as JSON or as text."""
     logger.remove()
     if not json:
-        # Without the values of variables in a traceback: keys and values would be among them.
+        # Tracebacks show no values of variables, which could be keys and values of clients.
         logger.add(out, format="{time:HH:mm:ss.SSS} {level} {message}", level=level, backtrace=False, diagnose=False)
         return
 
-    def told(message: Any) -> None:
-        out.write(line_of(message.record) + "\n")
+    def write(message: Any) -> None:
+        out.write(format_record(message.record) + "\n")
         out.flush()
 
-    logger.add(told, level=level, format="{message}", backtrace=False, diagnose=False)
+    logger.add(write, level=level, format="{message}", backtrace=False, diagnose=False)
