--- a/ternquay/net/limits.py
+++ b/ternquay/net/limits.py
@@ -70,9 +70,7 @@
     # The steps of a planned shutdown, as durations since its request: clients are still accepted, open connections are
     # still served, the last response is due with time left to write it, and the process exits.
     accept_grace: int
-    drain_cutoff_after: (
-        int  # at a drain: clients without an open request that were quiet for `new_client_grace` are closed
-    )
+    drain_cutoff_after: int  # of a drain: closes clients without an open request, if quiet for `new_client_grace`
     leave_after: int
     last_answer_after: int
     stop_after: int
