--- a/ternquay/net/management.py
+++ b/ternquay/net/management.py
@@ -24,7 +24,7 @@
 class Managed(Protocol):
     """The service as operators see it. Each tells why not, or nothing."""
 
-    def unready(self) -> str: ...
+    def not_ready_reason(self) -> str: ...
 
     def out_of_service(self) -> str: ...
 
@@ -42,7 +42,7 @@
 def calls(service: Managed) -> dict[str, tuple[str, Callable[[], str], str, int]]:
     """By path: the method, the step, what is said when it is done, and the status when it is not."""
     return {
-        "/control/ready": ("GET", service.unready, "ready", 503),
+        "/control/ready": ("GET", service.not_ready_reason, "ready", 503),
         "/control/out-of-service": ("POST", service.out_of_service, "out of service", 409),
         "/control/in-service": ("POST", service.in_service, "in service", 409),
     }
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -1,4 +1,4 @@
-"""Puts the parts together, listens, ends in order on SIGTERM and reads its configuration again on SIGHUP."""
+"""The process of one balancer: listens, shuts down in order on SIGTERM and reloads its configuration on SIGHUP."""
 
 import gc
 import os
@@ -35,14 +35,18 @@
 from ternquay.net.start_times import StartTimes
 from ternquay.net.transports import BackoffConnector
 
-FIRST_LOOK = 0.001  # seconds: the loop has run once
-# An address that is taken, or can't be ours, is a fault of the configuration; anything else may pass.
-NOT_OURS = frozenset({EADDRINUSE, EADDRNOTAVAIL, EACCES, EAFNOSUPPORT})
-LISTEN_AGAIN, LISTEN_WITHIN = 0.1, 20.0  # seconds: between two tries, and for all of them
+FIRST_TURN_SECONDS = 0.001  # the loop has run once after this
+# An address that is in use or not available is an error of the configuration; any other error may be transient.
+PERMANENT_LISTEN_ERRORS = frozenset({EADDRINUSE, EADDRNOTAVAIL, EACCES, EAFNOSUPPORT})
+LISTEN_RETRY_SECONDS = 0.1
+LISTEN_TIMEOUT_SECONDS = 20.0  # for all attempts
 
 
 class MonotonicReactor(EPollReactor):
-    """Twisted's clock is the wall's, which may be set; ours only goes on."""
+    """A reactor on the monotonic clock, with this project's listener, connector and poller.
+
+    Twisted uses the wall clock, which may be stepped.
+    """
 
     seconds = staticmethod(time.monotonic)
 
@@ -51,7 +55,7 @@
         self._poller = RetryingPoller(self._poller)
 
     def mark_turns(self, loop_timing: LoopTiming) -> None:
-        """Has the begin of each turn told; the library has no place for it but its poller."""
+        """Reports the start of each turn of the loop. The poller is the only place where Twisted allows it."""
         self._poller = TimedPoller(self._poller, time.monotonic_ns, loop_timing.begins)
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Listener:
@@ -66,14 +70,14 @@
 
 
 class Service:
-    """The assembled balancer."""
+    """All parts of a balancer's process, and its lifecycle."""
 
     def __init__(self, reactor: Any, config: BalancerConfig, decisions: type[Balancer] = Balancer) -> None:
         self.reactor, self.config, self.limits = reactor, config, config.limits
         self.start_times = StartTimes(lambda: time.time_ns() - int(reactor.seconds() * SECOND))
         self.sockets = sockets = Sockets(self.limits)
         self.replacement: Any = None
-        self.shut = False  # another process takes the clients
+        self.peer_accepts = False  # another process of this balancer accepts the clients
         self.dispatcher = Dispatcher(reactor, config.settings, config.names, self.limits, decisions)
         self.pool = self.dispatcher.pool = Pool(
             reactor, self.dispatcher, self.limits, sockets, config.settings.parallel_hops
@@ -81,132 +85,143 @@
         self.loop_timing = LoopTiming(self.limits.turn_duration)
         self.dispatcher.stood_still = self.loop_timing.stood_still
         self.frontend = Frontend(reactor, self.dispatcher, self.limits, sockets, self.loop_timing)
-        self.discovery = self._discovery(config.discovery)
+        self.discovery = self._create_discovery(config.discovery)
         self.port: Any = None
-        self.listen_until = reactor.seconds() + LISTEN_WITHIN
+        self.listen_deadline = reactor.seconds() + LISTEN_TIMEOUT_SECONDS
         self.management = ManagementPort(reactor, self, self.limits) if config.management is not None else None
-        self.fault: ConfigError | None = None  # found when the loop ran already
-        self.ending = self.drained = self.stopping = False
-        self.leaves: list[Any] = []  # the steps of a drain that are still to come
+        self.startup_error: ConfigError | None = None  # found when the loop was already running
+        self.ending = self.draining = self.stopping = False
+        self.drain_steps: list[Any] = []  # the timers of the remaining steps of a drain
 
-    def _discovery(self, where: Address, instead: Discovery | None = None) -> Discovery:
-        discovery = Discovery(self.reactor, self.dispatcher, self.limits, where, self.start_times, instead)
+    def _create_discovery(self, address: Address, previous: Discovery | None = None) -> Discovery:
+        discovery = Discovery(self.reactor, self.dispatcher, self.limits, address, self.start_times, previous)
         self.dispatcher.watch = discovery.watch
         return discovery
 
     def begin(self) -> None:
-        self.discovery.apply(self.config.initial_list)  # read_config has read it already
+        """Starts the parts and listens, or schedules it. Raises ConfigError."""
+        self.discovery.apply(self.config.initial_list)  # read_config() has checked it
         if not self.config.settings.watch_list:
             self.discovery.watch()
-        where = self.config.listen
-        held = inherited_socket(where)
+        address = self.config.listen
+        inherited = inherited_socket(address)
         if self.management is not None and self.config.management is not None:
             self.management.begin(self.config.management)
         self.pool.sweep()
         self.frontend.sweep()
-        if held is not None:
-            self._beside(lambda: self._open(adopt_socket(self.reactor, Listener, held, self.frontend)))
+        if inherited is not None:
+            self._begin_with_replacement(
+                lambda: self._use_port(adopt_socket(self.reactor, Listener, inherited, self.frontend))
+            )
             return
-        # Once the loop runs: what the system accepts while a start still takes its time is ours, and waits unread.
+        # Listens only when the loop runs: connections that the operating system accepts earlier would wait unread.
         if self.config.settings.watch_list:
-            self.reactor.callLater(FIRST_LOOK, self._listen)
+            self.reactor.callLater(FIRST_TURN_SECONDS, self._listen)
         else:
-            # What is pushed counts as told from the first moment of a process, and the list that it was given may be
-            # old: nobody is let in before the first word, or its failure, for a moment.
+            # A pushed change counts as delivered as soon as the process runs, and the configured list may be outdated.
+            # So clients are accepted after the first call to discovery has ended, or after a short time limit.
             self.discovery.on_first_result = self._listen
             self.reactor.callLater(self.limits.first_list_timeout / SECOND, self._listen)
 
     def _listen(self) -> None:
-        where = self.config.listen
+        address = self.config.listen
         if self.ending or self.port is not None:
             return
         try:
-            self._open(self.reactor.listenTCP(where.port, self.frontend, self.limits.backlog, where.host))
+            self._use_port(self.reactor.listenTCP(address.port, self.frontend, self.limits.backlog, address.host))
         except (CannotListenError, OSError) as fault:
             self._not_listening(fault.socketError if isinstance(fault, CannotListenError) else fault)
 
     def _not_listening(self, fault: OSError) -> None:
-        """Tries again, unless the address is at fault, or it has been tried for long."""
-        if fault.errno in NOT_OURS or self.reactor.seconds() > self.listen_until:
-            self.fault = ConfigError(f"listen: {self.config.listen}: {fault}")
+        """Retries to listen, unless the error is permanent or the time limit has passed."""
+        if fault.errno in PERMANENT_LISTEN_ERRORS or self.reactor.seconds() > self.listen_deadline:
+            self.startup_error = ConfigError(f"listen: {self.config.listen}: {fault}")
             self.reactor.stop()
             return
         self.dispatcher.log("WARNING", "can't listen yet: {}", fault.strerror)
-        self.reactor.callLater(LISTEN_AGAIN, self._listen)
+        self.reactor.callLater(LISTEN_RETRY_SECONDS, self._listen)
 
-    def _open(self, port: Any) -> None:
+    def _use_port(self, port: Any) -> None:
+        """Connects the listening port with the frontend."""
         if self.ending:
             port.stopListening()
             return
         self.port = port
         port.room, port.accepted, port.failed = self.frontend.room, self.loop_timing.accepted, self.frontend.shed
-        self.frontend.gate = lambda accept: port.gate(accept and not self.shut)
+        self.frontend.gate = lambda accept: port.gate(accept and not self.peer_accepts)
         if isinstance(port, Listener):
             self.frontend.waiting = port.waiting
         logger.info("{} serves on {}", self.config.name, self.config.listen)
 
-    def _beside(self, then: Callable[[], None]) -> None:
-        """Where the platform holds the socket, another process of this balancer may be here, or come."""
+    def _begin_with_replacement(self, then: Callable[[], None]) -> None:
+        """Calls `then` when this process may serve. With an inherited socket there may be another process beside it."""
         from ternquay.net.replacement import Replacement
 
         folder = os.environ.get("TMPDIR", "")
         try:
             self.replacement = Replacement(self, Path(folder)) if folder else None
         except OSError as fault:
-            logger.warning("TMPDIR: {} can't be used, no other process is known here: {}", folder, fault.strerror)
+            logger.warning("TMPDIR: {} can't be used, so other processes are not detected: {}", folder, fault.strerror)
         if self.replacement is None:
             then()
         else:
             self.replacement.begin(then)
 
     def serves(self) -> bool:
-        return not self.unready()
+        """Returns whether this process accepts clients."""
+        return not self.not_ready_reason()
 
     def peer_changed(self) -> None:
-        """From the replacement: against questions and clients that half of the time reach who says no."""
-        shut = self.replacement.other_serves and (self.drained or self.ending)
-        if shut != self.shut and self.port is not None:
-            self.shut = shut
+        """Stops accepting clients while this process drains or ends and the other process serves.
+
+        Otherwise half of the health checks and new clients would reach the process that refuses them.
+        """
+        peer_accepts = self.replacement.other_serves and (self.draining or self.ending)
+        if peer_accepts != self.peer_accepts and self.port is not None:
+            self.peer_accepts = peer_accepts
             self.frontend.gate(not self.frontend.held_up)
-        self.frontend.has_room()  # as the ceiling may have risen
+        self.frontend.has_room()  # the ceiling of sockets may have risen
 
     def reload(self) -> None:
-        """SIGHUP: the file is read again; where it can't be used, all stays as it is."""
+        """Reads the configuration file again (SIGHUP). Only another discovery address takes effect.
+
+        A file that can't be used changes nothing.
+        """
         old = self.config
         try:
             new = read_config(old.path)
         except ConfigError as fault:
-            logger.error("told to read the configuration again, the old one is kept: {}", fault)
+            logger.error("configuration reload failed, the old configuration is kept: {}", fault)
             return
-        # All else is built into what is open now. The seed and the list known are for starts alone.
+        # All other settings are built into open connections. The seed and the initial list matter only at a start.
         new = replace(new, settings=replace(new.settings, seed=old.settings.seed))
         for field in ("name", "listen", "management", "limits", "settings"):
             if getattr(new, field) != getattr(old, field):
-                logger.warning("the configuration has another {}, which waits for the next start", field)
-        logger.info("read the configuration again, discovery: {}", new.discovery)
+                logger.warning("the configuration has another {}, which takes effect at the next start", field)
+        logger.info("configuration reloaded, discovery: {}", new.discovery)
         if new.discovery != old.discovery and not self.ending:
             self.config = replace(old, discovery=new.discovery)
             self.discovery.retire()
-            self.discovery = self._discovery(new.discovery, self.discovery)
+            self.discovery = self._create_discovery(new.discovery, self.discovery)
             self.discovery.watch()
 
-    # ---- what operators call ----
+    # ---- calls of operators ----
 
-    def unready(self) -> str:
-        """Why this process does not serve, or nothing."""
+    def not_ready_reason(self) -> str:
+        """Returns why this process does not serve, or an empty string."""
         if self.ending:
             return "ending"
-        if self.drained:
+        if self.draining:
             return "out of service"
         if self.port is None:
             return "waits for the process that it replaces"
         return "" if self.dispatcher.hosts else "no cache host is known"
 
     def out_of_service(self) -> str:
-        """Drains: an `mn` is told at once, clients are served for a moment, then each is closed after its answer."""
-        if not self.drained:
-            self.drained, self.frontend.hello = True, meta.OUT_OF_SERVICE
-            self.leaves = [
+        """Starts to drain: refuses `mn` at once and, a little later, closes each client after its response."""
+        if not self.draining:
+            self.draining, self.frontend.hello = True, meta.OUT_OF_SERVICE
+            self.drain_steps = [
                 self.reactor.callLater(at / SECOND, step)
                 for at, step in (
                     (self.limits.accept_grace, lambda: self.frontend.leave(self.limits.new_client_grace)),
@@ -217,97 +232,106 @@
         return ""
 
     def in_service(self) -> str:
+        """Ends a drain. Returns why that is not possible, or an empty string."""
         if self.ending:
             return "ending"
-        if self.drained:
-            self._undrained()
+        if self.draining:
+            self._cancel_drain()
             self.frontend.leaving, self.frontend.hello = False, meta.HELLO
             logger.info("in service")
         return ""
 
     def metrics(self) -> str:
+        """Returns the counters of the process, one per line."""
         return self.dispatcher.safety.metrics()
 
     def events(self) -> str:
+        """Returns the latest events, one per line."""
         return self.dispatcher.safety.latest()
 
-    def _undrained(self) -> None:
-        self.drained = False
-        for call in self.leaves:
+    def _cancel_drain(self) -> None:
+        self.draining = False
+        for call in self.drain_steps:
             cancel_call(call)
 
     def signals(self) -> "dict[signal.Signals, Callable[[], None]]":
+        """Returns the handler of each signal."""
         return {signal.SIGTERM: self.end, signal.SIGINT: self.end, signal.SIGHUP: self.reload}
 
     def end(self) -> None:
-        """SIGTERM: clients still come for a moment; those that are here are served on for as long as it goes.
+        """Starts the planned shutdown (SIGTERM): accepts clients a moment longer and serves connected ones until late.
 
-        To close their connections at once would send them all to the others, which may be about to end too.
+        Closing their connections at once would move all of them to other balancers, which may be about to end too.
         """
         if self.ending:
             return
         self.ending = True
-        self._undrained()
-        logger.info("told to end, {} transactions open", len(self.dispatcher.txs))
+        self._cancel_drain()
+        logger.info("shutdown requested, {} transactions open", len(self.dispatcher.txs))
         if self.replacement is not None and self.replacement.other_serves:
-            # What comes now is the other process's, and so is who has its answer.
-            self._close_door()
+            # New connections, and clients that have their responses, belong to the other process.
+            self._stop_accepting()
             self.frontend.leave(self.limits.new_client_grace)
-            self._wait()
+            self._wait_for_clients()
         self.dispatcher.ends_at = self.dispatcher.now() + self.limits.last_answer_after
-        self.reactor.callLater(self.limits.accept_grace / SECOND, self._close_door)
-        self.reactor.callLater(self.limits.leave_after / SECOND, self._leave)
-        self.reactor.callLater(self.limits.stop_after / SECOND, self._stop)
+        self.reactor.callLater(self.limits.accept_grace / SECOND, self._stop_accepting)
+        self.reactor.callLater(self.limits.leave_after / SECOND, self._close_clients)
+        self.reactor.callLater(self.limits.stop_after / SECOND, self._flush_and_exit)
 
-    def _close_door(self) -> None:
+    def _stop_accepting(self) -> None:
+        """Closes the listening socket, first accepting the connections in its queue as far as there is room."""
         self.frontend.gate = lambda accept: None
         self.frontend.waiting = lambda: 0
         port = self.port
-        # The other process, if there may be one, has the same queue.
-        ours = self.replacement is None and isinstance(port, Listener)
+        # A second process, if there may be one, shares the accept queue of the listening socket.
+        own_queue = self.replacement is None and isinstance(port, Listener)
         if (
             isinstance(port, Listener)
-            and ours
+            and own_queue
             and not accept_all_waiting(port, self.sockets)
             and not self.frontend.leaving
         ):
             self.frontend.shed()
-            self.reactor.callLater(0.01, self._close_door)
+            self.reactor.callLater(0.01, self._stop_accepting)
             return
         self.port = None
         if port is not None:
             port.stopListening()
 
-    def _leave(self) -> None:
+    def _close_clients(self) -> None:
         self.frontend.leave()
-        self._wait()
+        self._wait_for_clients()
 
-    def _wait(self) -> None:
+    def _wait_for_clients(self) -> None:
         if self.frontend.all:
-            self.reactor.callLater(0.01, self._wait)
+            self.reactor.callLater(0.01, self._wait_for_clients)
         else:
-            self._stop()
+            self._flush_and_exit()
 
-    def _stop(self) -> None:
+    def _flush_and_exit(self) -> None:
+        """Exits when the last responses are written, or after the flush timeout."""
         if not self.stopping:
             self.stopping = True
-            after_answers_sent(self.reactor, self.frontend.owes, self.limits.flush_timeout, self._stopped)
+            after_answers_sent(self.reactor, self.frontend.owes, self.limits.flush_timeout, self._exit)
 
-    def _stopped(self) -> None:
+    def _exit(self) -> None:
         if self.reactor.running:
             self.discovery.stop()
             if self.replacement is not None:
                 self.replacement.stop()
             logger.info(self.dispatcher.safety.summary())
-            logger.info("ended, {} transactions open", sum(not tx.answered for tx in self.dispatcher.txs.values()))
+            logger.info("stopped, {} transactions open", sum(not tx.answered for tx in self.dispatcher.txs.values()))
             self.reactor.stop()
 
 
 def run(config: BalancerConfig, decisions: type[Balancer] = Balancer) -> None:
-    """Serves until it is told to end; other decisions than the product's are for comparisons."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to read again: never an end
+    """Serves until a signal ends the process. Raises ConfigError.
+
+    `decisions`: a replacement for the balancer's decisions, for comparisons.
+    """
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until a reload is possible, SIGHUP must not end the process
     logger.remove()
-    # Without the values of variables in a traceback: keys and values would be among them.
+    # Tracebacks leave out the values of variables, as keys and values of clients would be among them.
     logger.add(
         sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", level="INFO", backtrace=False, diagnose=False
     )
@@ -317,15 +341,15 @@
     service = Service(reactor, config, decisions)
     service.begin()
     reactor.mark_turns(service.loop_timing)
-    # What is there now stays. Against a look through all of it while it serves: that took 30 ms, of a whole core, in
-    # which every answer is late and no client's end is seen.
+    # The objects that exist now stay. Without the freeze, a full garbage collection took 30 ms of one core, in which
+    # every response is late and a client's disconnect is not noticed.
     gc.freeze()
 
-    def heed(number: signal.Signals, what: Callable[[], None]) -> None:
-        signal.signal(number, lambda *_: reactor.callFromThread(what))
+    def install_handler(number: signal.Signals, handler: Callable[[], None]) -> None:
+        signal.signal(number, lambda *_: reactor.callFromThread(handler))
 
-    for number, what in service.signals().items():
-        reactor.callWhenRunning(heed, number, what)
+    for number, handler in service.signals().items():
+        reactor.callWhenRunning(install_handler, number, handler)
     reactor.run()
-    if service.fault is not None:
-        raise service.fault
+    if service.startup_error is not None:
+        raise service.startup_error
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -85,9 +85,9 @@
     path.write_text(json.dumps(told(1, 2, settings=FACTS)))
     service = Service(net.reactor, read_config(str(path), {}))
     service.begin()
-    assert not net.reactor.tcpServers and service.unready()
+    assert not net.reactor.tcpServers and service.not_ready_reason()
     net.reactor.advance(0.01)
-    assert net.reactor.tcpServers and not service.unready()
+    assert net.reactor.tcpServers and not service.not_ready_reason()
 
 
 def test_on_loopback_true_clients_are_answered_beside_a_crowd_that_never_finishes(tmp_path: Path) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -357,7 +357,7 @@
     service = Service(net.reactor, read_config(str(path), {}))
     service.begin()
     net.reactor.advance(0.3)
-    assert not net.reactor.tcpServers and service.unready()
+    assert not net.reactor.tcpServers and service.not_ready_reason()
     if word == "told":
         agent.calls[0].callback(Ending(drained(5), ResponseDone()))
         assert not next(iter(service.pool.hosts.values())).ready
@@ -365,7 +365,7 @@
         agent.calls[0].errback(Failed(ConnectionLost()))
     else:
         net.reactor.advance(0.71)
-    assert len(net.reactor.tcpServers) == 1 and not service.unready()
+    assert len(net.reactor.tcpServers) == 1 and not service.not_ready_reason()
     net.reactor.advance(2.0)
     assert len(net.reactor.tcpServers) == 1
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -23,7 +23,7 @@
     def __init__(self, why: str = "") -> None:
         self.why, self.done = why, [""]
 
-    def unready(self) -> str:
+    def not_ready_reason(self) -> str:
         return self.why
 
     def out_of_service(self) -> str:
@@ -163,7 +163,7 @@
         # The end during a drain.
         assert call(at, OUT) == 200
         process.terminate()
-        until(lambda: b"told to end" in (tmp_path / "log").read_bytes())
+        until(lambda: b"shutdown requested" in (tmp_path / "log").read_bytes())
         assert call(at, READY) == 503 and call(at, BACK) == 409
         assert process.wait(10) == 0
 
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -452,10 +452,10 @@
             client.recv(1000)
         if point == POINTS[4]:
             process.send_signal(signal.SIGTERM)
-            until(lambda: b"told to end" in (tmp_path / "log").read_bytes())
+            until(lambda: b"shutdown requested" in (tmp_path / "log").read_bytes())
         if point == POINTS[5]:
             process.send_signal(signal.SIGHUP)
-            until(lambda: b"read the configuration again" in (tmp_path / "log").read_bytes())
+            until(lambda: b"configuration reloaded" in (tmp_path / "log").read_bytes())
         process.kill()
         process.wait()
         before = list(host.ids)
@@ -504,7 +504,7 @@
             process.send_signal(number)
         assert client.recv(99) == b"SERVER_ERROR failed\r\n"
         assert process.wait(10) == 0
-        assert (tmp_path / "log").read_text().count("told to end") == 1
+        assert (tmp_path / "log").read_text().count("shutdown requested") == 1
     host.end()
 
 
