--- a/ternquay/handover/__init__.py
+++ b/ternquay/handover/__init__.py
@@ -1,1 +1,1 @@
-"""What two processes of one balancer tell each other while one replaces the other; loaded only where they may meet."""
+"""What two processes of one balancer exchange while one replaces the other. Loaded only where that may happen."""
--- a/ternquay/handover/notes.py
+++ b/ternquay/handover/notes.py
@@ -1,9 +1,10 @@
-"""The note that one process leaves for the other, and how the two split what one balancer may have. Pure.
+"""The note that a process leaves for the other one, and how the two share the limit on sockets. Performs no I/O.
 
     ternquay handover 1 <bytes of the body> <BLAKE2b of the body, 32 hexadecimal digits>
     {"at": ..., "ceiling": ..., ...}
 
-Whole or not at all: what is torn, longer than it says, of another version or no note is told by InvalidNoteError.
+A note is valid as a whole or not at all. Data that is truncated or damaged, of another version or no note at all raises
+InvalidNoteError.
 """
 
 from dataclasses import asdict, dataclass
@@ -21,24 +22,24 @@
 
 
 class InvalidNoteError(ValueError):
-    """A note that can't be used; the text says why."""
+    """The note can't be used. The message says why."""
 
 
 @dataclass(slots=True, frozen=True)
 class Note:
-    """Times are nanoseconds on the machine's monotonic clock, which both processes read."""
+    """The state of one process. Times are nanoseconds on the monotonic clock, which both processes share."""
 
     at: int
-    ceiling: int  # of descriptors: its own, which it will not pass
-    serves: bool  # it takes clients
+    ceiling: int  # the most sockets that the process will open
+    serves: bool  # the process accepts clients
     discovery: str
     revision: int
     members: tuple[HostEntry, ...]
-    learned: dict[str, Any]  # by a host's id and of all, as the decisions tell it
+    learned: dict[str, Any]  # the balancer's measurements, of hosts by id: see encode_learned()
 
 
 def encode_note(note: Note) -> bytes:
-    """Raises InvalidNoteError where it would be longer than anybody reads."""
+    """Returns the note as bytes. Raises InvalidNoteError if it is longer than a reader accepts."""
     members = [
         [x.id, str(x.address), x.zone, x.kind, x.cell, x.status.name, x.weight, x.started_at] for x in note.members
     ]
@@ -59,22 +60,23 @@
 
 
 def digest(body: bytes) -> bytes:
+    """Returns the checksum of a body in hexadecimal digits."""
     return blake2b(body, digest_size=16).hexdigest().encode()
 
 
 def decode_note(data: bytes) -> Note:
-    """Raises InvalidNoteError."""
+    """Parses a note. Raises InvalidNoteError."""
     head, end, body = data[:MAX_HEADER_BYTES].partition(b"\n")
     words = head.split(b" ")
     if not end or words[:2] != [b"ternquay", b"handover"] or len(words) != 5:
-        raise InvalidNoteError("it is no note")
+        raise InvalidNoteError("not a note")
     if words[2] != b"%d" % VERSION:
-        raise InvalidNoteError(f"it is of version {words[2][:20]!r}")
+        raise InvalidNoteError(f"unknown version {words[2][:20]!r}")
     body = data[len(head) + 1 :]
     if words[3] != b"%d" % len(body) or words[4] != digest(body):
-        raise InvalidNoteError("it is torn")
+        raise InvalidNoteError("length or checksum mismatch")
     try:
-        told = orjson.loads(body)
+        document = orjson.loads(body)
         members = tuple(
             HostEntry(
                 id=x[0],
@@ -86,56 +88,61 @@
                 weight=x[6],
                 started_at=x[7],
             )
-            for x in told["members"]
+            for x in document["members"]
         )
         return Note(
-            at=told["at"],
-            ceiling=told["ceiling"],
-            serves=told["serves"],
-            discovery=told["discovery"],
-            revision=told["revision"],
+            at=document["at"],
+            ceiling=document["ceiling"],
+            serves=document["serves"],
+            discovery=document["discovery"],
+            revision=document["revision"],
             members=members,
-            learned=told["learned"],
+            learned=document["learned"],
         )
     except (ValueError, KeyError, TypeError, IndexError) as fault:
-        raise InvalidNoteError(f"it lacks something: {fault!r}") from fault
+        raise InvalidNoteError(f"missing or invalid field: {fault!r}") from fault
 
 
 def encode_learned(learned: m.Learned, names: dict[int, str]) -> dict[str, Any]:
-    """With the hosts' ids in place of indices, which are this process's own."""
-    told = asdict(learned)
-    told["hosts"] = {names[host["host"]]: host for host in told["hosts"] if host["host"] in names}
-    return told
+    """Returns the measurements with hosts by id, as indices differ between processes."""
+    encoded = asdict(learned)
+    encoded["hosts"] = {names[host["host"]]: host for host in encoded["hosts"] if host["host"] in names}
+    return encoded
 
 
-def decode_learned(told: dict[str, Any], indices: dict[str, int]) -> m.Learned | None:
-    """What is not known here is left out; None where it can't be read."""
+def decode_learned(encoded: dict[str, Any], indices: dict[str, int]) -> m.Learned | None:
+    """Returns the measurements of the hosts in `indices`, or None if they can't be parsed."""
     try:
         hosts = tuple(
-            m.LearnedHost(**(host | {"host": indices[name]})) for name, host in told["hosts"].items() if name in indices
+            m.LearnedHost(**(host | {"host": indices[name]}))
+            for name, host in encoded["hosts"].items()
+            if name in indices
         )
-        return m.Learned(**(told | {"hosts": hosts}))
+        return m.Learned(**(encoded | {"hosts": hosts}))
     except (KeyError, TypeError, AttributeError):
         return None
 
 
 @dataclass(slots=True)
 class SocketCeilings:
-    """How many descriptors each of two may have; the two add up to no more than `whole` at any time."""
+    """The most sockets of each of two processes. They add up to no more than `total` at any time."""
 
     total: int
-    successor_share: int  # of the second, before the first has told its own
+    successor_share: int  # for the successor until the predecessor has written its own ceiling
 
     def alone(self) -> int:
-        """With the place that a second one starts in."""
+        """Returns the ceiling of a single process, which leaves room for a successor to start."""
         return self.total - self.successor_share
 
     def predecessor(self, current: int, used: int, ending: bool) -> int:
-        """The first one's: down to a half, or to what it has in use; at its end down with that. Never up."""
+        """Returns the ceiling of the predecessor, which never rises.
+
+        It falls to half of the total, or while ending to one socket, but not below the number in use.
+        """
         return min(current, max(used, 1 if ending else self.total // 2))
 
     def successor(self, predecessor_ceiling: int | None) -> int:
-        """The second one's, by what the first has told of its own."""
+        """Returns the ceiling of the successor, from the one that the predecessor has written."""
         return (
             self.successor_share
             if predecessor_ceiling is None
--- a/ternquay/handover/slots.py
+++ b/ternquay/handover/slots.py
@@ -1,4 +1,4 @@
-"""Two slots under the common folder: who is there, by locks that end with their process, and each one's note."""
+"""Two slots in a shared folder, one per process: a lock that ends with its process, and the process's note."""
 
 import fcntl
 import os
@@ -13,17 +13,17 @@
 
 
 class Slots:
-    """Files of one folder. Nothing here raises for what lies there: it is passed over with one line."""
+    """The files of the two slots. Once they are open, a file that can't be used is ignored with a warning."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.index = -1
+        self.index = -1  # of the slot of this process; -1: none
         self.handles = [os.open(folder / name, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600) for name in SLOT_NAMES]
-        self.other_was_held = False  # the other slot, at the last look that the system answered
-        self.last_warning = ""  # what was said last of a note that can't be used
+        self.other_was_held = False  # the other slot, when the operating system last told
+        self.last_warning = ""
 
     def acquire(self) -> bool:
-        """Takes a free slot, if there is one; it is held as long as the process lives."""
+        """Locks a free slot for the lifetime of the process. Returns False if there is none."""
         for number, handle in enumerate(self.handles):
             try:
                 fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -33,12 +33,12 @@
                 self._warn_once(f"a slot can't be locked: {fault}")
                 continue
             self.index = number
-            self._remove(self._path(number))  # of who had it before
+            self._remove(self._path(number))  # the note of its former process
             return True
         return False
 
     def other_held(self) -> bool:
-        """Whether another process holds the other slot; where the system can't tell, what it told last."""
+        """Returns whether another process holds the other slot, or the last known answer if locking fails."""
         handle = self.handles[1 - self.index]
         try:
             fcntl.flock(handle, fcntl.LOCK_SH | fcntl.LOCK_NB)
@@ -47,34 +47,34 @@
         except BlockingIOError:
             self.other_was_held = True
         except OSError as fault:
-            self._warn_once(f"the other slot can't be looked at: {fault}")
+            self._warn_once(f"the other slot can't be checked: {fault}")
         return self.other_was_held
 
     def write(self, note: Note) -> None:
-        """Whole or not at all: beside, and renamed."""
+        """Replaces the note of this process atomically, by a rename."""
         path = self._path(self.index)
         temporary = path.with_suffix(".new")
         try:
             temporary.write_bytes(encode_note(note))
             os.replace(temporary, path)
         except (OSError, InvalidNoteError) as fault:
-            self._warn_once(f"a note for the other process was not written: {fault}")
+            self._warn_once(f"the note for the other process can't be written: {fault}")
             self._remove(temporary)
 
     def read(self, since: int) -> Note | None:
-        """The other's note, if it was written after `since`."""
+        """Returns the other process's note if it was written at `since` or later."""
         try:
             with open(self._path(1 - self.index), "rb") as file:
                 note = decode_note(file.read(MAX_BODY_BYTES + 1000))
         except FileNotFoundError:
             return None
         except (OSError, InvalidNoteError) as fault:
-            self._warn_once(f"the other process's note is passed over: {fault}")
+            self._warn_once(f"the other process's note is ignored: {fault}")
             return None
         return note if note.at >= since else None
 
     def release(self) -> None:
-        """Lets go of the slot; the note goes with it."""
+        """Unlocks the slot and removes its note."""
         if self.index >= 0:
             self._remove(self._path(self.index))
         for handle in self.handles:
--- a/ternquay/net/replacement.py
+++ b/ternquay/net/replacement.py
@@ -1,7 +1,8 @@
-"""One process beside another: who is there, what the second takes over, and how much each may have meanwhile.
+"""The replacement of one process of a balancer by another: detection, the successor's takeover and shared limits.
 
-Loaded only where the platform holds the listening socket. The files and locks are handover/slots.py's, the note and
-the arithmetic handover/notes.py's; here they meet the clock, the dispatcher and the count of sockets.
+Loaded only where the platform holds the listening socket, so that two processes may run beside each other. The files
+and locks are in handover/slots.py, the format of notes and the split of limits in handover/notes.py. This module
+connects them with the clock, the dispatcher and the count of sockets.
 """
 
 from collections.abc import Callable
@@ -17,13 +18,13 @@
 from ternquay.net.limits import MS, SECOND
 from ternquay.net.sockets import Sockets
 
-POLL_INTERVAL_NS = 100 * MS  # between two looks at the other
-NOTE_TIMEOUT_NS = SECOND  # how long the second waits for the first one's note
-NOTE_REFRESH_NS = SECOND // 2  # a note with nothing new in it is written again after so long
+POLL_INTERVAL_NS = 100 * MS  # of the other process's slot and note
+NOTE_TIMEOUT_NS = SECOND  # how long a successor waits for the first note of its predecessor
+NOTE_REFRESH_NS = SECOND // 2  # an unchanged note is written again after this time
 
 
 class ReplaceableService(Protocol):
-    """The service, as far as a replacement has to do with it."""
+    """The interface of the service that Replacement uses."""
 
     reactor: Any
     dispatcher: Dispatcher
@@ -33,27 +34,31 @@
     def serves(self) -> bool: ...
 
     def peer_changed(self) -> None:
-        """The other has come, gone, or begun or ceased to serve."""
+        """Called at each poll, as the other process may have started, ended, or begun or stopped to serve."""
 
 
 class Replacement:
+    """The part of one process in a replacement, as predecessor or successor."""
+
     def __init__(self, service: ReplaceableService, folder: Path) -> None:
-        """Raises OSError where the folder can't be used."""
+        """Opens the slots. Raises OSError if the folder can't be used."""
         self.service, self.slots = service, Slots(folder)
         limits = service.dispatcher.limits
         self.ceilings = SocketCeilings(limits.sockets + limits.spare, limits.successor_sockets)
         self.other_present = self.is_successor = self.other_serves = self.ended = False
-        self.other_since = self.written_at = 0  # when the other was met; when the last note was written
-        self.last_state: tuple[Any, ...] = ()  # what it said
+        self.other_since = self.written_at = 0  # when the other process was detected; when the last note was written
+        self.last_state: tuple[Any, ...] = ()  # in the last note
         self.on_ready: Callable[[], None] | None = None
 
     def begin(self, on_ready: Callable[[], None]) -> None:
-        """Calls `on_ready` when this process may serve: it has a slot, and what the other had to tell."""
+        """Calls `on_ready` when this process may serve: it has a slot and, as a successor, the predecessor's note."""
         self.on_ready = on_ready
         if self.slots.acquire():
             self._slot_acquired()
         else:
-            logger.warning("two processes of this balancer are here already: this one waits until one has ended")
+            logger.warning(
+                "two processes of this balancer are already running: this one waits until one of them has ended"
+            )
             self.service.sockets.set_ceiling(0)
             self._later(self._retry)
 
@@ -65,30 +70,35 @@
         else:
             self._later(self._retry)
 
-    def _later(self, what: Callable[[], None]) -> None:
-        self.service.reactor.callLater(POLL_INTERVAL_NS / SECOND, what)
+    def _later(self, step: Callable[[], None]) -> None:
+        self.service.reactor.callLater(POLL_INTERVAL_NS / SECOND, step)
 
     def _slot_acquired(self) -> None:
         self.other_since = self.service.dispatcher.now()
         self.other_present = self.is_successor = self.slots.other_held()
         self._update_ceiling(None)
         if self.other_present:
-            logger.info("another process of this balancer is here, to be replaced")
+            logger.info("another process of this balancer is running and will be replaced")
             self.service.dispatcher.beside(0.5)
         self.poll()
 
     def poll(self) -> None:
+        """Exchanges notes with the other process, if there is one, and adjusts the limit on sockets."""
         if self.ended:
             return
-        # Made first, so that a fault in one look does not end them all.
+        # The next poll is scheduled first, so that an exception in one does not end them all.
         self._later(self.poll)
         service, now = self.service, self.service.dispatcher.now()
         other = self.slots.other_held()
         if other != self.other_present:
             self.other_present, self.is_successor, self.other_since = other, False, now
-            logger.info("another process of this balancer has come beside" if other else "this process is alone again")
+            logger.info(
+                "another process of this balancer has started"
+                if other
+                else "the other process of this balancer has ended"
+            )
             service.dispatcher.beside(0.5 if other else 1.0)
-        # A clock's tick early, as both may look in the same one.
+        # One clock tick earlier, as both processes may poll within the same tick.
         note = self.slots.read(self.other_since - MS) if other else None
         self._update_ceiling(note)
         if note is not None and self.is_successor:
@@ -102,7 +112,7 @@
                 if learned is not None:
                     service.dispatcher.happened(learned)
             elif self.is_successor:
-                logger.warning("the other process told nothing: this one serves by the list that it was given")
+                logger.warning("the other process wrote no note: this one serves with the configured host list")
             on_ready()
         if other:
             self._write_note(now)
@@ -110,25 +120,25 @@
         service.peer_changed()
 
     def _update_ceiling(self, note: Note | None) -> None:
-        sockets, mine = self.service.sockets, self.service.sockets.ceiling
+        sockets, current = self.service.sockets, self.service.sockets.ceiling
         if not self.other_present:
             ceiling = self.ceilings.alone()
         elif self.is_successor:
             ceiling = self.ceilings.successor(note.ceiling if note is not None else None)
             if note is None and self.last_state:
-                ceiling = mine  # what the other had told holds: it only goes down
+                ceiling = current  # the last ceiling that the predecessor wrote still holds, as it only falls
         else:
             ceiling = self.ceilings.predecessor(
-                min(mine, self.ceilings.alone()), sockets.open_count(), not self.service.serves()
+                min(current, self.ceilings.alone()), sockets.open_count(), not self.service.serves()
             )
         sockets.set_ceiling(ceiling)
 
     def _take_over_list(self, note: Note) -> None:
-        """What the other knows of the list counts as known here, if it is newer."""
+        """Applies the predecessor's host list if it is newer than this process's list."""
         discovery = self.service.discovery
-        same = note.discovery == str(discovery.address)
-        if (same and note.revision > discovery.revision) or (not same and self.on_ready is not None):
-            if same:
+        same_source = note.discovery == str(discovery.address)
+        if (same_source and note.revision > discovery.revision) or (not same_source and self.on_ready is not None):
+            if same_source:
                 discovery.revision = note.revision
             self.service.dispatcher.list_told(True, note.members)
 
@@ -153,5 +163,6 @@
         )
 
     def stop(self) -> None:
+        """Releases the slot."""
         self.ended = True
         self.slots.release()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -54,9 +54,9 @@
             decode_note(bytes(spoilt))
     with pytest.raises(InvalidNoteError, match="version"):
         decode_note(data.replace(b"handover 1", b"handover 2"))
-    with pytest.raises(InvalidNoteError, match="torn"):
+    with pytest.raises(InvalidNoteError, match="mismatch"):
         decode_note(data + b"x")
-    with pytest.raises(InvalidNoteError, match="no note"):
+    with pytest.raises(InvalidNoteError, match="not a note"):
         decode_note(b"#!/bin/sh\n")
     with pytest.raises(InvalidNoteError, match="more than"):
         encode_note(replace(NOTE, learned={"x": "y" * (1 << 20)}))
@@ -178,7 +178,7 @@
         # An older list, without one host at all: what the first knows goes before it.
         second = held.start(known={"revision": 3, "complete": True, "members": []})
         until(second.ready)
-        assert "another process of this balancer is here" in second.text() and "told nothing" not in second.text()
+        assert "another process of this balancer is running" in second.text() and "wrote no note" not in second.text()
         third = held.start()
         until(lambda: "this one waits" in third.text())
         assert call(third.at, READY) == 503 and third.process.poll() is None and says(held.listen) == b"MN\r\n"
