--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -199,7 +199,7 @@
                     pending.addCallback(self._retry_removal, name)
         for id, excess in self.sockets.reclaimable():
             if id in self.runtimes_by_id:
-                self.runtimes_by_id[id].frontend.give_back(excess)
+                self.runtimes_by_id[id].frontend.reclaim(excess)
         self._reclaim_memory()
 
     def _retry_removal(self, reply: Any, name: str) -> None:
--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -11,7 +11,7 @@
 from ternquay import model as m
 from ternquay.facts import NameTable
 from ternquay.hosted.shared.fairness import ClientLimiter, SharedCapacity
-from ternquay.hosted.shared.front import CROWDING, TenantFrontend, TenantListener, TenantSockets
+from ternquay.hosted.shared.frontend import CROWDING_SHARE, TenantFrontend, TenantListener, TenantSockets
 from ternquay.hosted.shared.scheduler import FairScheduler
 from ternquay.hosted.tenants.registry import TenantEntry
 from ternquay.hosted.tenants.shared_hosts import ListEntry, SharedHostTable
@@ -111,7 +111,7 @@
             "Tenants": [{"Name": share.name} for share in tenant.shares],
         }
     )
-    names.shares[CROWDING] = len(tenant.shares)
+    names.shares[CROWDING_SHARE] = len(tenant.shares)
     names.zones = zones
     return names
 
@@ -278,9 +278,9 @@
             self.id,
             self.client_limiter,
         )
-        self.frontend.open_most = tenant.limits.open_txs
+        self.frontend.max_open_txs = tenant.limits.open_txs
         self.frontend.gate = self._gate
-        self.frontend.fenced = (
+        self.frontend.fence_delay = (
             partial(resources.admission_delay, tenant.name) if resources.admission_delay is not None else None
         )
         self.ports: dict[Endpoint, Any] = {}
@@ -325,10 +325,10 @@
     def _apply_limits(self, tenant: Tenant) -> None:
         self.limits = connection_limits(self.resources.process, tenant)
         self.dispatcher.limits = self.pool.limits = self.frontend.limits = self.sockets.limits = self.limits
-        self.sockets.hosts_most = tenant.limits.host_connections
+        self.sockets.max_hosts = tenant.limits.host_connections
         self.loop_timing.most = self.limits.turn_duration
         self.client_limiter.change(tenant.limits.txs_a_second, tenant.limits.burst)
-        self.frontend.open_most = tenant.limits.open_txs
+        self.frontend.max_open_txs = tenant.limits.open_txs
 
     def _open_listeners(self, prepared: PreparedListeners) -> None:
         for endpoint, port in prepared.ports.items():
@@ -340,7 +340,7 @@
             port.gate(accept)
 
     def _apply_state(self, state: State) -> None:
-        self.frontend.shut = 0 if state is State.ACTIVE else self.limits.retry_after
+        self.frontend.suspended_delay = 0 if state is State.ACTIVE else self.limits.retry_after
         if state is State.ENDING and not self.ending_since:
             self.ending_since = self.dispatcher.now()
             self.close_listeners()
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -14,7 +14,7 @@
 from twisted.web.client import ResponseDone
 
 from ternquay.hosted.host import TenantHost
-from ternquay.hosted.shared.front import TenantFrontend
+from ternquay.hosted.shared.frontend import TenantFrontend
 from ternquay.hosted.tenants.registry import ReplaceTenant, SetState
 from ternquay.hosted.tenants.runtime import PreparedListeners, ProcessConfig
 from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, State
@@ -101,10 +101,10 @@
     net = HostedNet()
     writes, silent = net.rests(), net.rests()
     writes.unread = b"m"
-    net.frontend.give_back(1)
+    net.frontend.reclaim(1)
     net.run(1)
     assert silent.lost and not writes.lost
-    net.frontend.give_back(1)
+    net.frontend.reclaim(1)
     net.run(1)
     assert not writes.lost
 
@@ -118,7 +118,7 @@
     waits.feed(mg(1))
     assert not begun(net) and not net.reactor.tcpClients, "it waits for its turn"
     if way == "given back":
-        net.frontend.give_back(1)
+        net.frontend.reclaim(1)
     elif way == "leave":
         net.frontend.leave()
     elif way == "shed":
@@ -283,7 +283,7 @@
     net.reactor.advance(0.01)
     waits = net.client()
     waits.feed(mg(1))
-    assert waits.protocol.waits and not begun(net)
+    assert waits.protocol.waiting and not begun(net)
     net.runtime.resources.scheduler.scheduled_run.cancel()  # its turn does not come for 6 s
     for _ in range(6):
         net.reactor.advance(1.0)
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -189,10 +189,10 @@
         assert not connects(other)  # bound for it, and not left behind
         after = host.registry.with_change(CreateTenant(norte))
         host.apply(after, "norte", host.prepare(after, "norte"))
-    assert connects(norte.listeners[0]) and connects(one.listeners[0]) and tenancy.frontend.open_most != 7
+    assert connects(norte.listeners[0]) and connects(one.listeners[0]) and tenancy.frontend.max_open_txs != 7
     after = host.registry.with_change(SetState("sur", State.SUSPENDED))
     host.apply(after, "sur", host.prepare(after, "sur"))
-    assert tenancy.frontend.open_most == 7 and tenancy.frontend.shut and host.registry.version == 4
+    assert tenancy.frontend.max_open_txs == 7 and tenancy.frontend.suspended_delay and host.registry.version == 4
     over(host)
 
 
