--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -199,7 +199,7 @@
                     pending.addCallback(self._retry_removal, name)
         for id, excess in self.sockets.reclaimable():
             if id in self.runtimes_by_id:
-                self.runtimes_by_id[id].frontend.give_back(excess)
+                self.runtimes_by_id[id].frontend.reclaim(excess)
         self._reclaim_memory()
 
     def _retry_removal(self, reply: Any, name: str) -> None:
@@ -428,7 +428,7 @@
 def run(service: ServiceConfig) -> None:
     """Serves until SIGTERM or SIGINT. Raises ServiceConfigError if the service can't start."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until a reload is possible; SIGHUP must never end the process
-    logs.begin(service.log.json, service.log.level)
+    logs.configure(service.log.json, service.log.level)
     library_log.install()
     reactor = MonotonicReactor()
     installReactor(reactor)
