--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -444,7 +444,7 @@
         try:
             commit = commit_of(_change.decode(body))
             name = commit.record.tenant
-            if commit.entry is None and name in self.host.runtimes and not self.host.runtimes[name].over():
+            if commit.entry is None and name in self.host.runtimes and not self.host.runtimes[name].has_ended():
                 raise InvalidField("state", "transactions of it are still open")
             self._drop_prepared()
             self.prepared[at] = name, self.host.prepare(self._registry_after(commit), name)
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -32,7 +32,7 @@
 from tests.test_hosted_parts import SMALL
 from tests.test_registry import tenant
 from tests.test_review_links import free, serving, told, until
-from tests.test_store import CALLS, NONE, answer, call, keeper, whole
+from tests.test_store import CALLS, UNLIMITED, answer, call, keeper, whole
 
 # ---- COMMIT that raises ----
 
@@ -153,7 +153,7 @@
     """Closes what the test has bound; the library does so in a turn of its own."""
     host.runtimes_by_id.clear()  # as none of them is told what becomes of the others
     for tenancy in host.runtimes.values():
-        tenancy.end()
+        tenancy.remove()
     host.reactor.advance(0.01)
 
 
@@ -177,11 +177,11 @@
 ) -> None:
     one = listening("sur")
     host = hosts(Registry().with_change(CreateTenant(one)), tmp_path)
-    host.begin()
+    host.start()
     tenancy, norte, other = host.runtimes["sur"], listening("norte", 2), place(free_place("127.0.0.1"))
     limits: TenantLimits = replace(SMALL, open_txs=7)
     with monkeypatch.context() as broken:
-        broken.setattr(tenancy, "_limited", lambda tenant: 1 / 0)
+        broken.setattr(tenancy, "_apply_limits", lambda tenant: 1 / 0)
         after = host.registry.with_change(ReplaceTenant(replace(one, limits=limits, listeners=(*one.listeners, other))))
         with pytest.raises(ZeroDivisionError):
             host.apply(after, "sur", host.prepare(after, "sur"))
@@ -189,10 +189,10 @@
         assert not connects(other)  # bound for it, and not left behind
         after = host.registry.with_change(CreateTenant(norte))
         host.apply(after, "norte", host.prepare(after, "norte"))
-    assert connects(norte.listeners[0]) and connects(one.listeners[0]) and tenancy.frontend.open_most != 7
+    assert connects(norte.listeners[0]) and connects(one.listeners[0]) and tenancy.frontend.max_open_txs != 7
     after = host.registry.with_change(SetState("sur", State.SUSPENDED))
     host.apply(after, "sur", host.prepare(after, "sur"))
-    assert tenancy.frontend.open_most == 7 and tenancy.frontend.shut and host.registry.version == 4
+    assert tenancy.frontend.max_open_txs == 7 and tenancy.frontend.suspended_delay and host.registry.version == 4
     over(host)
 
 
@@ -202,14 +202,14 @@
 def test_a_tenant_ends_while_a_connection_to_its_cache_host_is_being_made(tmp_path: Path) -> None:
     one = listening("sur", servers=(Server("one", Endpoint("127.0.1.1", 11211)),))
     host = hosts(Registry().with_change(CreateTenant(one)), tmp_path)
-    host.begin()
+    host.start()
     tenancy = host.runtimes["sur"]
     tenancy.pool._connect(next(iter(tenancy.pool.hosts.values())))
     assert host.reactor.tcpClients and host.sockets.total_used == 1
     host.change(SetState("sur", State.ENDING))
     host.change(RemoveTenant("sur"))
     assert not host.runtimes and not host.runtimes_by_id and host.sockets.total_used == 0
-    assert tenancy.id not in host.scheduler.queues and tenancy.id not in host.common.shared_hosts.lists
+    assert tenancy.id not in host.scheduler.queues and tenancy.id not in host.resources.shared_hosts.lists
     connector = host.reactor.connectors[0]
     assert connector.stoppedConnecting
     over(host)
@@ -225,7 +225,7 @@
         return asked[-1]
 
     host.remove = remove
-    host.begin()
+    host.start()
     host.reactor.advance(1)
     assert len(asked) == 1
     asked[0].callback(Reply(507))
@@ -241,11 +241,11 @@
 def test_a_change_that_ends_after_the_service_was_told_to_end_opens_no_listener(tmp_path: Path) -> None:
     one = listening("sur")
     host = hosts(Registry(), tmp_path)
-    host.begin()
+    host.start()
     host.reactor.running = True
     after = host.registry.with_change(CreateTenant(one))
     prepared = host.prepare(after, "sur")
-    host.end()
+    host.shut_down()
     host.apply(after, "sur", prepared)
     host.reactor.advance(0.01)
     assert host.registry.version == 1 and not host.runtimes
@@ -268,12 +268,12 @@
     one = keeper(tmp_path / "x.db")
     held, replies = held_store(one), []
     for n in range(3):
-        asked = call("POST", "/v1/tenants", document(f"t{n}", f"127.0.0.1:{7000 + n}", limits=NONE))
+        asked = call("POST", "/v1/tenants", document(f"t{n}", f"127.0.0.1:{7000 + n}", limits=UNLIMITED))
         one.call(asked).addCallback(lambda reply, n: replies.append((n, reply.status)), n)
     assert replies == [] and len(held) == 1
     one.end()
     assert replies == [(1, 503), (2, 503)]
-    late = call("POST", "/v1/tenants", document("t9", "127.0.0.1:7009", limits=NONE))
+    late = call("POST", "/v1/tenants", document("t9", "127.0.0.1:7009", limits=UNLIMITED))
     one.call(late).addCallback(lambda reply: replies.append((9, reply.status)))
     assert replies[2:] == [(9, 503)]
     held.pop().callback(None)
@@ -316,7 +316,7 @@
     assert len(read_service(file).registry.tenants) == 2
     reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
     running = ServiceProcess(reactor, read_service(file))
-    running.begin()
+    running.start()
     before, lines = whole(running.host.registry), []
     handler = logger.add(lambda line: lines.append(line.record["extra"].get("cause")), level="ERROR")
     cuts = range(len(text) - 1)
@@ -343,7 +343,7 @@
         process = one.process
         assert process is not None
         # Told again and again, as until the loop runs it is not heeded.
-        until(lambda: again(process) and b"waits for the next start" in one.log.read_bytes())
+        until(lambda: again(process) and b"takes effect at the next start" in one.log.read_bytes())
         assert one.call("GET", "/v1/tenants").status == 200
         one.file.write_text(whole_file)
     finally:
@@ -452,10 +452,10 @@
             client.recv(1000)
         if point == POINTS[4]:
             process.send_signal(signal.SIGTERM)
-            until(lambda: b"told to end" in (tmp_path / "log").read_bytes())
+            until(lambda: b"shutdown requested" in (tmp_path / "log").read_bytes())
         if point == POINTS[5]:
             process.send_signal(signal.SIGHUP)
-            until(lambda: b"read the configuration again" in (tmp_path / "log").read_bytes())
+            until(lambda: b"configuration reloaded" in (tmp_path / "log").read_bytes())
         process.kill()
         process.wait()
         before = list(host.ids)
@@ -504,7 +504,7 @@
             process.send_signal(number)
         assert client.recv(99) == b"SERVER_ERROR failed\r\n"
         assert process.wait(10) == 0
-        assert (tmp_path / "log").read_text().count("told to end") == 1
+        assert (tmp_path / "log").read_text().count("shutdown requested") == 1
     host.end()
 
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -10,8 +10,8 @@
 
 from ternquay import model as m
 from ternquay.balance import MS, RANGE_FRACTION_DOWN_PER_SECOND, Balancer
-from ternquay.facts import Names, read_start
-from ternquay.handover.notes import learned_read, learned_text
+from ternquay.facts import NameTable, parse_deployment
+from ternquay.handover.notes import decode_learned, encode_learned
 from ternquay.rig.contender import Contender
 from ternquay.rig.judge import judge
 from ternquay.rig.laws.cachehost import Ask
@@ -21,7 +21,7 @@
 from ternquay.rig.terms import read_day
 from ternquay.wirehost.serve import Instance
 
-from .helper import FACTS, Play, line
+from .helper import FACTS, Scenario, listed_host
 
 LIVE: dict[str, Any] = {"weight_mode": m.WeightMode.LIVE}
 SIZES = (0.5, 1.0, 1.5)
@@ -30,22 +30,23 @@
 def live(held: dict[int, float], hosts: int = 6, zones: int = 1) -> list[m.ListedHost]:
     """The list as it stands when host n, of kind n % 3 and its size, holds so many a core."""
     return [
-        replace(line(h, kind=h % 3), zone=h % zones, weight=SIZES[h % 3] / (1 + held.get(h, 0.0))) for h in range(hosts)
+        replace(listed_host(h, kind=h % 3), zone=h % zones, weight=SIZES[h % 3] / (1 + held.get(h, 0.0)))
+        for h in range(hosts)
     ]
 
 
-def fleet(hosts: int = 6, zones: int = 1, **terms: Any) -> Play:
-    p = Play(0, **(LIVE | terms))
+def fleet(hosts: int = 6, zones: int = 1, **terms: Any) -> Scenario:
+    p = Scenario(0, **(LIVE | terms))
     p.list(*live({}, hosts, zones), whole=True)
     return p
 
 
-def homes(p: Play, keys: int = 60, ends: m.HopOutcome = m.HopOutcome.DONE) -> list[int]:
+def homes(p: Scenario, keys: int = 60, ends: m.HopOutcome = m.HopOutcome.DONE) -> list[int]:
     found = []
     for n in range(keys):
         tx = p.arrive(f"k{n}")
         found.append(p.hops[tx][0])
-        p.end(tx, ends)
+        p.end_hop(tx, ends)
         p.run(5)
     return found
 
@@ -62,7 +63,7 @@
 
 
 def test_a_larger_host_has_more_keys_and_a_balancer_that_starts_late_has_the_same_homes() -> None:
-    p, late = fleet(12), Play(0, **LIVE)
+    p, late = fleet(12), Scenario(0, **LIVE)
     drawn = Random(2)
     for n in range(20):  # it starts while most hold some
         late.list(*live({h: drawn.choice((0.0, 0.4, 1.9)) for h in range(12)}, 12), whole=not n)
@@ -114,7 +115,7 @@
     assert 0 < len(kept) < before.count(0) / 2 and p.balancer.hosts[0].range_fraction == pytest.approx(0.2)
     for _ in range(60):
         p.run(1000)
-        p.end(p.arrive("k1"), m.HopOutcome.DONE)
+        p.end_hop(p.arrive("k1"), m.HopOutcome.DONE)
     assert p.balancer.hosts[0].range_fraction == 1.0 and homes(p, 400) == before
 
 
@@ -171,26 +172,26 @@
     ],
 )
 def test_a_report_that_is_odd_counts_as_not_told(row: Any, report: m.LoadReport | None) -> None:
-    assert Names(FACTS | REPORT).report(row) == report
+    assert NameTable(FACTS | REPORT).parse_report(row) == report
 
 
 def test_names_that_are_not_known_are_passed_over_and_without_a_source_there_are_none() -> None:
     told = {"Source": "answers", "Names": ["brightness", "concurrent", "tps", "err_ps"]}
-    assert Names(FACTS | {"LoadReport": told}).report([9, 3, 8, 1]) == m.LoadReport(
+    assert NameTable(FACTS | {"LoadReport": told}).parse_report([9, 3, 8, 1]) == m.LoadReport(
         active=3.0, errors_per_second=1.0, completed_per_second=8.0
     )
     for source in ("probe", "none"):
-        assert Names(FACTS | {"LoadReport": told | {"Source": source}}).report([9, 3, 8, 1]) is None
-    assert Names(FACTS).report([1]) is None
+        assert NameTable(FACTS | {"LoadReport": told | {"Source": source}}).parse_report([9, 3, 8, 1]) is None
+    assert NameTable(FACTS).parse_report([1]) is None
 
 
 def test_late_stuck_zero_and_missing_reports_end_nothing_and_blame_nobody() -> None:
-    names, p = Names(FACTS | REPORT), fleet()
+    names, p = NameTable(FACTS | REPORT), fleet()
     before, drawn = homes(p), Random(3)
     rows: list[Any] = [[5.0, 40.0, 0.5], [5.0, 40.0, 0.5], [0, 0, 0], None, [None] * 3, [1.0], "x"]
     for n in range(210):
         tx = p.arrive(f"k{n % 60}")
-        p.feed("", m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.report(drawn.choice(rows))))
+        p.feed("", m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.parse_report(drawn.choice(rows))))
         p.run(5)
     p.list(*live({}))
     assert homes(p) == before
@@ -199,7 +200,7 @@
     for n, row in enumerate(rows):
         tx = p.arrive(f"k{n}")
         said = f"hop {tx}.0 ends DONE, report {row}"
-        p.feed(said, m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.report(row)))
+        p.feed(said, m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.parse_report(row)))
         p.run(300)
     p.list(*live({2: 30.0}))
     p.trace.append(f"rooms {[round(h.range_fraction, 2) for h in p.balancer.ready]}")
@@ -209,12 +210,12 @@
 def test_the_adapter_hands_on_weights_and_reports() -> None:
     instance = Instance(7, FACTS | REPORT | {"Weights": "live"})
     record = {"Host": "10.0.0.1:80", "Locality": "a", "ClassOfHost": "k", "Block": 0, "Availability": "IN"}
-    assert [x.weight for x in instance.lines([record, record | {"CapacityHint": 0.25}])] == [0.0, 0.25]
-    instance.arrival({"Corr": "t", "Type": "read", "Subject": "a", "Ttl": 9000})
+    assert [x.weight for x in instance.listed_hosts([record, record | {"CapacityHint": 0.25}])] == [0.0, 0.25]
+    instance.decode_arrival({"Corr": "t", "Type": "read", "Subject": "a", "Ttl": 9000})
     told = {"Corr": "t", "Trial": 0, "StateCode": "done", "Took": 5, "Ended": True, "Stats": [1, 20, 0.9]}
-    ended = instance.reply(told)
+    ended = instance.decode_reply(told)
     assert isinstance(ended, m.HopEnded) and ended.report == m.LoadReport(active=1.0, service_time=20_000_000.0)
-    ended = instance.reply(told | {"Stats": None})
+    ended = instance.decode_reply(told | {"Stats": None})
     assert isinstance(ended, m.HopEnded) and ended.report is None
 
 
@@ -241,11 +242,11 @@
 @pytest.mark.parametrize(("change", "named"), ODD)
 def test_an_odd_setting_is_named(change: dict[str, Any], named: str) -> None:
     with pytest.raises(ValueError, match=f"^{named}:"):
-        read_start(1, FACTS | change)
+        parse_deployment(1, FACTS | change)
 
 
 def test_without_the_new_settings_all_is_as_before() -> None:
-    start = read_start(1, FACTS)
+    start = parse_deployment(1, FACTS)
     assert (start.weight_mode, start.zone, start.cross_zone_price) == (m.WeightMode.NONE, -1, 0.0)
     assert not Balancer(start).prefer_own_zone
 
@@ -261,12 +262,12 @@
     for n in range(400):
         tx = near.arrive(f"k{n % 60}")
         if near.hops.get(tx):
-            near.end(tx, m.HopOutcome.DONE, took=2000 if near.hops[tx][0] % 2 else 20)
+            near.end_hop(tx, m.HopOutcome.DONE, took=2000 if near.hops[tx][0] % 2 else 20)
         near.run(50)
     strained = near.balancer.own_zone_fraction
     assert strained < 0.8
     for n in range(2000):
-        near.end(near.arrive(f"k{n % 60}"), m.HopOutcome.DONE)
+        near.end_hop(near.arrive(f"k{n % 60}"), m.HopOutcome.DONE)
         near.run(20)
     assert near.balancer.own_zone_fraction == 1.0 and {home % 2 for home in homes(near)} == {1}
 
@@ -280,10 +281,10 @@
 # ---- late reads ----
 
 
-def aside(**terms: Any) -> Play:
-    p = Play(4, origin=True, **terms)
+def aside(**terms: Any) -> Scenario:
+    p = Scenario(4, origin=True, **terms)
     for n in range(40):
-        p.end(p.arrive(f"k{n}"), m.HopOutcome.DONE)
+        p.end_hop(p.arrive(f"k{n}"), m.HopOutcome.DONE)
         p.run(5)
     p.trace.clear()
     return p
@@ -293,7 +294,7 @@
     p = aside()
     p.arrive("k1")
     p.run(400)
-    p.end(p.tx, m.HopOutcome.DONE, hop=1)
+    p.end_hop(p.last_tx, m.HopOutcome.DONE, hop=1)
     p.arrive("k2", profile=1)  # a write is there already
     p.run(400)
     p.balancer.origin_limit = 2.0
@@ -304,7 +305,7 @@
 
 
 def test_a_late_read_is_left_alone_where_cache_hosts_fetch() -> None:
-    p = Play(4)
+    p = Scenario(4)
     homes(p, 40)
     tx = p.arrive("k1")
     p.run(400)
@@ -359,14 +360,14 @@
 
 
 def test_who_takes_over_from_another_process_has_its_homes_at_once() -> None:
-    p, second = fleet(), Play(0, **LIVE)
+    p, second = fleet(), Scenario(0, **LIVE)
     p.run(1000)
     p.list(*live({0: 20.0}))
     before = homes(p)
     second.list(*live({h: 1.0 for h in range(6)}), whole=True)
     assert {h.weight for h in second.balancer.ready} == {0.25, 0.5, 0.75}
     names = {h.index: f"host-{h.index}" for h in p.balancer.ready}
-    told = learned_read(learned_text(p.balancer.learned(), names), {name: n for n, name in names.items()})
+    told = decode_learned(encode_learned(p.balancer.learned(), names), {name: n for n, name in names.items()})
     assert told is not None
     second.feed("", told)
     second.list(*live({h: 1.0 for h in range(6)}))
