--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -148,23 +148,23 @@
     def __init__(
         self,
         reactor: Any,
-        fellows: FleetConfig,
+        config: FleetConfig,
         host: Any,
         stored: Any,
         store: FleetStore,
         boot: BootState,
         clock: Callable[[], int] = clock,
     ) -> None:
-        self.reactor, self.fellows, self.host, self.stored, self.store = reactor, fellows, host, stored, store
+        self.reactor, self.config, self.host, self.stored, self.store = reactor, config, host, stored, store
         self.clock, self.random = clock, Random()
-        self.timing = Timing.for_lease(fellows.lease_ns, fellows.serve_without_majority)
-        self.outcome_timeout_seconds = OUTCOME_TIMEOUT_SECONDS + 3 * fellows.lease_ns / SECOND
-        others = {name: place for name, place in fellows.endpoints.items() if name != fellows.own_name}
+        self.timing = Timing.for_lease(config.lease_ns, config.serve_without_majority)
+        self.outcome_timeout_seconds = OUTCOME_TIMEOUT_SECONDS + 3 * config.lease_ns / SECOND
+        others = {name: endpoint for name, endpoint in config.endpoints.items() if name != config.own_name}
         self.peer_table = PeerTable(tuple(others), SUSPECT_AFTER_NS)
         self.links = Links(
             reactor,
-            (fellows.listen.host, fellows.listen.port),
-            {name: (place.host, place.port) for name, place in others.items()},
+            (config.listen.host, config.listen.port),
+            {name: (endpoint.host, endpoint.port) for name, endpoint in others.items()},
             self._on_frame,
             self.random,
         )
@@ -194,14 +194,14 @@
         now = self.clock()
         self._drop_prepared()
         self.boot, self.identity = boot, boot.identity
-        self.me = Member(self.fellows.own_name, boot.disk_id)
+        self.me = Member(self.config.own_name, boot.disk_id)
         self.core = Core(self.me, boot.state, self.timing, self.random, boot.boot_id, now)
         self.durable = DurableState(
             boot.state.term, bool(boot.state.voted_for), boot.state.log.last_term, boot.state.log.last_index
         )
         empty = self.identity is None and not boot.registry_from_fleet and not self.core.log.last_index
         self.bootstrap = (
-            Bootstrap(self.me, tuple(self.fellows.endpoints), self.agreed_registry.version) if empty else None
+            Bootstrap(self.me, tuple(self.config.endpoints), self.agreed_registry.version) if empty else None
         )
         self._update_held_tenants()
 
@@ -213,9 +213,9 @@
             self.links.start()
         except CannotListenError as fault:
             raise InvalidField(
-                "peers.members", f"{self.fellows.own_name}: can't be bound: {fault.socketError}"
+                "peers.members", f"{self.config.own_name}: can't be bound: {fault.socketError}"
             ) from fault
-        count = len(self.fellows.endpoints)
+        count = len(self.config.endpoints)
         if count % 2 == 0 or count == 1:
             logger.warning(
                 "{} members tolerate the loss of {}, as {} would", count, (count - 1) // 2, max(1, count - 1)
@@ -286,7 +286,7 @@
         return seal(
             Frame(
                 FRAME_VERSION,
-                self.fellows.fleet,
+                self.config.fleet,
                 fleet_id,
                 self.me.name,
                 self.me.disk_id,
@@ -296,14 +296,14 @@
                 kind,
                 body,
             ),
-            self.fellows.key,
+            self.config.key,
         )
 
     def _on_frame(self, text: bytes) -> bool:
         """Handles a frame and returns whether it came from a member. Never raises, whatever the bytes are."""
         fleet_id = self.identity.fleet_id if self.identity is not None else ""
         try:
-            frame = open_frame(text, self.fellows.key, self.fellows.fleet, self.me.name, fleet_id)
+            frame = open_frame(text, self.config.key, self.config.fleet, self.me.name, fleet_id)
             self.peer_table.record(frame, self.clock())
         except FrameRejected as rejected:
             self.links.drop_counts[str(rejected)] += 1
@@ -540,9 +540,9 @@
         if self.stopped:
             return
         self.unappliable, registry = "", self.agreed_registry
-        for name in sorted({*registry.tenants, *self.host.tenancies}):
-            tenancy = self.host.tenancies.get(name)
-            if registry.tenants.get(name) == (tenancy.entry if tenancy is not None else None):
+        for name in sorted({*registry.tenants, *self.host.runtimes}):
+            runtime = self.host.runtimes.get(name)
+            if registry.tenants.get(name) == (runtime.entry if runtime is not None else None):
                 continue
             try:
                 self.host.apply(registry, name, self.host.prepare(registry, name))
@@ -593,8 +593,8 @@
             elif isinstance(job, MarkApplied):
                 if job.change is not None and job.change.reply is not None:
                     self.pending_answers.pop((job.change.reply.who, job.change.reply.key_digest), None)
-                if job.index - self.core.log.base_index >= self.fellows.retained_log_entries * 5 // 4:
-                    self._compact(job.index - self.fellows.retained_log_entries)
+                if job.index - self.core.log.base_index >= self.config.retained_log_entries * 5 // 4:
+                    self._compact(job.index - self.config.retained_log_entries)
         if number:
             self.core.write_completed(number, self.clock())
             self._drive()
@@ -677,7 +677,7 @@
         if self.was_leader and not self.core.is_leader():
             # By then it is mostly known whether the next leader continues the proposal; if not, the client retries.
             for key in self.waiters:
-                self.reactor.callLater(self.fellows.lease_ns / SECOND, self._give_up, key)
+                self.reactor.callLater(self.config.lease_ns / SECOND, self._give_up, key)
         self.was_leader = self.core.is_leader()
         for leader, reply in list(self.forwarded.values()):
             if self.core.leader not in ("", leader):
@@ -698,7 +698,7 @@
         reply: Deferred[Reply] = Deferred()
         self.forwarded[id] = leader, reply
         # A lost message is not sent again: the client repeats the call with its idempotency key and gets the outcome.
-        timer = self.reactor.callLater(1 + self.fellows.lease_ns / SECOND, reply.callback, OUTCOME_UNKNOWN)
+        timer = self.reactor.callLater(1 + self.config.lease_ns / SECOND, reply.callback, OUTCOME_UNKNOWN)
 
         def over(reply: Reply) -> Reply:
             self.forwarded.pop(id, None)
@@ -759,7 +759,7 @@
         membership = self.core.membership()
         disks = {one.name: one.disk_id for one in membership.members}
         rows = []
-        for name in sorted({*self.fellows.endpoints, *disks}):
+        for name in sorted({*self.config.endpoints, *disks}):
             is_self, ping = name == self.me.name, self.pings.get(name)
             reason = self.refusal_reason() if is_self else ping.refusal_reason if ping else ""
             rows.append(
@@ -777,7 +777,7 @@
             )
         open_proposal = self.core.log.open_proposal()
         return {
-            "fleet": self.fellows.fleet,
+            "fleet": self.config.fleet,
             "me": self.me.name,
             "leader": self.core.leader,
             "term": self.core.term,
@@ -786,8 +786,8 @@
             "committed": self.core.commit_index,
             "under_way": bool(open_proposal),
             "waits_for": self.core.waiting_for(now) if self.is_leader() else [],
-            "alone": "go-on" if self.fellows.serve_without_majority else "stop",
-            "lease_ms": self.fellows.lease_ns // MS,
+            "alone": "go-on" if self.config.serve_without_majority else "stop",
+            "lease_ms": self.config.lease_ns // MS,
             "members": rows,
             "out": list(membership.removed),
             "dropped": dict(sorted(self.links.drop_counts.items())),
