--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -1,4 +1,4 @@
-"""A member's driver by itself, with a disk that only takes down what it is given."""
+"""A single FleetMember, with a disk that only records what it is asked to write."""
 
 from pathlib import Path
 from types import SimpleNamespace
@@ -18,6 +18,8 @@
 
 
 class Disk:
+    """Records the batches of jobs; no write ever completes by itself."""
+
     def __init__(self) -> None:
         self.batches: list[list[Any]] = []
 
@@ -27,51 +29,51 @@
 
 
 def member(folder: Path, disk: Disk, names: str = "a") -> FleetMember:
-    places = {name: Endpoint("127.0.0.1", 9000 + n) for n, name in enumerate(names)}
-    fellows = FleetConfig("f", "a", places, places["a"], b"k" * 32, 10**9, False, "", 64)
+    endpoints = {name: Endpoint("127.0.0.1", 9000 + n) for n, name in enumerate(names)}
+    config = FleetConfig("f", "a", endpoints, endpoints["a"], b"k" * 32, 10**9, False, "", 64)
     store = FleetStore(folder / "registry.db")
     host: Any = SimpleNamespace(registry=Registry(), runtimes={})
-    return FleetMember(Clock(), fellows, host, disk, store, store.begin_boot(), lambda: 10**10)
+    return FleetMember(Clock(), config, host, disk, store, store.begin_boot(), lambda: 10**10)
 
 
-def test_a_fleet_is_founded_on_disk_in_one_step(tmp_path: Path) -> None:
-    """A member that died between the writes of the fleet's id and of its membership could never take part again."""
+def test_a_bootstrap_is_written_in_one_transaction(tmp_path: Path) -> None:
+    """A member that died between writing the fleet's id and its membership could never take part again."""
     disk = Disk()
-    one = member(tmp_path, disk)
-    one._try_bootstrap()
+    fleet = member(tmp_path, disk)
+    fleet._try_bootstrap()
     assert [type(job) for job in disk.batches[0]][:2] == [FleetIdentity, Write]
-    one.store.execute(disk.batches[0])
-    boot = one.store.begin_boot()
+    fleet.store.execute(disk.batches[0])
+    boot = fleet.store.begin_boot()
     assert boot.identity is not None and boot.state.log.base_membership.names() == ("a",)
 
 
-def test_what_can_not_be_read_is_taken_by_no_longer_nor_passed_over(tmp_path: Path) -> None:
-    """As a change by a later version of the program: nothing is taken, and nothing behind it counts as applied."""
+def test_a_change_that_cannot_be_decoded_stops_service_and_is_not_skipped(tmp_path: Path) -> None:
+    """After a change by a later version of the program the member serves nothing and applies no later change."""
     disk = Disk()
-    one = member(tmp_path, disk)
-    one._try_bootstrap()
-    one.core.lease_until = 10**12
-    assert one.admission_delay("sur") == 0
+    fleet = member(tmp_path, disk)
+    fleet._try_bootstrap()
+    fleet.core.lease_until = 10**12
+    assert fleet.admission_delay("sur") == 0
     good = msgspec.msgpack.encode(Change("sur", 1, 1, "w", "gone", b"{}", None, None, None))
-    one._on_outcome(Outcome(5, 4, 1, b"\xc1 nothing", True, Rejection()))
-    assert one.admission_delay("sur") > 0 and "can't be read" in one.refusal_reason()
-    one._adopt_registry()  # as a timer from before may
-    one._on_outcome(Outcome(7, 6, 1, good, True, Rejection()))
-    assert one.admission_delay("sur") > 0
-    assert not [job for batch in [*disk.batches, one.jobs] for job in batch if isinstance(job, MarkApplied)]
+    fleet._on_outcome(Outcome(5, 4, 1, b"\xc1 nothing", True, Rejection()))
+    assert fleet.admission_delay("sur") > 0 and "can't be read" in fleet.refusal_reason()
+    fleet._adopt_registry()  # as a pending retry timer may do
+    fleet._on_outcome(Outcome(7, 6, 1, good, True, Rejection()))
+    assert fleet.admission_delay("sur") > 0
+    assert not [job for batch in [*disk.batches, fleet.jobs] for job in batch if isinstance(job, MarkApplied)]
 
 
-def test_the_change_log_is_read_once_all_that_is_in_force_is_on_disk(tmp_path: Path) -> None:
-    """Read while a hundred changes were still to be written, it told their version and none of their lines."""
+def test_the_change_log_is_read_once_everything_in_force_is_on_disk(tmp_path: Path) -> None:
+    """Read while a hundred changes were still to be written, the log returned their version without their lines."""
     disk = Disk()
-    one = member(tmp_path, disk)
-    one._try_bootstrap()
-    told: list[None] = []
-    one.when_flushed().addCallback(told.append)
+    fleet = member(tmp_path, disk)
+    fleet._try_bootstrap()
+    fired: list[None] = []
+    fleet.when_flushed().addCallback(fired.append)
     for at in range(10):
-        assert told == [] or not one.jobs
+        assert fired == [] or not fleet.jobs
         if at < len(disk.batches):
-            one._on_written(None, disk.batches[at])
-    assert told == [None] and not one.jobs
-    one.when_flushed().addCallback(told.append)
-    assert len(told) == 2
+            fleet._on_written(None, disk.batches[at])
+    assert fired == [None] and not fleet.jobs
+    fleet.when_flushed().addCallback(fired.append)
+    assert len(fired) == 2
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Frames, members and founding by themselves, and the peers' section of the file."""
+"""Frames, the table of peers and the bootstrap of a fleet, and the peers section of the configuration file."""
 
 from pathlib import Path
 from random import Random
@@ -27,38 +27,41 @@
 )
 
 
-def dropped(text: bytes, **terms: str) -> str:
-    told = {"fleet": "f", "me": "b", "fleet_id": "id"} | terms
+def rejection_of(text: bytes, **terms: str) -> str:
+    """The reason for which the frame is rejected."""
+    arguments = {"fleet": "f", "me": "b", "fleet_id": "id"} | terms
     with pytest.raises(FrameRejected) as found:
-        open_frame(text, KEY, **told)
+        open_frame(text, KEY, **arguments)
     return str(found.value)
 
 
-def test_a_frame_is_taken_whole_or_dropped_for_a_reason() -> None:
+def test_a_frame_is_accepted_unchanged_or_rejected_with_a_reason() -> None:
     text = seal(FRAME, KEY)
     assert open_frame(text, KEY, "f", "b", "id") == open_frame(text, KEY, "f", "b", "") == FRAME
-    assert dropped(seal(FRAME, OTHER)) == "digest"
-    assert dropped(text, fleet="g") == "fleet" and dropped(text, fleet_id="other") == "fleet"
-    assert dropped(text, me="c") == "address" and dropped(text, me="a") == "address"
-    assert dropped(b"") == dropped(text[:DIGEST_BYTES]) == dropped(b"x" * (MAX_FRAME_BYTES + 1)) == "size"
-    assert dropped(seal(msgspec.structs.replace(FRAME, version=2), KEY)) == "version"
+    assert rejection_of(seal(FRAME, OTHER)) == "digest"
+    assert rejection_of(text, fleet="g") == "fleet" and rejection_of(text, fleet_id="other") == "fleet"
+    assert rejection_of(text, me="c") == "address" and rejection_of(text, me="a") == "address"
+    assert (
+        rejection_of(b"") == rejection_of(text[:DIGEST_BYTES]) == rejection_of(b"x" * (MAX_FRAME_BYTES + 1)) == "size"
+    )
+    assert rejection_of(seal(msgspec.structs.replace(FRAME, version=2), KEY)) == "version"
     for at in range(len(text)):
-        assert dropped(text[:at] + bytes([text[at] ^ 1]) + text[at + 1 :]) == "digest"
+        assert rejection_of(text[:at] + bytes([text[at] ^ 1]) + text[at + 1 :]) == "digest"
 
 
-def test_what_has_a_digest_and_is_no_frame_ends_nothing() -> None:
+def test_authenticated_bytes_that_are_no_frame_are_rejected() -> None:
     import hmac
 
-    drawn = Random(3)
+    random = Random(3)
     for n in range(300):
-        body = drawn.randbytes(drawn.randrange(1, 60)) if n % 2 else msgspec.msgpack.encode([1, "f", n, {}])
+        body = random.randbytes(random.randrange(1, 60)) if n % 2 else msgspec.msgpack.encode([1, "f", n, {}])
         text = hmac.digest(KEY, body, "sha256")[:DIGEST_BYTES] + body
-        assert dropped(text) in ("form", "version")
+        assert rejection_of(text) in ("form", "version")
         with pytest.raises(ValueError):
             decode_message(body)
 
 
-def heard(peers: PeerTable, boot: int, durable: DurableState, disk: str = "disk", now: int = 0) -> str:
+def recorded(peers: PeerTable, boot: int, durable: DurableState, disk: str = "disk", now: int = 0) -> str:
     frame = msgspec.structs.replace(FRAME, boot_id=boot, durable=durable, disk_id=disk)
     try:
         peers.record(frame, now)
@@ -67,40 +70,42 @@
     return ""
 
 
-def test_a_disk_that_holds_less_than_it_told_is_set_back_and_a_start_that_is_over_is_not_heard() -> None:
+def test_rolled_back_disks_and_superseded_starts_are_rejected() -> None:
     peers, boot = PeerTable(("a",), 100), [n << BOOT_RANDOM_BITS | n for n in range(9)]
-    assert heard(peers, boot[1], DurableState(3, False, 2, 10)) == ""
-    assert heard(peers, boot[1], DurableState(2, False, 2, 9)) == ""  # of one start: a message that was overtaken
-    assert heard(peers, boot[2], DurableState(3, False, 2, 10)) == ""  # came back with all
-    assert heard(peers, boot[1], DurableState(3, False, 2, 10)) == "start"
+    assert recorded(peers, boot[1], DurableState(3, False, 2, 10)) == ""
+    assert recorded(peers, boot[1], DurableState(2, False, 2, 9)) == ""  # same start: a reordered frame
+    assert recorded(peers, boot[2], DurableState(3, False, 2, 10)) == ""  # restarted with everything
+    assert recorded(peers, boot[1], DurableState(3, False, 2, 10)) == "start"
     for durable in (DurableState(2, True, 2, 10), DurableState(3, False, 1, 50), DurableState(3, False, 2, 9)):
-        assert heard(peers, boot[3], durable) == "set back"
-    assert heard(peers, boot[3], DurableState(9, True, 9, 99)) == "set back"  # whatever that start says later
-    assert heard(peers, boot[2] + 1, DurableState(3, False, 2, 10)) == "set back"  # the counter's copy too
-    assert heard(peers, boot[1], DurableState(), "another") == ""
-    assert heard(PeerTable(("b",), 100), boot[1], DurableState()) == "stranger"
+        assert recorded(peers, boot[3], durable) == "set back"
+    assert recorded(peers, boot[3], DurableState(9, True, 9, 99)) == "set back"  # whatever that start reports later
+    assert (
+        recorded(peers, boot[2] + 1, DurableState(3, False, 2, 10)) == "set back"
+    )  # a copy with the same start counter
+    assert recorded(peers, boot[1], DurableState(), "another") == ""
+    assert recorded(PeerTable(("b",), 100), boot[1], DurableState()) == "stranger"
 
 
-def test_suspicion_is_taken_back_by_a_late_word() -> None:
+def test_a_late_frame_ends_a_suspicion() -> None:
     peers = PeerTable(("a",), 100)
     assert peers.reachability(0) == {"a": "never heard"}
-    heard(peers, 1, DurableState(), now=10)
+    recorded(peers, 1, DurableState(), now=10)
     assert peers.reachability(109) == {"a": "alive"} and peers.reachability(110) == {"a": "suspected"}
-    heard(peers, 1, DurableState(), now=300)
+    recorded(peers, 1, DurableState(), now=300)
     assert peers.reachability(301) == {"a": "alive"}
 
 
-def test_a_fleet_is_founded_once_all_are_heard_and_one_may_bring_a_registry() -> None:
+def test_a_fleet_bootstraps_once_all_members_reported_and_at_most_one_has_a_registry() -> None:
     names = ("a", "b", "c")
-    found = [Bootstrap(Member(name, f"d{name}"), names, 5 if name == "b" else 0) for name in names]
-    for one in found:
+    bootstraps = [Bootstrap(Member(name, f"d{name}"), names, 5 if name == "b" else 0) for name in names]
+    for one in bootstraps:
         assert one.record("b", "db", 5) is None and one.record("nobody", "dx", 0) is None
     ids = []
-    for one in found:
+    for one in bootstraps:
         one.record("a", "da", 0)
-        told = one.record("c", "dc", 0)
-        assert told is not None and told[2] == "b" and [m.name for m in told[1].members] == ["a", "b", "c"]
-        ids.append(told[0])
+        result = one.record("c", "dc", 0)
+        assert result is not None and result[2] == "b" and [m.name for m in result[1].members] == ["a", "b", "c"]
+        ids.append(result[0])
     assert len(set(ids)) == 1
     two = Bootstrap(Member("a", "da"), ("a", "b"), 3)
     assert two.record("b", "db", 4) is None and "a and b each have a registry" in two.conflict
@@ -130,9 +135,7 @@
         (HEAD, "peers: .*members"),
     ],
 )
-def test_what_the_file_says_of_peers_and_can_not_be_used_is_told_by_its_field(
-    text: str, field: str, tmp_path: Path
-) -> None:
+def test_an_invalid_peers_section_is_reported_with_its_field(text: str, field: str, tmp_path: Path) -> None:
     (tmp_path / "key").write_bytes(KEY)
     (tmp_path / "short").write_bytes(b"k" * 15)
     file = tmp_path / "service.toml"
