--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,6 +1,6 @@
-"""Plays events into one balancer and compares what was decided with a trace that people have read.
+"""Test fixtures: a balancer, or a whole proxy without sockets, whose actions are compared with a reviewed trace.
 
-UPDATE_TRACES=1 writes the traces anew; read the difference before you commit it.
+UPDATE_TRACES=1 rewrites the traces in tests/traces; review the difference before committing it.
 """
 
 import os
@@ -49,73 +49,82 @@
     overload_multiple=3.0,
     overload_window=SECOND,
 )
-T0 = 1000 * SECOND
+T0 = 1000 * SECOND  # time at the start of a scenario
 TRACES = Path(__file__).parent / "traces"
 
 
-def listed_host(host: int, standing: m.HostStatus = m.HostStatus.READY, since: int = 0, kind: int = 0) -> m.ListedHost:
-    return m.ListedHost(host, f"10.0.0.{host}:80", host % 2, kind, host % 2, standing, 1.0, since)
+def listed_host(
+    host: int, status: m.HostStatus = m.HostStatus.READY, started_at: int = 0, kind: int = 0
+) -> m.ListedHost:
+    return m.ListedHost(host, f"10.0.0.{host}:80", host % 2, kind, host % 2, status, 1.0, started_at)
 
 
 def check_trace(name: str, trace: list[str]) -> None:
-    path, text = TRACES / f"{name}.txt", "\n".join(trace) + "\n"
+    """Compare a trace with the reviewed one of that name."""
+    path, actual = TRACES / f"{name}.txt", "\n".join(trace) + "\n"
     if os.environ.get("UPDATE_TRACES"):
-        path.write_text(text)
-    assert text == path.read_text()
+        path.write_text(actual)
+    assert actual == path.read_text()
 
 
 class Scenario:
-    """One balancer, a clock, and the trace of both."""
+    """One balancer with a simulated clock, and a trace of its events and actions."""
 
-    def __init__(self, hosts: int = 4, *, origin: bool = False, **terms: Any) -> None:
+    def __init__(self, hosts: int = 4, *, origin: bool = False, **overrides: Any) -> None:
         if origin:
-            terms |= {"cache_aside": True, "origin_kind": 1}
-        self.balancer = Balancer(replace(CONFIG, **terms))
+            overrides |= {"cache_aside": True, "origin_kind": 1}
+        self.balancer = Balancer(replace(CONFIG, **overrides))
         self.now, self.timer_at, self.last_tx = T0, 0, 0
         self.trace: list[str] = []
         self.hops: dict[int, list[int]] = {}
-        lines = [listed_host(h) for h in range(hosts)] + ([listed_host(9, kind=1)] if origin else [])
-        self.list(*lines, whole=True)
-
-    def feed(self, said: str, event: m.Event) -> list[str]:
-        done = []
-        for a in self.balancer.decide(self.now, event):
-            if isinstance(a, m.SetTimer):
-                self.timer_at = a.at
+        entries = [listed_host(h) for h in range(hosts)] + ([listed_host(9, kind=1)] if origin else [])
+        self.list(*entries, complete=True)
+
+    def feed(self, label: str, event: m.Event) -> list[str]:
+        """Handle one event, and return and trace the actions as text."""
+        taken = []
+        for action in self.balancer.decide(self.now, event):
+            if isinstance(action, m.SetTimer):
+                self.timer_at = action.at
                 continue
-            if isinstance(a, m.SendHop):
-                self.hops.setdefault(a.tx, []).append(a.host)
-                done.append(f"hop {a.tx} to {a.host}")
-            elif isinstance(a, m.RollBack):
-                done.append(f"roll back {a.tx}, back in {a.backoff // MS} ms")
-            elif isinstance(a, m.Abandon):
-                done.append(f"abandon {a.tx}")
-            elif isinstance(a, m.CancelHop):
-                done.append(f"cancel {a.tx}.{a.hop}")
+            if isinstance(action, m.SendHop):
+                self.hops.setdefault(action.tx, []).append(action.host)
+                taken.append(f"hop {action.tx} to {action.host}")
+            elif isinstance(action, m.RollBack):
+                taken.append(f"roll back {action.tx}, back in {action.backoff // MS} ms")
+            elif isinstance(action, m.Abandon):
+                taken.append(f"abandon {action.tx}")
+            elif isinstance(action, m.CancelHop):
+                taken.append(f"cancel {action.tx}.{action.hop}")
             else:
-                done.append(type(a).__name__)
-        if done or not said.startswith("timer"):
-            self.trace.append(f"{(self.now - T0) // MS:6} ms  {said}: {', '.join(done) or 'nothing'}")
-        return done
+                taken.append(type(action).__name__)
+        if taken or not label.startswith("timer"):
+            self.trace.append(f"{(self.now - T0) // MS:6} ms  {label}: {', '.join(taken) or 'nothing'}")
+        return taken
 
-    def list(self, *lines: m.ListedHost, whole: bool = False) -> None:
-        said = " ".join(f"{x.host}={x.status.name.lower()}" for x in lines)
-        self.feed(f"list {said}", m.ListChanged(whole, lines))
+    def list(self, *entries: m.ListedHost, complete: bool = False) -> None:
+        label = " ".join(f"{x.host}={x.status.name.lower()}" for x in entries)
+        self.feed(f"list {label}", m.ListChanged(complete, entries))
 
     def arrive(
-        self, key: str | None = "a", profile: int = 0, share: int = -1, ttl: int = 900, again: bool = False
+        self, key: str | None = "a", profile: int = 0, share: int = -1, ttl: int = 900, is_retry: bool = False
     ) -> int:
         self.last_tx += 1
-        event = m.TxArrived(self.last_tx, profile, share, key, ttl * MS, again, profile > 0)
+        event = m.TxArrived(self.last_tx, profile, share, key, ttl * MS, is_retry, profile > 0)
         self.feed(f"tx {self.last_tx} profile {profile} key {key}", event)
         return self.last_tx
 
-    def end_hop(self, tx: int, end: m.HopOutcome, hop: int = 0, took: int = 10, note: int = 1) -> None:
-        closed = end is m.HopOutcome.DONE
-        self.feed(f"hop {tx}.{hop} ends {end.name}", m.HopEnded(tx, hop, end, took * MS, closed, note))
+    def end_hop(
+        self, tx: int, outcome: m.HopOutcome, hop: int = 0, duration_ms: int = 10, cache_result: int = 1
+    ) -> None:
+        tx_ended = outcome is m.HopOutcome.DONE
+        self.feed(
+            f"hop {tx}.{hop} ends {outcome.name}",
+            m.HopEnded(tx, hop, outcome, duration_ms * MS, tx_ended, cache_result),
+        )
 
     def run(self, ms: int) -> None:
-        """Lets time pass and the timer fire."""
+        """Advance the clock by `ms`, firing the timer on the way."""
         until = self.now + ms * MS
         while self.timer_at and self.timer_at <= until:
             self.now, self.timer_at = self.timer_at, 0
@@ -171,7 +180,7 @@
 
 
 class ThreadedServer(threading.Thread):
-    """A stand-in on loopback: each connection is answered by a thread of its own."""
+    """A server on loopback that handles each connection in a thread of its own."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
@@ -192,15 +201,15 @@
 
 
 class Wire:
-    """A transport without a socket: what is written lies here until take() plays the system."""
+    """A transport without a socket. Written data stays in `pending` until take() accepts it, as the kernel would."""
 
     def __init__(self, net: "Net", name: str, protocol: Any) -> None:
         self.net, self.name, self.protocol, self.producer = net, name, protocol, None
         self.pending, self.closing, self.lost, self.paused = b"", False, False, False
-        self.unread: bytes | None = None  # b"": the other side's end
-        self.silent_ms = 0  # since data last came, as the system knows
-        self.bytes_taken = 0  # bytes that the system took
-        self.stuck = False  # it takes none
+        self.unread: bytes | None = None  # b"": the peer closed its side
+        self.silent_ms = 0  # since data last arrived, as the kernel reports it
+        self.bytes_taken = 0  # accepted by the kernel
+        self.stuck = False  # the kernel accepts nothing
         protocol.makeConnection(self)
 
     def setsockopt(self, level: int, name: int, value: int) -> None:
@@ -220,7 +229,7 @@
         self.pending += data
 
     def doWrite(self) -> None:
-        """The system takes nothing before take()."""
+        """The kernel accepts nothing before take()."""
 
     def pauseProducing(self) -> None:
         self.paused = True
@@ -248,13 +257,13 @@
             self.end()
 
     def end(self) -> None:
-        """The connection is over, whoever ended it."""
+        """Close the connection, whichever side caused it."""
         if not self.lost:
             self.lost = True
             self.protocol.connectionLost(connectionDone)
 
     def take(self) -> None:
-        """The system takes all that was written, until nothing is left."""
+        """Accept written data, as the kernel would, until nothing is left."""
         while self.pending and not self.lost and not self.stuck:
             data, self.pending = self.pending, b""
             self.bytes_taken += len(data)
@@ -266,7 +275,7 @@
             self.end()
 
     def feed(self, data: bytes, cut: int = 0) -> None:
-        """Bytes from the other side, in pieces of `cut`."""
+        """Receive bytes from the peer, in pieces of `cut` bytes."""
         self.net.say(f"{self.name} > {shortened(data)!r}")
         for at in range(0, len(data), cut or len(data)):
             if not self.lost:
@@ -275,7 +284,7 @@
 
 
 class Net:
-    """Front, door and pool on a clock of the test's own, and the trace of all that is written."""
+    """Frontend, dispatcher and pool on a simulated clock, and a trace of all data written and received."""
 
     def __init__(
         self,
@@ -283,9 +292,9 @@
         sockets: int = 64,
         limits: dict[str, Any] | None = None,
         facts: dict[str, Any] | None = None,
-        **terms: Any,
+        **limit_settings: Any,
     ) -> None:
-        facts = FACTS | {"Limits": FACTS["Limits"] | terms} | (facts or {})
+        facts = FACTS | {"Limits": FACTS["Limits"] | limit_settings} | (facts or {})
         self.reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
         self.trace: list[str] = []
         self.wires: list[Wire] = []
@@ -302,14 +311,14 @@
         self.dispatcher.watch = lambda: self.say("the list is asked for")
         self.pool.sweep()
         self.frontend.sweep()
-        self.list(*(member(h) for h in range(1, hosts + 1)), whole=True)
+        self.list(*(member(h) for h in range(1, hosts + 1)), complete=True)
 
     def say(self, text: str) -> None:
         self.trace.append(f"{round((self.reactor.seconds() - 1000) * 1000):6} ms  {text}")
 
-    def list(self, *members: dict[str, Any], whole: bool = False) -> None:
-        told = {"revision": 1, "complete": whole, "members": list(members)}
-        self.dispatcher.list_told(*parse_list(told, 0)[1:])
+    def list(self, *members: dict[str, Any], complete: bool = False) -> None:
+        document = {"revision": 1, "complete": complete, "members": list(members)}
+        self.dispatcher.list_told(*parse_list(document, 0)[1:])
 
     def client(self) -> Wire:
         count = sum(w.name.startswith("client") for w in self.wires)
@@ -317,7 +326,7 @@
         return self.wires[-1]
 
     def accept(self) -> Wire:
-        """The connection that was dialled first and is not up yet comes up."""
+        """Establish the oldest pending connection to a host."""
         host, _, factory, _, _ = self.reactor.tcpClients.pop(0)
         self.say(f"host {host[-1]} accepts")
         self.wires.append(Wire(self, f"host {host[-1]}", factory.buildProtocol(None)))
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -51,12 +51,12 @@
     if how == "called gone":
         play.list(listed_host(1, m.HostStatus.GONE), listed_host(2, m.HostStatus.GONE))
     elif how == "left out":
-        play.list(listed_host(0), listed_host(3), whole=True)
+        play.list(listed_host(0), listed_host(3), complete=True)
     else:
-        play.list(whole=True)
+        play.list(complete=True)
     left = set() if how == "empty" else {0, 3}
     assert sent(play) == ({0, 1, 2, 3} if advice else left)
-    play.list(*(listed_host(h) for h in range(4)), whole=True)
+    play.list(*(listed_host(h) for h in range(4)), complete=True)
     assert sent(play) == {0, 1, 2, 3}
 
 
@@ -67,9 +67,9 @@
     for lines in ((listed_host(2, m.HostStatus.GONE),), (listed_host(2),)):  # gone, and an older list that comes again
         play.list(*lines)
         assert sent(play) == {0, 1, 3}
-    play.list(*(listed_host(h) for h in range(4)), whole=True)
+    play.list(*(listed_host(h) for h in range(4)), complete=True)
     assert sent(play) == {0, 1, 3}
-    play.list(listed_host(2, since=play.now - SECOND))  # started again: another process than the one that drained
+    play.list(listed_host(2, started_at=play.now - SECOND))  # started again: another process than the one that drained
     assert play.balancer.hosts[2].status is m.HostStatus.READY
 
 
@@ -86,14 +86,14 @@
     play = Scenario(6, gone_is_advisory=advice)
     play.list(listed_host(1, m.HostStatus.GONE))
     assert sent(play) == {0, 2, 3, 4, 5}
-    play.list(*(listed_host(h) for h in (0, 2, 3, 4)), whole=True)
+    play.list(*(listed_host(h) for h in (0, 2, 3, 4)), complete=True)
     assert sent(play) == {0, 2, 3, 4}
 
 
 def test_one_that_the_list_dropped_and_that_fails_is_out_as_any_other() -> None:
     play = Scenario(6, **ADVICE)
     sent(play)
-    play.list(whole=True)
+    play.list(complete=True)
     for number in range(60):
         tx = play.arrive(key=f"x{number}")
         for hop, host in enumerate(play.hops.get(tx, [])):
@@ -103,7 +103,7 @@
 
 def test_no_host_is_remembered_for_longer_than_the_bound() -> None:
     play = Scenario(4, **ADVICE)
-    play.list(listed_host(0), listed_host(1), whole=True)
+    play.list(listed_host(0), listed_host(1), complete=True)
     play.run(FORGET_HOST_AFTER_NS // 1_000_000 - 1000)
     assert len(play.balancer.hosts) == 4
     play.run(3500)
@@ -117,7 +117,7 @@
     client.feed(mg(1))
     net.accept().feed(va(1))
     assert any(line.endswith("client 0 < b'VA 3 O1\\r\\nval\\r\\n'") for line in net.trace)
-    net.list(whole=True)
+    net.list(complete=True)
     client.feed(mg(2))
     [w for w in net.wires if w.name == "host 1" and not w.lost][-1].feed(va(2))
     net.run(FORGET_HOST_AFTER_NS // 1_000_000 + 3000)
--- a/tests/test_anywhere.py
+++ b/tests/test_anywhere.py
@@ -15,7 +15,11 @@
         while at < len(play.hops.get(tx, [])):
             errs = wrong or play.hops[tx][at] in bad
             play.end_hop(
-                tx, m.HopOutcome.ERROR if errs else m.HopOutcome.DONE, at, took=3 if errs else 10, note=0 if errs else 1
+                tx,
+                m.HopOutcome.ERROR if errs else m.HopOutcome.DONE,
+                at,
+                duration_ms=3 if errs else 10,
+                cache_result=0 if errs else 1,
             )
             at += 1
         hops += at * wrong
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -35,14 +35,14 @@
 
     def _one(self, number: int) -> Balancer:
         one = Balancer(replace(self.start, balancer_index=number, seed=number + 1))
-        one.decide(T0, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, since=T0))))
+        one.decide(T0, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, started_at=T0))))
         # As measured at warm hosts, of which each has the same load.
         one.arrival_rate = one.rate_per_weight = self.rates[number]
         return one
 
     def restart(self, number: int, now: int) -> None:
         one = self.all[number] = Balancer(replace(self.start, balancer_index=number, seed=self.draw.getrandbits(32)))
-        one.decide(now, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, since=T0))))
+        one.decide(now, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, started_at=T0))))
         one.arrival_rate = one.rate_per_weight = self.rates[number]
 
     def wants(self, one: Balancer, now: int) -> None:
@@ -113,7 +113,7 @@
     for number in range(100):
         one = Balancer(replace(CONFIG, balancer_index=number, balancer_count=100))
         now = SECOND
-        one.decide(now, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, since=now))))
+        one.decide(now, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, started_at=now))))
         one.arrival_rate = one.rate_per_weight = 0.3
         one.now, one.actions = now, []
         tx = one.txs[1] = _tx(1, now)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -96,7 +96,7 @@
         p.arrive(f"k{other}")
     p.run(400)
     second = max(p.hops, key=lambda t: len(p.hops[t]))
-    p.end_hop(second, m.HopOutcome.DONE, hop=1, took=10)
+    p.end_hop(second, m.HopOutcome.DONE, hop=1, duration_ms=10)
     p.end_hop(second, m.HopOutcome.CANCELLED)
     p.matches("second_copy")
 
@@ -104,7 +104,7 @@
 def test_not_in_time_is_rolled_back_at_once_but_for_one_on_trial() -> None:
     p = Scenario(1)
     settle(p, pause=400)
-    p.end_hop(p.arrive("k1"), m.HopOutcome.DONE, took=5000)
+    p.end_hop(p.arrive("k1"), m.HopOutcome.DONE, duration_ms=5000)
     trial = p.arrive("k1")
     p.arrive("k1")
     p.end_hop(trial, m.HopOutcome.DONE)
@@ -117,18 +117,18 @@
 def test_a_try_whose_goal_has_passed_is_not_sent() -> None:
     p = Scenario()
     p.end_hop(p.arrive(), m.HopOutcome.DONE)
-    p.arrive(ttl=700, again=True)
+    p.arrive(ttl=700, is_retry=True)
     p.matches("goal_passed")
 
 
 def test_what_is_beyond_its_share_needs_more_room() -> None:
     p = Scenario(1)
     settle(p, pause=400)
-    p.end_hop(p.arrive("k1"), m.HopOutcome.DONE, took=900)
+    p.end_hop(p.arrive("k1"), m.HopOutcome.DONE, duration_ms=900)
     for _ in range(10):
         tx = p.arrive("k1", share=0)
         if tx in p.hops:
-            p.end_hop(tx, m.HopOutcome.DONE, took=188)
+            p.end_hop(tx, m.HopOutcome.DONE, duration_ms=188)
     p.arrive("k1", share=1)
     p.matches("share")
 
@@ -155,11 +155,11 @@
     """Against an origin that answers each of many fetches at once, with an error."""
     p = Scenario(3)
     for n in range(3):
-        p.end_hop(p.arrive(f"k{n}"), m.HopOutcome.ERROR, note=2)
+        p.end_hop(p.arrive(f"k{n}"), m.HopOutcome.ERROR, cache_result=2)
     p.arrive("k4")
     p.arrive("k5", profile=2)
     p.run(2500)
-    p.end_hop(p.arrive("k4"), m.HopOutcome.DONE, note=2)
+    p.end_hop(p.arrive("k4"), m.HopOutcome.DONE, cache_result=2)
     p.arrive("k4")
     p.matches("through_rest")
 
@@ -167,14 +167,14 @@
 def test_one_heavy_answer_does_not_close_the_origin() -> None:
     p = Scenario(3, origin=True)
     for n in range(30):
-        p.end_hop(p.arrive(f"w{n}", profile=1), m.HopOutcome.DONE, took=2000 if n == 20 else 50)
+        p.end_hop(p.arrive(f"w{n}", profile=1), m.HopOutcome.DONE, duration_ms=2000 if n == 20 else 50)
     assert p.balancer.origin_limit >= INITIAL_ORIGIN_LIMIT / 2
 
 
 def test_an_origin_late_in_the_mean_is_asked_less() -> None:
     p = Scenario(3, origin=True)
     for n in range(30):
-        p.end_hop(p.arrive(f"w{n}", profile=1), m.HopOutcome.DONE, took=900)
+        p.end_hop(p.arrive(f"w{n}", profile=1), m.HopOutcome.DONE, duration_ms=900)
         p.run(50)
     assert p.balancer.origin_limit < 8
 
@@ -184,7 +184,7 @@
     for profile in range(4):
         p.arrive(profile=profile)
     p.arrive(key=None)
-    p.list(whole=True)
+    p.list(complete=True)
     p.arrive()
     p.matches("nowhere")
 
@@ -219,7 +219,7 @@
 def test_a_cold_host_out_of_budget_spills_and_rolls_nothing_back() -> None:
     p = Scenario(4)
     settle(p)
-    p.list(listed_host(1, since=p.now - 12_000_000_000))
+    p.list(listed_host(1, started_at=p.now - 12_000_000_000))
     p.trace.clear()
     for n in range(40):
         p.end_hop(p.arrive(f"k{n}"), m.HopOutcome.DONE)
@@ -229,7 +229,7 @@
 def test_a_balancer_started_in_a_release_learns_what_warm_hosts_take() -> None:
     """Against cold hosts that get one hop a window for as long as most of the fleet is cold."""
     p = Scenario(4)
-    p.list(*(listed_host(h, since=p.now - 15_000_000_000) for h in (1, 2, 3)))
+    p.list(*(listed_host(h, started_at=p.now - 15_000_000_000) for h in (1, 2, 3)))
     settle(p, rounds=20)
     assert p.balancer.rate_per_weight > 10
 
@@ -241,7 +241,7 @@
     for _ in range(8):
         p.arrive("k1")
     for tx in range(p.last_tx - 7, p.last_tx + 1):
-        p.end_hop(tx, m.HopOutcome.TIMED_OUT, took=5000)
+        p.end_hop(tx, m.HopOutcome.TIMED_OUT, duration_ms=5000)
     p.arrive("k1")
     p.arrive("k2")
     p.matches("crowded_fleet")
@@ -262,7 +262,7 @@
 def test_aside_what_no_host_answers_in_time_the_origin_may() -> None:
     p = Scenario(1, origin=True)
     settle(p)
-    p.end_hop(p.arrive("k1"), m.HopOutcome.DONE, took=20000)
+    p.end_hop(p.arrive("k1"), m.HopOutcome.DONE, duration_ms=20000)
     p.arrive("k1")
     p.end_hop(p.arrive("k1"), m.HopOutcome.DONE)
     p.matches("overflow")
@@ -290,7 +290,7 @@
         p.run(50)
         for tx in list(p.hops):
             if tx in p.balancer.txs:
-                p.end_hop(tx, m.HopOutcome.DONE, took=50)
+                p.end_hop(tx, m.HopOutcome.DONE, duration_ms=50)
     p.matches("paced")
 
 
@@ -349,7 +349,7 @@
     for p, pause in ((rare, 1000), (many, 5)):
         settle(p, pause=pause)
         for n in range(10):
-            p.end_hop(p.arrive(f"k{n}"), m.HopOutcome.DONE, took=60)
+            p.end_hop(p.arrive(f"k{n}"), m.HopOutcome.DONE, duration_ms=60)
     assert many.balancer.mean_duration < 30 * MS < rare.balancer.mean_duration
 
 
@@ -364,11 +364,11 @@
         p.run(4)
         p.end_hop(p.arrive(f"k{n % 40}"), m.HopOutcome.DONE)
         if n == 10:
-            p.end_hop(p.arrive("x2"), m.HopOutcome.DONE, note=2)
+            p.end_hop(p.arrive("x2"), m.HopOutcome.DONE, cache_result=2)
     assert [p.hops[tx] for tx in (late, fetch)] == [[p.hops[tx][0]] * 2 for tx in (late, fetch)]
     p.run(1000)
-    p.end_hop(late, m.HopOutcome.TIMED_OUT, took=600)
-    p.end_hop(fetch, m.HopOutcome.TIMED_OUT, took=600)
+    p.end_hop(late, m.HopOutcome.TIMED_OUT, duration_ms=600)
+    p.end_hop(fetch, m.HopOutcome.TIMED_OUT, duration_ms=600)
     assert p.balancer.mean_duration == took and p.balancer.origin_limit >= limit
     assert not any(h.ejected_until for h in p.balancer.ready)
 
@@ -386,7 +386,7 @@
     ):
         tx = p.arrive("k1")
         p.run(after)
-        p.end_hop(tx, end, took=after)
+        p.end_hop(tx, end, duration_ms=after)
         p.balancer.extra_hop_tokens = 0.0
     p.matches("broken_at_once")
 
@@ -398,8 +398,8 @@
     p.end_hop(p.last_tx, m.HopOutcome.DONE)
     others = [f"k{k}" for k in range(40) if p.hops[361 + k][0] != home]
     for key in ["k1", *others[:20]] * 20:
-        p.end_hop(p.arrive(key), m.HopOutcome.DONE, took=300 if key == "k1" else 10)
+        p.end_hop(p.arrive(key), m.HopOutcome.DONE, duration_ms=300 if key == "k1" else 10)
     read = p.hops[p.arrive("k1")]
-    p.end_hop(p.last_tx, m.HopOutcome.DONE, took=300)
+    p.end_hop(p.last_tx, m.HopOutcome.DONE, duration_ms=300)
     write = p.hops[p.arrive("k1", profile=2)]
     assert read == [home] and write != [home]
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -46,7 +46,7 @@
     handler = logger.add(lambda text: lines.append(str(text)), format="{level} {message}")
     net = Net(hosts=1, sockets=48)
     for _ in range(3):
-        net.list(*(member(n) for n in range(1, 101)), whole=True)
+        net.list(*(member(n) for n in range(1, 101)), complete=True)
     logger.remove(handler)
     assert sum("more cache hosts than sockets" in text for text in lines) == 1
     client = net.client()
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -258,7 +258,7 @@
     first, client = net.client(), net.client()
     first.feed(mg(1))
     host = net.accept()
-    net.list(whole=True)
+    net.list(complete=True)
     client.feed(mg(2))
     client.feed(mg(3, profile="once"))
     assert not net.reactor.tcpClients
@@ -266,7 +266,7 @@
     asked = [one for one in net.trace if "client 1 <" in one]
     assert len(asked) == 2 and all(int(one.split("busy ")[1].split("\\r")[0]) > 0 for one in asked)
     assert sum("client 0 < b'VA 3 O1" in one for one in net.trace) == 1
-    net.list(member(1), member(2), whole=True)
+    net.list(member(1), member(2), complete=True)
     client.feed(mg(4))
     net.accept().feed(va(4))
     assert "VA 3 O4" in net.trace[-1] and not net.dispatcher.txs
@@ -289,10 +289,10 @@
 
     old, new = Scenario(hosts=0, weight_mode=m.WeightMode.STATIC), Scenario(hosts=0, weight_mode=m.WeightMode.STATIC)
     for hints in ((1.0, 1.0, 1.0, 1.0), (4.0, 1.0, 0.5, 1.0)):
-        old.list(*weighed(*hints), whole=True)
+        old.list(*weighed(*hints), complete=True)
         for group in range(64):
             old.balancer._host_order(group)
-    new.list(*weighed(4.0, 1.0, 0.5, 1.0), whole=True)
+    new.list(*weighed(4.0, 1.0, 0.5, 1.0), complete=True)
     for group in range(64):
         assert [h.index for h in old.balancer._host_order(group)] == [h.index for h in new.balancer._host_order(group)]
 
@@ -305,7 +305,7 @@
             drains = n // 97 % 4
             play.list(
                 *(listed_host(h, m.HostStatus.DRAINING if h == drains else m.HostStatus.READY) for h in range(4)),
-                whole=True,
+                complete=True,
             )
         if len(out) > 6:
             play.end_hop(out.pop(0), m.HopOutcome.DONE)
@@ -320,7 +320,7 @@
 def test_where_a_copy_lies_is_not_kept_for_hosts_that_are_gone() -> None:
     play = Scenario(hosts=2)
     for n in range(300):
-        play.list(listed_host(n), listed_host(n + 1), whole=True)
+        play.list(listed_host(n), listed_host(n + 1), complete=True)
         play.end_hop(play.arrive("hot"), m.HopOutcome.DONE)
     for _ in range(600):  # past the next time that ranges are placed
         play.end_hop(play.arrive("hot"), m.HopOutcome.DONE)
--- a/tests/test_review_links.py
+++ b/tests/test_review_links.py
@@ -372,6 +372,6 @@
             if not wire.lost and wire.protocol.hops:
                 wire.feed(va(n))
     assert all(place.idle for place in net.pool.hosts.values())
-    net.list(member(1), whole=True)
+    net.list(member(1), complete=True)
     net.take()
     assert list(net.pool.hosts) == [0] and net.sockets.hosts == sum(len(p.connections) for p in net.pool.hosts.values())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -25,7 +25,7 @@
     p.end_hop(tx, m.HopOutcome.CANCELLED)
     p.end_hop(tx, m.HopOutcome.CANCELLED)
     tx = p.arrive()
-    p.end_hop(tx, m.HopOutcome.TIMED_OUT, took=600)
+    p.end_hop(tx, m.HopOutcome.TIMED_OUT, duration_ms=600)
     p.feed("gone", m.ClientGone(tx))
     p.matches("one_answer")
 
@@ -34,7 +34,7 @@
     p = Scenario()
     tx = p.arrive(profile=2, ttl=100)
     p.now += 100_000_000
-    p.end_hop(tx, m.HopOutcome.TIMED_OUT, took=100)
+    p.end_hop(tx, m.HopOutcome.TIMED_OUT, duration_ms=100)
     p.matches("hard_limit")
 
 
@@ -42,7 +42,7 @@
     p = Scenario()
     tx = p.arrive(profile=1)
     p.now += 299_000_000
-    p.end_hop(tx, m.HopOutcome.RESET, took=299)
+    p.end_hop(tx, m.HopOutcome.RESET, duration_ms=299)
     p.matches("memory")
 
 
@@ -51,7 +51,7 @@
     first = p.hops[p.arrive()][0]
     p.list(listed_host(first, m.HostStatus.DRAINING))
     p.arrive()
-    p.list(listed_host(first), whole=True)
+    p.list(listed_host(first), complete=True)
     p.arrive()
     p.list(listed_host(first, m.HostStatus.GONE))
     p.arrive()
@@ -65,7 +65,7 @@
         p.run(10)
     before = sum(hops == [1] for hops in p.hops.values())
     p.trace.clear()
-    p.list(listed_host(1, since=p.now))
+    p.list(listed_host(1, started_at=p.now))
     taken = []
     for second in range(20):
         seen, rate = p.last_tx, p.balancer.rate_per_weight
@@ -81,7 +81,7 @@
 
 def test_a_cold_host_of_unknown_rate_gets_one_hop_a_window() -> None:
     p = Scenario(1)
-    p.list(listed_host(0, since=T0 - SECOND))
+    p.list(listed_host(0, started_at=T0 - SECOND))
     for n in range(200):
         p.arrive(f"k{n}")
     assert sum(len(h) for h in p.hops.values()) == 1
@@ -92,7 +92,7 @@
     sent = [0] * 10
     for number in range(100):
         p = Scenario(1, balancer_count=100, balancer_index=number)
-        p.list(listed_host(0, since=T0 - SECOND))
+        p.list(listed_host(0, started_at=T0 - SECOND))
         for window in range(10):
             before = len(p.hops)
             p.arrive(f"a{window}")
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -37,7 +37,7 @@
 
 def fleet(hosts: int = 6, zones: int = 1, **terms: Any) -> Scenario:
     p = Scenario(0, **(LIVE | terms))
-    p.list(*live({}, hosts, zones), whole=True)
+    p.list(*live({}, hosts, zones), complete=True)
     return p
 
 
@@ -66,7 +66,7 @@
     p, late = fleet(12), Scenario(0, **LIVE)
     drawn = Random(2)
     for n in range(20):  # it starts while most hold some
-        late.list(*live({h: drawn.choice((0.0, 0.4, 1.9)) for h in range(12)}, 12), whole=not n)
+        late.list(*live({h: drawn.choice((0.0, 0.4, 1.9)) for h in range(12)}, 12), complete=not n)
     keys = homes(p, 600)
     assert homes(late, 600) == keys
     share = [sum(k % 3 == kind for k in keys) / 600 for kind in range(3)]
@@ -262,7 +262,7 @@
     for n in range(400):
         tx = near.arrive(f"k{n % 60}")
         if near.hops.get(tx):
-            near.end_hop(tx, m.HopOutcome.DONE, took=2000 if near.hops[tx][0] % 2 else 20)
+            near.end_hop(tx, m.HopOutcome.DONE, duration_ms=2000 if near.hops[tx][0] % 2 else 20)
         near.run(50)
     strained = near.balancer.own_zone_fraction
     assert strained < 0.8
@@ -364,7 +364,7 @@
     p.run(1000)
     p.list(*live({0: 20.0}))
     before = homes(p)
-    second.list(*live({h: 1.0 for h in range(6)}), whole=True)
+    second.list(*live({h: 1.0 for h in range(6)}), complete=True)
     assert {h.weight for h in second.balancer.ready} == {0.25, 0.5, 0.75}
     names = {h.index: f"host-{h.index}" for h in p.balancer.ready}
     told = decode_learned(encode_learned(p.balancer.learned(), names), {name: n for n, name in names.items()})
