--- a/ternquay/net/config.py
+++ b/ternquay/net/config.py
@@ -1,4 +1,4 @@
-"""What a balancer is told when it starts, read from its configuration and the environment."""
+"""Reads the configuration of a balancer's process from a JSON file and the environment."""
 
 import os
 import resource
@@ -14,50 +14,53 @@
 from ternquay.net.listing import Address, FieldError, parse_address, parse_list
 
 MIN_SOCKETS = 48
-MIN_MEMORY_MB = 36  # in MB: what the program takes, and a little of everything
-SOCKET_FD_VARIABLE = (
-    "EDGE_SOCKET_FD"  # of the environment: the listening socket that the platform holds (net/inherited.py)
-)
+MIN_MEMORY_MB = 36  # the program itself, and a little of each kind of buffer
+SOCKET_FD_VARIABLE = "EDGE_SOCKET_FD"  # the descriptor of an inherited listening socket, see net/inherited.py
 
 
 class ConfigError(FieldError):
-    """The configuration lacks something or holds what can't be used; the text names the field."""
+    """The configuration is incomplete or invalid. The message names the field."""
 
 
 @dataclass(slots=True, frozen=True)
 class BalancerConfig:
-    path: str  # the file, which may be read again
+    """The configuration of one process."""
+
+    path: str  # of the file, for a reload
     name: str
     listen: Address
     management: Address | None
     discovery: Address
     settings: m.Config
     names: NameTable
-    initial_list: dict[str, Any]
+    initial_list: dict[str, Any]  # the host list to start with, as discovery would return it
     limits: Limits
 
 
-def require_object(whole: dict[str, Any], field: str) -> dict[str, Any]:
-    value = whole.get(field)
+def require_object(document: dict[str, Any], field: str) -> dict[str, Any]:
+    """Returns a field that has to be an object. Raises ConfigError."""
+    value = document.get(field)
     if not isinstance(value, dict):
         raise ConfigError(f"{field}: an object is wanted, not {value!r:.60}")
     return value
 
 
-def parse_integer(value: Any, field: str, least: int) -> int:
-    # Written so that what is no number at all is turned away too; more than this is none of a machine's.
-    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < 2**64:
-        raise ConfigError(f"{field}: a number of {least} or more is wanted, not {value!r:.60}")
+def parse_integer(value: Any, field: str, minimum: int) -> int:
+    """Returns a number of at least `minimum` as an integer. Raises ConfigError."""
+    # The comparison is negated as a whole so that it rejects NaN too. No machine has 2**64 of anything.
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value < 2**64:
+        raise ConfigError(f"{field}: a number of {minimum} or more is wanted, not {value!r:.60}")
     return int(value)
 
 
 def descriptor_limit() -> int:
-    """How many the system lets this process have, whatever it was told: past it accepting and dialling fail."""
-    most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    return most if most != resource.RLIM_INFINITY else 1 << 31
+    """Returns the process's limit on open descriptors, beyond which accepting and connecting fail."""
+    soft_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    return soft_limit if soft_limit != resource.RLIM_INFINITY else 1 << 31
 
 
 def parse_seed(value: Any) -> int:
+    """Returns a seed, given as a hexadecimal string or an integer. Raises ConfigError."""
     try:
         return int(value, 16) if isinstance(value, str) else parse_integer(value, "seed", 0)
     except ValueError as fault:
@@ -65,6 +68,7 @@
 
 
 def read_file(path: str) -> dict[str, Any]:
+    """Reads the JSON object of a configuration file. Raises ConfigError."""
     if not path:
         raise ConfigError("EDGE_CONFIG: not set, and no file was named")
     try:
@@ -78,42 +82,45 @@
 
 
 def read_config(path: str = "", env: Mapping[str, str] = os.environ) -> BalancerConfig:
-    """From the file named, or the one in EDGE_CONFIG; the file goes before the environment."""
+    """Reads the configuration file `path`, or the one that EDGE_CONFIG names. Raises ConfigError.
+
+    Fields of the file take precedence over variables of the environment.
+    """
     path = path or env.get("EDGE_CONFIG", "")
-    told = read_file(path)
-    facts, bounds = require_object(told, "settings"), require_object(told, "limits")
-    # With a listening socket that the platform holds there may be two processes within the limits.
-    two = 2 if env.get(SOCKET_FD_VARIABLE) else 1
-    least = two * MIN_SOCKETS
-    sockets = min(parse_integer(bounds.get("sockets"), "limits.sockets", least), descriptor_limit())
-    if sockets < least:
-        raise ConfigError(f"limits.sockets: the process may have {sockets} descriptors, {least} are wanted")
-    memory = parse_integer(bounds.get("memory_mb"), "limits.memory_mb", two * MIN_MEMORY_MB)
-    told_at = told.get("management", env.get("EDGE_MANAGEMENT") or None)
+    document = read_file(path)
+    facts, bounds = require_object(document, "settings"), require_object(document, "limits")
+    # With an inherited listening socket, two processes may have to run within the limits.
+    processes = 2 if env.get(SOCKET_FD_VARIABLE) else 1
+    min_sockets = processes * MIN_SOCKETS
+    sockets = min(parse_integer(bounds.get("sockets"), "limits.sockets", min_sockets), descriptor_limit())
+    if sockets < min_sockets:
+        raise ConfigError(f"limits.sockets: the process may have {sockets} descriptors, {min_sockets} are wanted")
+    memory_mb = parse_integer(bounds.get("memory_mb"), "limits.memory_mb", processes * MIN_MEMORY_MB)
+    management_text = document.get("management", env.get("EDGE_MANAGEMENT") or None)
     try:
         settings, names, limits = (
-            parse_deployment(parse_seed(told.get("seed")), facts),
+            parse_deployment(parse_seed(document.get("seed")), facts),
             NameTable(facts),
-            derive_limits(facts, sockets, memory, managed=told_at is not None, two=two > 1),
+            derive_limits(facts, sockets, memory_mb, managed=management_text is not None, two=processes > 1),
         )
     except KeyError as fault:
         raise ConfigError(f"settings: {fault.args[0]} is missing or not known") from fault
     except (TypeError, AttributeError, ValueError, OverflowError) as fault:
         raise ConfigError(f"settings: {fault}") from fault
-    initial_list = require_object(told, "known")
+    initial_list = require_object(document, "known")
     try:
         parse_list(initial_list, 0)
     except FieldError as fault:
         raise ConfigError(f"known.{fault}") from fault
     try:
-        listen = parse_address(told.get("listen", env.get("EDGE_LISTEN")), "listen")
-        management = parse_address(told_at, "management") if told_at is not None else None
-        discovery = parse_address(told.get("discovery", env.get("EDGE_DISCOVERY")), "discovery")
+        listen = parse_address(document.get("listen", env.get("EDGE_LISTEN")), "listen")
+        management = parse_address(management_text, "management") if management_text is not None else None
+        discovery = parse_address(document.get("discovery", env.get("EDGE_DISCOVERY")), "discovery")
     except FieldError as fault:
         raise ConfigError(str(fault)) from fault
     return BalancerConfig(
         path=path,
-        name=str(told.get("name") or env.get("EDGE_NAME", "")),
+        name=str(document.get("name") or env.get("EDGE_NAME", "")),
         listen=listen,
         management=management,
         discovery=discovery,
