--- a/ternquay/net/listing.py
+++ b/ternquay/net/listing.py
@@ -1,4 +1,4 @@
-"""The list of cache hosts in discovery's form, read whole before any of it is kept; and addresses as they are told."""
+"""Parses the host list of discovery, and addresses. A list is parsed completely before any of it is used."""
 
 from dataclasses import dataclass
 from ipaddress import ip_address
@@ -9,16 +9,18 @@
 from ternquay.net.limits import MS
 
 STATUS_BY_PHASE = {"up": m.HostStatus.READY, "draining": m.HostStatus.DRAINING, "removed": m.HostStatus.GONE}
-MAX_REVISION = 2**53  # what any reader of JSON still tells apart
-MAX_TIME_MS = 253_402_300_799_999  # the year 9999, in milliseconds
+MAX_REVISION = 2**53  # every JSON parser represents integers up to this one exactly
+MAX_TIME_MS = 253_402_300_799_999  # the end of the year 9999
 
 
 class FieldError(ValueError):
-    """What was told from outside can't be used; the text names the field."""
+    """A document from outside is invalid. The message names the field."""
 
 
 @dataclass(slots=True, frozen=True)
 class Address:
+    """An IP address and a port."""
+
     host: str
     port: int
 
@@ -28,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HostEntry:
-    """One line of the list of cache hosts, by its names."""
+    """One entry of the host list. Zone and kind are names, the weight and the start as in model.ListedHost."""
 
     id: str
     address: Address
@@ -42,50 +44,55 @@
 
 
 def parse_address(text: Any, field: str) -> Address:
-    """Raises FieldError."""
+    """Parses `host:port`, where the host is an IP address. Raises FieldError."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    # More digits than a port has are not even converted, which would take long and may raise.
-    good = port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536
+    # Longer digit strings are rejected before the conversion, which would be slow and may raise.
+    valid = port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536
     try:
-        # Against a name: it would be looked up in a thread, where there is no DNS.
+        # Host names are rejected: Twisted would resolve them in a thread, and the platform has no DNS.
         ip_address(host)
     except ValueError:
-        good = False
-    if not good:
+        valid = False
+    if not valid:
         raise FieldError(f"{field}: an address and a port are wanted, not {text!r:.60}")
     return Address(host, int(port))
 
 
-def parse_host_entry(told: Any, at: str, clock_offset: int) -> HostEntry:
-    """Raises FieldError, KeyError or ValueError."""
-    if not isinstance(told, dict):
-        raise FieldError(f"{at}: an object is wanted, not {told!r:.40}")
-    name = told.get("id")
+def parse_host_entry(document: Any, at: str, clock_offset: int) -> HostEntry:
+    """Parses one entry; `at` is its path for messages. Raises FieldError, KeyError or ValueError."""
+    if not isinstance(document, dict):
+        raise FieldError(f"{at}: an object is wanted, not {document!r:.40}")
+    name = document.get("id")
     if not isinstance(name, str) or not name:
         raise FieldError(f"{at}.id: a name is wanted, not {name!r:.40}")
-    started_ms = int(parse_number(told, "up_since_ms", at, 0, MAX_TIME_MS, 0))
+    started_ms = int(parse_number(document, "up_since_ms", at, 0, MAX_TIME_MS, 0))
     return HostEntry(
         id=name,
-        address=parse_address(told.get("host_port"), f"{at}.host_port"),
-        zone=str(told.get("locality", "")),
-        kind=str(told.get("flavor", "")),
-        cell=int(parse_number(told, "cell", at, 0, MAX_REVISION, 0)),
-        status=parse_choice(told, "phase", at, STATUS_BY_PHASE),
-        weight=float(parse_number(told, "size", at, 0, 1e6, 0.0)),
+        address=parse_address(document.get("host_port"), f"{at}.host_port"),
+        zone=str(document.get("locality", "")),
+        kind=str(document.get("flavor", "")),
+        cell=int(parse_number(document, "cell", at, 0, MAX_REVISION, 0)),
+        status=parse_choice(document, "phase", at, STATUS_BY_PHASE),
+        weight=float(parse_number(document, "size", at, 0, 1e6, 0.0)),
         started_at=started_ms * MS - clock_offset if started_ms else 0,
     )
 
 
-def parse_list(told: Any, clock_offset: int) -> tuple[int, bool, tuple[HostEntry, ...]]:
-    """The revision, whether the list is whole, and its members. Raises FieldError."""
-    if not isinstance(told, dict) or not isinstance(told.get("members"), list):
+def parse_list(document: Any, clock_offset: int) -> tuple[int, bool, tuple[HostEntry, ...]]:
+    """Returns the revision, whether the list is complete, and its entries. Raises FieldError.
+
+    `clock_offset` is subtracted from the start times.
+    """
+    if not isinstance(document, dict) or not isinstance(document.get("members"), list):
         raise FieldError("members: a list is wanted")
-    if not isinstance(told.get("complete"), bool):
-        # Against a word that counts as true: the list would seem whole, and all that it lacks gone.
-        raise FieldError(f"complete: true or false is wanted, not {told.get('complete')!r:.40}")
+    if not isinstance(document.get("complete"), bool):
+        # Any other value that counts as true would make the list complete, and all hosts that it lacks would be gone.
+        raise FieldError(f"complete: true or false is wanted, not {document.get('complete')!r:.40}")
     try:
-        revision = int(parse_number(told, "revision", "", 0, MAX_REVISION))
-        members = tuple(parse_host_entry(one, f"members[{i}]", clock_offset) for i, one in enumerate(told["members"]))
+        revision = int(parse_number(document, "revision", "", 0, MAX_REVISION))
+        members = tuple(
+            parse_host_entry(entry, f"members[{i}]", clock_offset) for i, entry in enumerate(document["members"])
+        )
     except KeyError as fault:
         raise FieldError(f"{fault.args[0]}: is missing") from fault
     except ValueError as fault:
@@ -93,6 +100,6 @@
     seen: dict[str, int] = {}
     for i, member in enumerate(members):
         if seen.setdefault(member.id, i) != i:
-            # Which of the two counts nobody can tell, and one of them may be a drain.
+            # It is unknown which of the two entries is right, and one of them may be a drain.
             raise FieldError(f"members[{i}].id: {member.id!r:.40} is members[{seen[member.id]}] already")
-    return revision, told["complete"], members
+    return revision, document["complete"], members
