--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -14,26 +14,29 @@
 from tests.test_net import mg, va
 from tests.test_review_links import told
 
-ADVICE = {"gone_is_advisory": True}
+ADVISORY = {"gone_is_advisory": True}
 
 
-def facts(value: Any) -> dict[str, Any]:
+def facts_with(value: Any) -> dict[str, Any]:
     return FACTS | {"Invariants": FACTS["Invariants"] | {"GoneIsAdvice": value}}
 
 
-def test_the_setting_comes_in_both_ways_and_is_a_boolean(tmp_path: Path) -> None:
+def test_the_setting_is_a_boolean_in_facts_and_in_the_configuration(tmp_path: Path) -> None:
     assert not parse_deployment(1, FACTS).gone_is_advisory
-    assert parse_deployment(1, facts(True)).gone_is_advisory and not parse_deployment(1, facts(False)).gone_is_advisory
+    assert (
+        parse_deployment(1, facts_with(True)).gone_is_advisory
+        and not parse_deployment(1, facts_with(False)).gone_is_advisory
+    )
     path = tmp_path / "x.json"
     for value in (1, "true", None):
-        path.write_text(json.dumps(told(1, 2, settings=facts(value))))
+        path.write_text(json.dumps(told(1, 2, settings=facts_with(value))))
         with pytest.raises(ConfigError, match=r"^settings: Invariants\.GoneIsAdvice: must be true or false"):
             read_config(str(path), {})
-    path.write_text(json.dumps(told(1, 2, settings=facts(True))))
+    path.write_text(json.dumps(told(1, 2, settings=facts_with(True))))
     assert read_config(str(path), {}).settings.gone_is_advisory
 
 
-def sent(play: Scenario, many: int = 40) -> set[int]:
+def hosts_used(play: Scenario, many: int = 40) -> set[int]:
     """The hosts that get something now."""
     play.hops.clear()
     for number in range(many):
@@ -46,7 +49,7 @@
 
 @pytest.mark.parametrize("advice", [True, False])
 @pytest.mark.parametrize("how", ["called gone", "left out", "empty"])
-def test_hosts_that_the_list_lacks_are_used_where_that_is_advice_alone(how: str, advice: bool) -> None:
+def test_hosts_that_many_lists_drop_are_still_used_where_removal_is_advisory(how: str, advice: bool) -> None:
     play = Scenario(4, gone_is_advisory=advice)
     if how == "called gone":
         play.list(listed_host(1, m.HostStatus.GONE), listed_host(2, m.HostStatus.GONE))
@@ -55,63 +58,63 @@
     else:
         play.list(complete=True)
     left = set() if how == "empty" else {0, 3}
-    assert sent(play) == ({0, 1, 2, 3} if advice else left)
+    assert hosts_used(play) == ({0, 1, 2, 3} if advice else left)
     play.list(*(listed_host(h) for h in range(4)), complete=True)
-    assert sent(play) == {0, 1, 2, 3}
+    assert hosts_used(play) == {0, 1, 2, 3}
 
 
-def test_a_draining_that_was_seen_binds_whatever_the_list_says_next() -> None:
-    play = Scenario(4, **ADVICE)
+def test_an_observed_drain_is_binding_whatever_later_lists_say() -> None:
+    play = Scenario(4, **ADVISORY)
     play.list(listed_host(2, m.HostStatus.DRAINING))
-    assert sent(play) == {0, 1, 3}
+    assert hosts_used(play) == {0, 1, 3}
     for lines in ((listed_host(2, m.HostStatus.GONE),), (listed_host(2),)):  # gone, and an older list that comes again
         play.list(*lines)
-        assert sent(play) == {0, 1, 3}
+        assert hosts_used(play) == {0, 1, 3}
     play.list(*(listed_host(h) for h in range(4)), complete=True)
-    assert sent(play) == {0, 1, 3}
+    assert hosts_used(play) == {0, 1, 3}
     play.list(listed_host(2, started_at=play.now - SECOND))  # started again: another process than the one that drained
     assert play.balancer.hosts[2].status is m.HostStatus.READY
 
 
-def test_where_gone_binds_an_up_after_a_draining_counts_at_once() -> None:
+def test_where_removal_is_binding_a_host_that_is_up_after_a_drain_is_used_at_once() -> None:
     play = Scenario(4)
     play.list(listed_host(2, m.HostStatus.DRAINING))
     play.list(listed_host(2))
-    assert sent(play) == {0, 1, 2, 3}
+    assert hosts_used(play) == {0, 1, 2, 3}
 
 
 @pytest.mark.parametrize("advice", [True, False])
-def test_a_few_that_the_list_drops_are_believed_to_be_gone(advice: bool) -> None:
+def test_a_few_hosts_that_the_list_drops_count_as_gone(advice: bool) -> None:
     """As many as fail together by themselves: to go on with them cost more than it brought."""
     play = Scenario(6, gone_is_advisory=advice)
     play.list(listed_host(1, m.HostStatus.GONE))
-    assert sent(play) == {0, 2, 3, 4, 5}
+    assert hosts_used(play) == {0, 2, 3, 4, 5}
     play.list(*(listed_host(h) for h in (0, 2, 3, 4)), complete=True)
-    assert sent(play) == {0, 2, 3, 4}
+    assert hosts_used(play) == {0, 2, 3, 4}
 
 
-def test_one_that_the_list_dropped_and_that_fails_is_out_as_any_other() -> None:
-    play = Scenario(6, **ADVICE)
-    sent(play)
+def test_a_dropped_host_that_fails_is_ejected_like_any_other() -> None:
+    play = Scenario(6, **ADVISORY)
+    hosts_used(play)
     play.list(complete=True)
     for number in range(60):
         tx = play.arrive(key=f"x{number}")
         for hop, host in enumerate(play.hops.get(tx, [])):
             play.end_hop(tx, m.HopOutcome.UNREACHABLE if host == 5 else m.HopOutcome.DONE, hop)
-    assert play.balancer.hosts[5].ejected_until > play.now and sent(play) <= {0, 1, 2, 3, 4}
+    assert play.balancer.hosts[5].ejected_until > play.now and hosts_used(play) <= {0, 1, 2, 3, 4}
 
 
-def test_no_host_is_remembered_for_longer_than_the_bound() -> None:
-    play = Scenario(4, **ADVICE)
+def test_a_dropped_host_is_forgotten_after_the_limit() -> None:
+    play = Scenario(4, **ADVISORY)
     play.list(listed_host(0), listed_host(1), complete=True)
     play.run(FORGET_HOST_AFTER_NS // 1_000_000 - 1000)
     assert len(play.balancer.hosts) == 4
     play.run(3500)
-    assert set(play.balancer.hosts) == {0, 1} and sent(play) == {0, 1}
+    assert set(play.balancer.hosts) == {0, 1} and hosts_used(play) == {0, 1}
 
 
-def test_on_sockets_too_what_the_list_lacks_is_reached_until_it_is_forgotten() -> None:
-    net = Net(hosts=1, facts=facts(True))
+def test_the_proxy_reaches_a_dropped_host_until_it_is_forgotten() -> None:
+    net = Net(hosts=1, facts=facts_with(True))
     net.list(member(1, "removed"))
     client = net.client()
     client.feed(mg(1))
--- a/tests/test_anywhere.py
+++ b/tests/test_anywhere.py
@@ -5,7 +5,7 @@
 from tests.helper import Scenario
 
 
-def play_bad(play: Scenario, keys: int, rounds: int, bad: frozenset[int] = frozenset()) -> int:
+def run_with_failing_keys(play: Scenario, keys: int, rounds: int, bad: frozenset[int] = frozenset()) -> int:
     """Every third tx has a key that fails anywhere; the hosts in `bad` answer errors alone. Their hops in all."""
     hops = 0
     for number in range(rounds):
@@ -27,23 +27,23 @@
     return hops
 
 
-def test_no_cache_host_is_blamed_for_what_fails_anywhere() -> None:
+def test_no_cache_host_is_ejected_for_keys_that_fail_everywhere() -> None:
     play = Scenario(6)
-    hops = play_bad(play, keys=8, rounds=900)
+    hops = run_with_failing_keys(play, keys=8, rounds=900)
     assert not any(h.ejected_until > 0 or h.on_probation for h in play.balancer.hosts.values())
     assert not play.balancer.origin_paused_until  # nor the origin
     # Few hops: two for the first tx of a key, one for each of the others while that is known.
     assert hops < 900 // 3 + 8 * 3 * (900 * 10 * MS // FAILING_KEY_TTL_NS + 1)
 
 
-def test_a_cache_host_that_answers_errors_alone_is_still_found() -> None:
+def test_a_cache_host_that_returns_only_errors_is_still_ejected() -> None:
     play = Scenario(6)
-    play_bad(play, keys=8, rounds=600, bad=frozenset({4}))
+    run_with_failing_keys(play, keys=8, rounds=600, bad=frozenset({4}))
     assert play.balancer.hosts[4].ejection_time > 0
     assert not any(h.ejection_time for i, h in play.balancer.hosts.items() if i != 4)
 
 
-def test_a_key_that_is_answered_again_is_no_longer_held_to_fail_and_the_table_is_bounded() -> None:
+def test_a_key_that_succeeds_is_no_longer_failing_and_the_table_is_bounded() -> None:
     play = Scenario(4)
     tx = play.arrive(key="x")
     play.end_hop(tx, m.HopOutcome.ERROR, 0)
@@ -71,7 +71,7 @@
     assert len(play.balancer.failing_keys) == 1  # what is over is let go of for the next
 
 
-def test_an_error_counts_once_another_cache_host_has_answered_that_transaction() -> None:
+def test_an_error_counts_once_another_cache_host_has_answered_the_transaction() -> None:
     play = Scenario(4)
     tx = play.arrive(key="x")
     first = play.balancer.hosts[play.hops[tx][0]]
@@ -81,7 +81,7 @@
     assert first.failures == 1 or first.ejection_time
 
 
-def test_what_fails_anywhere_takes_nothing_of_its_tenants_share() -> None:
+def test_failing_keys_use_nothing_of_their_share() -> None:
     play = Scenario(4)
     tx = play.arrive(key="x", share=0)
     before = play.balancer.share_tokens[0]
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -16,67 +16,69 @@
 from tests.helper import CONFIG, T0, listed_host
 
 COLD, WARM = 0, 1
-SPAN = CONFIG.overload_window
+WINDOW = CONFIG.overload_window
 
 
 class Fleet:
     """Balancers before one warm cache host and a cold one that just started."""
 
     def __init__(self, many: int, rate: float, seed: int, even: bool = True, **terms: Any) -> None:
-        self.draw, self.rate = Random(seed), rate
-        self.start = replace(
+        self.random, self.rate = Random(seed), rate
+        self.config = replace(
             CONFIG, balancer_count=many, can_cancel=True, parallel_hops=False, warm_up_time=30 * SECOND, **terms
         )
-        parts = [1.0 if even else self.draw.expovariate(1.0) for _ in range(many)]
+        parts = [1.0 if even else self.random.expovariate(1.0) for _ in range(many)]
         self.rates = [rate * part / sum(parts) for part in parts]
-        self.all = [self._one(n) for n in range(many)]
-        self.sent: list[int] = []  # when something went to the cold one, by whomever
-        self.tx = 0
+        self.balancers = [self._new_balancer(n) for n in range(many)]
+        self.cold_hops: list[int] = []  # when something went to the cold one, by whomever
+        self.last_tx = 0
 
-    def _one(self, number: int) -> Balancer:
-        one = Balancer(replace(self.start, balancer_index=number, seed=number + 1))
+    def _new_balancer(self, number: int) -> Balancer:
+        one = Balancer(replace(self.config, balancer_index=number, seed=number + 1))
         one.decide(T0, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, started_at=T0))))
         # As measured at warm hosts, of which each has the same load.
         one.arrival_rate = one.rate_per_weight = self.rates[number]
         return one
 
     def restart(self, number: int, now: int) -> None:
-        one = self.all[number] = Balancer(replace(self.start, balancer_index=number, seed=self.draw.getrandbits(32)))
+        one = self.balancers[number] = Balancer(
+            replace(self.config, balancer_index=number, seed=self.random.getrandbits(32))
+        )
         one.decide(now, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, started_at=T0))))
         one.arrival_rate = one.rate_per_weight = self.rates[number]
 
-    def wants(self, one: Balancer, now: int) -> None:
+    def try_cold_host(self, one: Balancer, now: int) -> None:
         """Sends a hop to the cold host if the decisions have room for it there; it is never answered."""
         one.now, one.actions = now, []
-        self.tx += 1
-        tx = one.txs[self.tx] = _tx(self.tx, now)
+        self.last_tx += 1
+        tx = one.txs[self.last_tx] = new_tx(self.last_tx, now)
         if one._send(tx, one.hosts[COLD]):
-            self.sent.append(now)
+            self.cold_hops.append(now)
 
-    def times(self, mean: float) -> int:
+    def poisson(self, mean: float) -> int:
         """A draw of how often something comes about."""
-        many, left = 0, self.draw.expovariate(1.0)
+        many, left = 0, self.random.expovariate(1.0)
         while left < mean:
-            many, left = many + 1, left + self.draw.expovariate(1.0)
+            many, left = many + 1, left + self.random.expovariate(1.0)
         return many
 
-    def most(self) -> int:
+    def max_per_window(self) -> int:
         """The most within the settings' time."""
-        times, most, first = sorted(self.sent), 0, 0
+        times, most, first = sorted(self.cold_hops), 0, 0
         for last, at in enumerate(times):
-            while times[first] <= at - SPAN:
+            while times[first] <= at - WINDOW:
                 first += 1
             most = max(most, last - first + 1)
         return most
 
 
-def _tx(number: int, now: int) -> Tx:
+def new_tx(number: int, now: int) -> Tx:
     return Tx(number, CONFIG.profiles[0], False, goal_at=now + SECOND, deadline=now + SECOND)
 
 
-def allowed(fleet: Fleet, now: int) -> float:
+def overload_limit(fleet: Fleet, now: int) -> float:
     """N of the rule, a warm host being able to do what it is sent and no more."""
-    start = fleet.start
+    start = fleet.config
     warmth = start.cold_share + (1 - start.cold_share) * (now - T0) / start.warm_up_time
     return start.overload_multiple * warmth * fleet.rate * start.overload_window / SECOND
 
@@ -85,7 +87,7 @@
 @pytest.mark.parametrize("tip", [1.5, 4.0])
 @pytest.mark.parametrize(("rate", "even"), [(3.0, True), (30.0, True), (36.0, False), (200.0, False)])
 @pytest.mark.parametrize("many", [1, 3, 30, 230])
-def test_all_balancers_together_keep_under_what_a_cold_host_bears(
+def test_all_balancers_together_do_not_overload_a_cold_host(
     many: int, rate: float, even: bool, tip: float, wanted: str
 ) -> None:
     for seed in range(2):
@@ -99,15 +101,15 @@
             if wanted == "restarts" and at == 2 * SECOND:
                 for number in range(0, many, 2):
                     fleet.restart(number, now)
-            for one, rate_of_one in zip(fleet.all, fleet.rates, strict=True):
+            for one, rate_of_one in zip(fleet.balancers, fleet.rates, strict=True):
                 # As often as it sends to eight warm hosts, which is what the decisions deal windows for.
-                for _ in range(fleet.times(8 * rate_of_one * step / SECOND)):
-                    fleet.wants(one, now)
-        most, bound = fleet.most(), allowed(fleet, T0 + end)
+                for _ in range(fleet.poisson(8 * rate_of_one * step / SECOND)):
+                    fleet.try_cold_host(one, now)
+        most, bound = fleet.max_per_window(), overload_limit(fleet, T0 + end)
         assert most <= bound + 2 * sqrt(bound) + 2, (many, rate, tip, wanted, most, bound)
 
 
-def test_a_cold_host_is_not_kept_waiting_on_a_clock_that_has_just_begun() -> None:
+def test_a_cold_host_gets_hops_on_a_clock_that_starts_at_zero() -> None:
     """In the simulator, and on a machine that has just started, the first second of the clock is the day's."""
     sent = 0
     for number in range(100):
@@ -116,6 +118,6 @@
         one.decide(now, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, started_at=now))))
         one.arrival_rate = one.rate_per_weight = 0.3
         one.now, one.actions = now, []
-        tx = one.txs[1] = _tx(1, now)
+        tx = one.txs[1] = new_tx(1, now)
         sent += one._send(tx, one.hosts[COLD])
     assert sent >= 5
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,32 +7,32 @@
 from .helper import Scenario, listed_host
 
 
-def settle(p: Scenario, keys: int = 40, rounds: int = 10, pause: int = 5) -> None:
+def warm_up(p: Scenario, keys: int = 40, rounds: int = 10, pause: int = 5) -> None:
     for n in range(keys * rounds):
         p.end_hop(p.arrive(f"k{n % keys}"), m.HopOutcome.DONE)
         p.run(pause)
     p.trace.clear()
 
 
-def test_a_key_keeps_its_host_and_one_host_less_moves_only_its_own() -> None:
+def test_removing_a_host_moves_only_the_keys_of_that_host() -> None:
     p = Scenario(5)
-    settle(p)
+    warm_up(p)
     before = {f"k{n}": p.hops[p.last_tx - 39 + n][0] for n in range(40)}
     p.list(listed_host(2, m.HostStatus.GONE))
-    settle(p, rounds=1)
+    warm_up(p, rounds=1)
     after = {f"k{n}": p.hops[p.last_tx - 39 + n][0] for n in range(40)}
     moved = [k for k in before if before[k] != after[k]]
     assert moved and all(before[k] == 2 for k in moved)
 
 
-def test_two_balancers_agree_whatever_their_seeds() -> None:
+def test_two_balancers_choose_the_same_hosts_with_different_seeds() -> None:
     one, two = Scenario(6, seed=1), Scenario(6, seed=2)
     for p in (one, two):
-        settle(p, rounds=1)
+        warm_up(p, rounds=1)
     assert one.hops == two.hops
 
 
-def test_the_gain_score_moves_a_range_only_past_its_affinity() -> None:
+def test_a_range_moves_only_if_the_gain_outweighs_its_affinity() -> None:
     p = Scenario()
     b = p.balancer
     small, large = b._range_of(1), b._range_of(1 << 63)
@@ -44,7 +44,7 @@
     assert (small.group, large.group) == (7, 1)
 
 
-def test_hot_keys_become_ranges_of_their_own_and_fold_back() -> None:
+def test_hot_keys_get_ranges_of_their_own_and_lose_them_again() -> None:
     p = Scenario()
     for n in range(600):
         p.end_hop(p.arrive("hot" if n % 2 else f"k{n}"), m.HopOutcome.DONE)
@@ -58,17 +58,17 @@
     assert p.balancer.group_loads.min_load == min(p.balancer.group_loads)
 
 
-def test_a_crowded_host_spills_and_the_spill_stays_where_it_went() -> None:
+def test_an_overloaded_host_spills_to_a_stable_host() -> None:
     p = Scenario(3)
-    settle(p)
+    warm_up(p)
     for _ in range(8):
         p.arrive("k1")
     p.matches("spill")
 
 
-def test_failures_in_a_row_take_a_host_out_and_trial_traffic_brings_it_back() -> None:
+def test_consecutive_failures_eject_a_host_and_probation_restores_it() -> None:
     p = Scenario(4)
-    settle(p)
+    warm_up(p)
     for _ in range(3):
         p.end_hop(p.arrive("k1"), m.HopOutcome.RESET)
     p.arrive("k1")
@@ -78,18 +78,18 @@
     p.matches("out_and_back")
 
 
-def test_a_fleet_wide_failure_takes_nobody_out() -> None:
+def test_a_fleet_wide_failure_ejects_at_most_one_host() -> None:
     p = Scenario(4)
-    settle(p)
+    warm_up(p)
     for n in range(40):
         p.end_hop(p.arrive(f"k{n}"), m.HopOutcome.RESET)
     out = sum(h.ejected_until > p.now for h in p.balancer.ready)
     assert out <= 1
 
 
-def test_a_late_hop_gets_a_second_copy_once_its_host_is_taken_out() -> None:
+def test_a_late_hop_is_hedged_once_its_host_is_ejected() -> None:
     p = Scenario()
-    settle(p)
+    warm_up(p)
     tx = p.arrive("k3")
     others = [k for k in range(40) if k != 3 and p.hops[361 + k] == p.hops[tx]]
     for other in others[:2]:
@@ -101,9 +101,9 @@
     p.matches("second_copy")
 
 
-def test_not_in_time_is_rolled_back_at_once_but_for_one_on_trial() -> None:
+def test_what_would_be_late_is_rolled_back_at_once_except_for_one_probe() -> None:
     p = Scenario(1)
-    settle(p, pause=400)
+    warm_up(p, pause=400)
     p.end_hop(p.arrive("k1"), m.HopOutcome.DONE, duration_ms=5000)
     trial = p.arrive("k1")
     p.arrive("k1")
@@ -114,16 +114,16 @@
     p.matches("not_in_time")
 
 
-def test_a_try_whose_goal_has_passed_is_not_sent() -> None:
+def test_a_retry_whose_goal_has_passed_is_not_sent() -> None:
     p = Scenario()
     p.end_hop(p.arrive(), m.HopOutcome.DONE)
     p.arrive(ttl=700, is_retry=True)
     p.matches("goal_passed")
 
 
-def test_what_is_beyond_its_share_needs_more_room() -> None:
+def test_a_transaction_over_its_share_needs_a_faster_host() -> None:
     p = Scenario(1)
-    settle(p, pause=400)
+    warm_up(p, pause=400)
     p.end_hop(p.arrive("k1"), m.HopOutcome.DONE, duration_ms=900)
     for _ in range(10):
         tx = p.arrive("k1", share=0)
@@ -133,7 +133,7 @@
     p.matches("share")
 
 
-def test_aside_what_is_not_there_comes_from_the_origin() -> None:
+def test_cache_aside_misses_are_fetched_from_the_origin() -> None:
     p = Scenario(3, origin=True)
     first, second = p.arrive(), p.arrive()
     p.end_hop(first, m.HopOutcome.MISS)
@@ -143,7 +143,7 @@
     p.matches("aside_miss")
 
 
-def test_aside_writes_go_to_the_origin_and_not_without_it() -> None:
+def test_cache_aside_writes_go_to_the_origin_and_nowhere_without_one() -> None:
     p = Scenario(3, origin=True)
     p.end_hop(p.arrive(profile=1), m.HopOutcome.DONE)
     p.list(listed_host(9, m.HostStatus.GONE, kind=1))
@@ -151,7 +151,7 @@
     p.matches("aside_writes")
 
 
-def test_through_unknown_copies_pass_the_gate_and_not_while_the_origin_rests() -> None:
+def test_reads_without_a_known_copy_are_refused_while_the_origin_is_paused() -> None:
     """Against an origin that answers each of many fetches at once, with an error."""
     p = Scenario(3)
     for n in range(3):
@@ -164,14 +164,14 @@
     p.matches("through_rest")
 
 
-def test_one_heavy_answer_does_not_close_the_origin() -> None:
+def test_one_slow_fetch_does_not_cut_the_origin_limit() -> None:
     p = Scenario(3, origin=True)
     for n in range(30):
         p.end_hop(p.arrive(f"w{n}", profile=1), m.HopOutcome.DONE, duration_ms=2000 if n == 20 else 50)
     assert p.balancer.origin_limit >= INITIAL_ORIGIN_LIMIT / 2
 
 
-def test_an_origin_late_in_the_mean_is_asked_less() -> None:
+def test_a_slow_mean_fetch_duration_cuts_the_origin_limit() -> None:
     p = Scenario(3, origin=True)
     for n in range(30):
         p.end_hop(p.arrive(f"w{n}", profile=1), m.HopOutcome.DONE, duration_ms=900)
@@ -179,7 +179,7 @@
     assert p.balancer.origin_limit < 8
 
 
-def test_nowhere_to_go_is_answered_at_once() -> None:
+def test_without_hosts_every_transaction_is_refused_at_once() -> None:
     p = Scenario(0)
     for profile in range(4):
         p.arrive(profile=profile)
@@ -189,7 +189,7 @@
     p.matches("nowhere")
 
 
-def test_a_silent_or_lost_list_is_asked_for_again_and_again_later() -> None:
+def test_an_unavailable_list_is_requested_again_with_growing_delay() -> None:
     p = Scenario(2, watch_list=True)
     for _ in range(4):
         p.feed("list lost", m.ListUnavailable())
@@ -198,14 +198,14 @@
     p.matches("list_lost")
 
 
-def test_no_key_goes_to_the_less_busy_of_two() -> None:
+def test_a_transaction_without_a_key_goes_to_the_less_loaded_of_two_hosts() -> None:
     p = Scenario(3)
     for _ in range(6):
         p.arrive(key=None)
     p.matches("no_key")
 
 
-def test_events_of_ended_or_unknown_transactions_are_passed_over() -> None:
+def test_events_of_ended_or_unknown_transactions_are_ignored() -> None:
     p = Scenario()
     tx = p.arrive()
     p.end_hop(tx, m.HopOutcome.DONE)
@@ -216,9 +216,9 @@
     p.matches("passed_over")
 
 
-def test_a_cold_host_out_of_budget_spills_and_rolls_nothing_back() -> None:
+def test_an_exhausted_cold_budget_spills_and_rolls_nothing_back() -> None:
     p = Scenario(4)
-    settle(p)
+    warm_up(p)
     p.list(listed_host(1, started_at=p.now - 12_000_000_000))
     p.trace.clear()
     for n in range(40):
@@ -226,18 +226,18 @@
     assert not any("roll back" in said for said in p.trace)
 
 
-def test_a_balancer_started_in_a_release_learns_what_warm_hosts_take() -> None:
+def test_a_balancer_started_during_a_release_learns_the_rate_of_warm_hosts() -> None:
     """Against cold hosts that get one hop a window for as long as most of the fleet is cold."""
     p = Scenario(4)
     p.list(*(listed_host(h, started_at=p.now - 15_000_000_000) for h in (1, 2, 3)))
-    settle(p, rounds=20)
+    warm_up(p, rounds=20)
     assert p.balancer.rate_per_weight > 10
 
 
-def test_time_outs_feed_the_estimate() -> None:
+def test_timeouts_count_in_the_duration_estimate() -> None:
     """Against a fleet so crowded that only its quickest answers would be counted."""
     p = Scenario(1, parallel_hops=False)
-    settle(p)
+    warm_up(p)
     for _ in range(8):
         p.arrive("k1")
     for tx in range(p.last_tx - 7, p.last_tx + 1):
@@ -247,10 +247,10 @@
     p.matches("crowded_fleet")
 
 
-def test_a_host_that_turns_everything_away_is_left_and_costs_no_further_hop() -> None:
+def test_a_host_that_refuses_everything_is_ejected_without_extra_hop_tokens() -> None:
     """Against a draining host of which the list is silent for seconds."""
     p = Scenario(3)
-    settle(p)
+    warm_up(p)
     p.balancer.extra_hop_tokens = 0.0
     for _ in range(3):
         tx = p.arrive("k1")
@@ -259,16 +259,16 @@
     p.matches("turned_away")
 
 
-def test_aside_what_no_host_answers_in_time_the_origin_may() -> None:
+def test_cache_aside_reads_go_to_the_origin_if_no_host_is_in_time() -> None:
     p = Scenario(1, origin=True)
-    settle(p)
+    warm_up(p)
     p.end_hop(p.arrive("k1"), m.HopOutcome.DONE, duration_ms=20000)
     p.arrive("k1")
     p.end_hop(p.arrive("k1"), m.HopOutcome.DONE)
     p.matches("overflow")
 
 
-def test_balancers_spread_a_hot_key_over_its_places_and_each_keeps_to_one() -> None:
+def test_balancers_spread_a_hot_key_over_hosts_and_each_uses_one() -> None:
     places: set[int] = set()
     kept = 0
     for number in range(0, 200, 20):
@@ -294,7 +294,7 @@
     p.matches("paced")
 
 
-def test_a_part_of_a_share_under_one_tx_still_holds_whole_ones() -> None:
+def test_a_small_part_of_a_share_still_allows_whole_transactions() -> None:
     p = Scenario(2, quotas=(40.0,), balancer_count=200)
     over = []
     for _ in range(12):
@@ -305,10 +305,10 @@
     assert over.count(True) <= 2
 
 
-def test_connections_that_break_under_fetches_tell_nothing_of_the_origin() -> None:
+def test_broken_connections_do_not_cut_the_origin_limit() -> None:
     """Against a gate that closes on hosts that lose answers, while every fetch that comes back is in time."""
     p = Scenario(6)
-    settle(p)
+    warm_up(p)
     for n in range(6):
         p.end_hop(p.arrive(f"w{n}", profile=2), m.HopOutcome.RESET)
     p.end_hop(p.arrive("w6", profile=2), m.HopOutcome.DONE)
@@ -316,7 +316,7 @@
     p.matches("origin_kept")
 
 
-def test_failures_by_chance_leave_no_healthy_host_out_but_silence_does() -> None:
+def test_random_failures_eject_no_healthy_host_but_silence_does() -> None:
     """Against two in a row out of fifty hops a second, when one in ten is lost wherever it goes."""
     p = Scenario(5)
 
@@ -325,7 +325,7 @@
         p.end_hop(tx, m.HopOutcome.RESET)
         p.end_hop(tx, m.HopOutcome.DONE, hop=1)
 
-    settle(p)
+    warm_up(p)
     for n in range(300):
         p.end_hop(p.arrive(f"k{n % 40}"), m.HopOutcome.DONE) if n % 10 else lose(f"k{n % 40}")
         p.run(5)
@@ -343,20 +343,20 @@
     assert [h.index for h in p.balancer.ready if h.ejected_until] == [home]
 
 
-def test_where_hops_are_many_ten_slow_answers_are_no_crowd() -> None:
+def test_ten_slow_responses_are_no_overload_where_hops_are_frequent() -> None:
     """Against a crowd and slow hosts seen by chance, at two hundred hops a second."""
     rare, many = Scenario(4), Scenario(4)
     for p, pause in ((rare, 1000), (many, 5)):
-        settle(p, pause=pause)
+        warm_up(p, pause=pause)
         for n in range(10):
             p.end_hop(p.arrive(f"k{n}"), m.HopOutcome.DONE, duration_ms=60)
     assert many.balancer.mean_duration < 30 * MS < rare.balancer.mean_duration
 
 
-def test_an_answer_that_later_ones_overtook_is_lost_and_asked_for_again_where_the_key_lies() -> None:
+def test_a_lost_response_shows_by_later_ones_and_is_requested_again_at_the_same_host() -> None:
     """Against cache hosts that lose one answer in four: the others of theirs come back as fast as ever."""
     p = Scenario(4)
-    settle(p)
+    warm_up(p)
     p.balancer.unseen_hit_ratio = 0.5  # unknown keys are fetched
     took, limit = p.balancer.mean_duration, p.balancer.origin_limit
     late, fetch = p.arrive("k1"), p.arrive("x1")
@@ -373,10 +373,10 @@
     assert not any(h.ejected_until for h in p.balancer.ready)
 
 
-def test_a_connection_that_breaks_at_once_costs_nothing_of_the_budget_for_further_hops() -> None:
+def test_an_immediate_connection_failure_costs_no_extra_hop_token() -> None:
     """Against cache hosts that reset one kept connection in six, on a day with room for every further hop."""
     p = Scenario(5)
-    settle(p)
+    warm_up(p)
     p.balancer.extra_hop_tokens, p.balancer.mean_duration = 0.0, 100.0 * MS
     for end, after in (
         (m.HopOutcome.RESET, 3),
@@ -391,9 +391,9 @@
     p.matches("broken_at_once")
 
 
-def test_a_write_whose_home_would_be_late_goes_where_it_is_soonest_and_a_read_stays() -> None:
+def test_a_write_goes_to_the_fastest_host_if_its_own_would_be_slow_and_a_read_stays() -> None:
     p = Scenario(4)
-    settle(p)
+    warm_up(p)
     home = p.hops[p.arrive("k1")][0]
     p.end_hop(p.last_tx, m.HopOutcome.DONE)
     others = [f"k{k}" for k in range(40) if p.hops[361 + k][0] != home]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("profile", range(4))
-def test_every_profile_against_every_end(profile: int) -> None:
+def test_every_profile_with_every_hop_outcome(profile: int) -> None:
     p = Scenario()
     for end in m.HopOutcome:
         if end is not m.HopOutcome.DONE:
@@ -18,7 +18,7 @@
     p.matches(f"ends_profile_{profile}")
 
 
-def test_one_answer_before_the_goal_and_nothing_after_it() -> None:
+def test_one_response_before_the_goal_and_nothing_after_it() -> None:
     p = Scenario(parallel_hops=False)
     tx = p.arrive(profile=2)
     p.run(2000)
@@ -30,7 +30,7 @@
     p.matches("one_answer")
 
 
-def test_time_out_at_the_hard_limit_still_gets_its_answer() -> None:
+def test_a_timeout_at_the_hard_limit_still_gets_a_response() -> None:
     p = Scenario()
     tx = p.arrive(profile=2, ttl=100)
     p.now += 100_000_000
@@ -38,7 +38,7 @@
     p.matches("hard_limit")
 
 
-def test_journalled_is_not_sent_again_past_the_memory() -> None:
+def test_a_journalled_transaction_is_not_repeated_after_the_dedup_window() -> None:
     p = Scenario()
     tx = p.arrive(profile=1)
     p.now += 299_000_000
@@ -46,7 +46,7 @@
     p.matches("memory")
 
 
-def test_nothing_new_after_a_drain_or_a_whole_list_without_it() -> None:
+def test_nothing_new_goes_to_a_host_that_drains_or_is_not_listed() -> None:
     p = Scenario(2)
     first = p.hops[p.arrive()][0]
     p.list(listed_host(first, m.HostStatus.DRAINING))
@@ -58,7 +58,7 @@
     p.matches("drain")
 
 
-def test_a_restarted_host_comes_back_range_by_range_within_its_budget() -> None:
+def test_a_restarted_host_gets_its_ranges_back_within_its_budget() -> None:
     p = Scenario(3)
     for n in range(400):
         p.end_hop(p.arrive(f"k{n}"), m.HopOutcome.DONE)
@@ -79,7 +79,7 @@
     p.matches("cold_budget")
 
 
-def test_a_cold_host_of_unknown_rate_gets_one_hop_a_window() -> None:
+def test_a_cold_host_with_unknown_rate_gets_one_hop_per_window() -> None:
     p = Scenario(1)
     p.list(listed_host(0, started_at=T0 - SECOND))
     for n in range(200):
@@ -87,7 +87,7 @@
     assert sum(len(h) for h in p.hops.values()) == 1
 
 
-def test_all_of_many_balancers_together_spare_a_cold_host() -> None:
+def test_many_balancers_together_keep_the_budget_of_a_cold_host() -> None:
     """Against a floor of one hop a window for each: nine times what the host could do, from 380 balancers."""
     sent = [0] * 10
     for number in range(100):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -46,31 +46,34 @@
 }
 
 
-def batch(*events: dict[str, Any]) -> bytes:
+def encode_batch(*events: dict[str, Any]) -> bytes:
     lines: list[dict[str, Any]] = [{"msg": "Round", "Wall": 7000000}, *events, {"msg": "EofBatch"}]
     return b"".join(json.dumps(x).encode() + b"\n" for x in lines)
 
 
-def played(*parts: bytes) -> list[dict[str, Any]]:
+def run_adapter(*parts: bytes) -> list[dict[str, Any]]:
     out = io.BytesIO()
     serve.serve(io.BytesIO(b"".join(parts)), out)
     return [json.loads(x) for x in out.getvalue().splitlines()]
 
 
-def test_a_transaction_is_sent_and_unknown_settings_are_passed_over() -> None:
-    said = played(batch(*BEGIN), batch(ARRIVAL))
+def test_a_transaction_is_sent_and_unknown_settings_are_ignored() -> None:
+    said = run_adapter(encode_batch(*BEGIN), encode_batch(ARRIVAL))
     assert {"msg": "Deliver", "Who": 0, "Corr": "t/a", "Host": "10.0.0.1:80", "NotPast": 7397000} in said
 
 
 @pytest.mark.parametrize("stats", [None, [], ["x"], "odd", [1.0, 2.0]])
 def test_a_missing_or_odd_load_report_changes_nothing(stats: Any) -> None:
     probe = {"msg": "StatusBack", "Who": 0, "Took": 5, "StateCode": "done", "Host": HOST["Host"], "Stats": stats}
-    assert played(batch(*BEGIN), batch(probe, ARRIVAL))[-2:] == played(batch(*BEGIN), batch(ARRIVAL))[-2:]
+    assert (
+        run_adapter(encode_batch(*BEGIN), encode_batch(probe, ARRIVAL))[-2:]
+        == run_adapter(encode_batch(*BEGIN), encode_batch(ARRIVAL))[-2:]
+    )
 
 
-def test_a_killed_instance_is_forgotten_and_starts_anew() -> None:
+def test_a_killed_instance_loses_its_state_and_can_start_again() -> None:
     killed = {"msg": "Killed", "Who": 0}
-    said = played(batch(*BEGIN, ARRIVAL), batch(killed, *BEGIN, ARRIVAL | {"Corr": "t/b"}))
+    said = run_adapter(encode_batch(*BEGIN, ARRIVAL), encode_batch(killed, *BEGIN, ARRIVAL | {"Corr": "t/b"}))
     assert [x["Corr"] for x in said if x["msg"] == "Deliver"] == ["t/a", "t/b"]
 
 
@@ -82,22 +85,22 @@
         b'{"msg":"EofBatch"}\n',
         b'{"msg":"Round"}\n',
         b'{"msg":"Round","Wall":1}\n',
-        batch({"msg": "Sideways", "Who": 0}),
-        batch(ARRIVAL),
-        batch({"msg": "Init", "Who": 0, "Nonce64": 1}),
-        batch(*BEGIN, ARRIVAL | {"Type": "unheard"}),
-        batch(*BEGIN, {"msg": "Sideways", "Who": 0}),
+        encode_batch({"msg": "Sideways", "Who": 0}),
+        encode_batch(ARRIVAL),
+        encode_batch({"msg": "Init", "Who": 0, "Nonce64": 1}),
+        encode_batch(*BEGIN, ARRIVAL | {"Type": "unheard"}),
+        encode_batch(*BEGIN, {"msg": "Sideways", "Who": 0}),
     ],
 )
 def test_malformed_input_is_an_error(text: bytes) -> None:
     with pytest.raises(serve.WireError):
-        played(text)
+        run_adapter(text)
 
 
-def test_an_exception_in_the_decisions_is_declared(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_decisions_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: object) -> None:
         raise ValueError("broken on purpose")
 
     monkeypatch.setattr(Balancer, "decide", broken)
-    said = played(batch(*BEGIN))
+    said = run_adapter(encode_batch(*BEGIN))
     assert said[0]["msg"] == "GiveIn" and "broken on purpose" in said[0]["BodyText"]
