--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -1,4 +1,4 @@
-"""Lists that are wrong: where gone is advice, and where it binds; the same traces both ways."""
+"""Tests of host lists that wrongly drop hosts, where removal is advisory and where it is binding."""
 
 import json
 from pathlib import Path
@@ -36,81 +36,81 @@
     assert read_config(str(path), {}).settings.gone_is_advisory
 
 
-def hosts_used(play: Scenario, many: int = 40) -> set[int]:
-    """The hosts that get something now."""
-    play.hops.clear()
+def hosts_used(scenario: Scenario, many: int = 40) -> set[int]:
+    """The hosts that transactions are sent to now."""
+    scenario.hops.clear()
     for number in range(many):
-        tx = play.arrive(key=f"k{number}")
-        for hop in range(len(play.hops.get(tx, []))):
-            play.end_hop(tx, m.HopOutcome.DONE, hop)
-        play.run(20)
-    return {host for hosts in play.hops.values() for host in hosts}
+        tx = scenario.arrive(key=f"k{number}")
+        for hop in range(len(scenario.hops.get(tx, []))):
+            scenario.end_hop(tx, m.HopOutcome.DONE, hop)
+        scenario.run(20)
+    return {host for hosts in scenario.hops.values() for host in hosts}
 
 
 @pytest.mark.parametrize("advice", [True, False])
 @pytest.mark.parametrize("how", ["called gone", "left out", "empty"])
 def test_hosts_that_many_lists_drop_are_still_used_where_removal_is_advisory(how: str, advice: bool) -> None:
-    play = Scenario(4, gone_is_advisory=advice)
+    scenario = Scenario(4, gone_is_advisory=advice)
     if how == "called gone":
-        play.list(listed_host(1, m.HostStatus.GONE), listed_host(2, m.HostStatus.GONE))
+        scenario.list(listed_host(1, m.HostStatus.GONE), listed_host(2, m.HostStatus.GONE))
     elif how == "left out":
-        play.list(listed_host(0), listed_host(3), complete=True)
+        scenario.list(listed_host(0), listed_host(3), complete=True)
     else:
-        play.list(complete=True)
+        scenario.list(complete=True)
     left = set() if how == "empty" else {0, 3}
-    assert hosts_used(play) == ({0, 1, 2, 3} if advice else left)
-    play.list(*(listed_host(h) for h in range(4)), complete=True)
-    assert hosts_used(play) == {0, 1, 2, 3}
+    assert hosts_used(scenario) == ({0, 1, 2, 3} if advice else left)
+    scenario.list(*(listed_host(h) for h in range(4)), complete=True)
+    assert hosts_used(scenario) == {0, 1, 2, 3}
 
 
 def test_an_observed_drain_is_binding_whatever_later_lists_say() -> None:
-    play = Scenario(4, **ADVISORY)
-    play.list(listed_host(2, m.HostStatus.DRAINING))
-    assert hosts_used(play) == {0, 1, 3}
-    for lines in ((listed_host(2, m.HostStatus.GONE),), (listed_host(2),)):  # gone, and an older list that comes again
-        play.list(*lines)
-        assert hosts_used(play) == {0, 1, 3}
-    play.list(*(listed_host(h) for h in range(4)), complete=True)
-    assert hosts_used(play) == {0, 1, 3}
-    play.list(listed_host(2, started_at=play.now - SECOND))  # started again: another process than the one that drained
-    assert play.balancer.hosts[2].status is m.HostStatus.READY
+    scenario = Scenario(4, **ADVISORY)
+    scenario.list(listed_host(2, m.HostStatus.DRAINING))
+    assert hosts_used(scenario) == {0, 1, 3}
+    for lines in ((listed_host(2, m.HostStatus.GONE),), (listed_host(2),)):  # gone, and an outdated list
+        scenario.list(*lines)
+        assert hosts_used(scenario) == {0, 1, 3}
+    scenario.list(*(listed_host(h) for h in range(4)), complete=True)
+    assert hosts_used(scenario) == {0, 1, 3}
+    scenario.list(listed_host(2, started_at=scenario.now - SECOND))  # restarted: not the process that drained
+    assert scenario.balancer.hosts[2].status is m.HostStatus.READY
 
 
 def test_where_removal_is_binding_a_host_that_is_up_after_a_drain_is_used_at_once() -> None:
-    play = Scenario(4)
-    play.list(listed_host(2, m.HostStatus.DRAINING))
-    play.list(listed_host(2))
-    assert hosts_used(play) == {0, 1, 2, 3}
+    scenario = Scenario(4)
+    scenario.list(listed_host(2, m.HostStatus.DRAINING))
+    scenario.list(listed_host(2))
+    assert hosts_used(scenario) == {0, 1, 2, 3}
 
 
 @pytest.mark.parametrize("advice", [True, False])
 def test_a_few_hosts_that_the_list_drops_count_as_gone(advice: bool) -> None:
-    """As many as fail together by themselves: to go on with them cost more than it brought."""
-    play = Scenario(6, gone_is_advisory=advice)
-    play.list(listed_host(1, m.HostStatus.GONE))
-    assert hosts_used(play) == {0, 2, 3, 4, 5}
-    play.list(*(listed_host(h) for h in (0, 2, 3, 4)), complete=True)
-    assert hosts_used(play) == {0, 2, 3, 4}
+    """As many hosts may fail by themselves at once; to keep using them costs more than it gains."""
+    scenario = Scenario(6, gone_is_advisory=advice)
+    scenario.list(listed_host(1, m.HostStatus.GONE))
+    assert hosts_used(scenario) == {0, 2, 3, 4, 5}
+    scenario.list(*(listed_host(h) for h in (0, 2, 3, 4)), complete=True)
+    assert hosts_used(scenario) == {0, 2, 3, 4}
 
 
 def test_a_dropped_host_that_fails_is_ejected_like_any_other() -> None:
-    play = Scenario(6, **ADVISORY)
-    hosts_used(play)
-    play.list(complete=True)
+    scenario = Scenario(6, **ADVISORY)
+    hosts_used(scenario)
+    scenario.list(complete=True)
     for number in range(60):
-        tx = play.arrive(key=f"x{number}")
-        for hop, host in enumerate(play.hops.get(tx, [])):
-            play.end_hop(tx, m.HopOutcome.UNREACHABLE if host == 5 else m.HopOutcome.DONE, hop)
-    assert play.balancer.hosts[5].ejected_until > play.now and hosts_used(play) <= {0, 1, 2, 3, 4}
+        tx = scenario.arrive(key=f"x{number}")
+        for hop, host in enumerate(scenario.hops.get(tx, [])):
+            scenario.end_hop(tx, m.HopOutcome.UNREACHABLE if host == 5 else m.HopOutcome.DONE, hop)
+    assert scenario.balancer.hosts[5].ejected_until > scenario.now and hosts_used(scenario) <= {0, 1, 2, 3, 4}
 
 
 def test_a_dropped_host_is_forgotten_after_the_limit() -> None:
-    play = Scenario(4, **ADVISORY)
-    play.list(listed_host(0), listed_host(1), complete=True)
-    play.run(FORGET_HOST_AFTER_NS // 1_000_000 - 1000)
-    assert len(play.balancer.hosts) == 4
-    play.run(3500)
-    assert set(play.balancer.hosts) == {0, 1} and hosts_used(play) == {0, 1}
+    scenario = Scenario(4, **ADVISORY)
+    scenario.list(listed_host(0), listed_host(1), complete=True)
+    scenario.run(FORGET_HOST_AFTER_NS // 1_000_000 - 1000)
+    assert len(scenario.balancer.hosts) == 4
+    scenario.run(3500)
+    assert set(scenario.balancer.hosts) == {0, 1} and hosts_used(scenario) == {0, 1}
 
 
 def test_the_proxy_reaches_a_dropped_host_until_it_is_forgotten() -> None:
--- a/tests/test_anywhere.py
+++ b/tests/test_anywhere.py
@@ -1,20 +1,23 @@
-"""Transactions that fail wherever they go: no cache host is blamed, nor the origin, and they cost few hops."""
+"""Tests of keys that fail at every host: they eject no host, do not pause the origin, and cost few hops."""
 
 from ternquay import model as m
 from ternquay.balance import FAILING_KEY_TTL_NS, MAX_FAILING_KEYS, MS, SECOND
 from tests.helper import Scenario
 
 
-def run_with_failing_keys(play: Scenario, keys: int, rounds: int, bad: frozenset[int] = frozenset()) -> int:
-    """Every third tx has a key that fails anywhere; the hosts in `bad` answer errors alone. Their hops in all."""
+def run_with_failing_keys(scenario: Scenario, keys: int, rounds: int, bad: frozenset[int] = frozenset()) -> int:
+    """Run transactions of which every third has a failing key, and return the number of hops for those.
+
+    The hosts in `bad` return only errors.
+    """
     hops = 0
     for number in range(rounds):
         wrong = number % 3 == 0
-        tx = play.arrive(key=f"bad{number % keys}" if wrong else f"good{number % 50}", ttl=900)
+        tx = scenario.arrive(key=f"bad{number % keys}" if wrong else f"good{number % 50}", ttl=900)
         at = 0
-        while at < len(play.hops.get(tx, [])):
-            errs = wrong or play.hops[tx][at] in bad
-            play.end_hop(
+        while at < len(scenario.hops.get(tx, [])):
+            errs = wrong or scenario.hops[tx][at] in bad
+            scenario.end_hop(
                 tx,
                 m.HopOutcome.ERROR if errs else m.HopOutcome.DONE,
                 at,
@@ -23,75 +26,83 @@
             )
             at += 1
         hops += at * wrong
-        play.run(10)
+        scenario.run(10)
     return hops
 
 
 def test_no_cache_host_is_ejected_for_keys_that_fail_everywhere() -> None:
-    play = Scenario(6)
-    hops = run_with_failing_keys(play, keys=8, rounds=900)
-    assert not any(h.ejected_until > 0 or h.on_probation for h in play.balancer.hosts.values())
-    assert not play.balancer.origin_paused_until  # nor the origin
-    # Few hops: two for the first tx of a key, one for each of the others while that is known.
+    scenario = Scenario(6)
+    hops = run_with_failing_keys(scenario, keys=8, rounds=900)
+    assert not any(h.ejected_until > 0 or h.on_probation for h in scenario.balancer.hosts.values())
+    assert not scenario.balancer.origin_paused_until
+    # A failing key costs two hops for its first transaction, then one per transaction while it is known to fail.
     assert hops < 900 // 3 + 8 * 3 * (900 * 10 * MS // FAILING_KEY_TTL_NS + 1)
 
 
 def test_a_cache_host_that_returns_only_errors_is_still_ejected() -> None:
-    play = Scenario(6)
-    run_with_failing_keys(play, keys=8, rounds=600, bad=frozenset({4}))
-    assert play.balancer.hosts[4].ejection_time > 0
-    assert not any(h.ejection_time for i, h in play.balancer.hosts.items() if i != 4)
+    scenario = Scenario(6)
+    run_with_failing_keys(scenario, keys=8, rounds=600, bad=frozenset({4}))
+    assert scenario.balancer.hosts[4].ejection_time > 0
+    assert not any(h.ejection_time for i, h in scenario.balancer.hosts.items() if i != 4)
 
 
 def test_a_key_that_succeeds_is_no_longer_failing_and_the_table_is_bounded() -> None:
-    play = Scenario(4)
-    tx = play.arrive(key="x")
-    play.end_hop(tx, m.HopOutcome.ERROR, 0)
-    play.end_hop(tx, m.HopOutcome.ERROR, 1)
-    assert len(play.balancer.failing_keys) == 1
-    tx = play.arrive(key="x")
-    play.end_hop(tx, m.HopOutcome.ERROR, 0)
-    assert len(play.hops[tx]) == 1  # one hop, and no other's place
-    tx = play.arrive(key="x")
-    play.end_hop(tx, m.HopOutcome.DONE, 0)
-    assert not play.balancer.failing_keys
+    scenario = Scenario(4)
+    tx = scenario.arrive(key="x")
+    scenario.end_hop(tx, m.HopOutcome.ERROR, 0)
+    scenario.end_hop(tx, m.HopOutcome.ERROR, 1)
+    assert len(scenario.balancer.failing_keys) == 1
+    tx = scenario.arrive(key="x")
+    scenario.end_hop(tx, m.HopOutcome.ERROR, 0)
+    assert len(scenario.hops[tx]) == 1  # one hop, no retry
+    tx = scenario.arrive(key="x")
+    scenario.end_hop(tx, m.HopOutcome.DONE, 0)
+    assert not scenario.balancer.failing_keys
     for number in range(3 * MAX_FAILING_KEYS):
-        play.balancer.extra_hop_tokens, play.balancer.fetch_failures, play.balancer.origin_paused_until = 10.0, 0, 0
-        tx = play.arrive(key=f"x{number}")
+        scenario.balancer.extra_hop_tokens, scenario.balancer.fetch_failures, scenario.balancer.origin_paused_until = (
+            10.0,
+            0,
+            0,
+        )
+        tx = scenario.arrive(key=f"x{number}")
         for at in range(2):
-            if at < len(play.hops.get(tx, [])):
-                play.end_hop(tx, m.HopOutcome.ERROR, at)
-        play.run(1)
-    assert MAX_FAILING_KEYS // 2 < len(play.balancer.failing_keys) <= MAX_FAILING_KEYS
-    play.run(11 * SECOND // MS)
-    play.balancer.extra_hop_tokens, play.balancer.fetch_failures, play.balancer.origin_paused_until = 10.0, 0, 0
-    tx = play.arrive(key="y")
-    play.end_hop(tx, m.HopOutcome.ERROR, 0)
-    play.end_hop(tx, m.HopOutcome.ERROR, 1)
-    assert len(play.balancer.failing_keys) == 1  # what is over is let go of for the next
+            if at < len(scenario.hops.get(tx, [])):
+                scenario.end_hop(tx, m.HopOutcome.ERROR, at)
+        scenario.run(1)
+    assert MAX_FAILING_KEYS // 2 < len(scenario.balancer.failing_keys) <= MAX_FAILING_KEYS
+    scenario.run(11 * SECOND // MS)
+    scenario.balancer.extra_hop_tokens, scenario.balancer.fetch_failures, scenario.balancer.origin_paused_until = (
+        10.0,
+        0,
+        0,
+    )
+    tx = scenario.arrive(key="y")
+    scenario.end_hop(tx, m.HopOutcome.ERROR, 0)
+    scenario.end_hop(tx, m.HopOutcome.ERROR, 1)
+    assert len(scenario.balancer.failing_keys) == 1  # expired entries make room for new ones
 
 
 def test_an_error_counts_once_another_cache_host_has_answered_the_transaction() -> None:
-    play = Scenario(4)
-    tx = play.arrive(key="x")
-    first = play.balancer.hosts[play.hops[tx][0]]
-    play.end_hop(tx, m.HopOutcome.ERROR, 0)
+    scenario = Scenario(4)
+    tx = scenario.arrive(key="x")
+    first = scenario.balancer.hosts[scenario.hops[tx][0]]
+    scenario.end_hop(tx, m.HopOutcome.ERROR, 0)
     assert first.failures == 0 and not first.ejection_time
-    play.end_hop(tx, m.HopOutcome.DONE, 1)
+    scenario.end_hop(tx, m.HopOutcome.DONE, 1)
     assert first.failures == 1 or first.ejection_time
 
 
 def test_failing_keys_use_nothing_of_their_share() -> None:
-    play = Scenario(4)
-    tx = play.arrive(key="x", share=0)
-    before = play.balancer.share_tokens[0]
-    play.end_hop(tx, m.HopOutcome.ERROR, 0)
-    play.end_hop(tx, m.HopOutcome.ERROR, 1)
-    assert play.balancer.share_tokens[0] == before + 1.0  # given back
+    scenario = Scenario(4)
+    tx = scenario.arrive(key="x", share=0)
+    before = scenario.balancer.share_tokens[0]
+    scenario.end_hop(tx, m.HopOutcome.ERROR, 0)
+    scenario.end_hop(tx, m.HopOutcome.ERROR, 1)
+    assert scenario.balancer.share_tokens[0] == before + 1.0  # the token was returned
     for _ in range(20):  # more than its bucket holds
-        tx = play.arrive(key="x", share=0)
-        if tx in play.hops:
-            play.end_hop(tx, m.HopOutcome.ERROR, 0)
-    assert play.balancer.share_tokens[0] >= before
-    tx = play.arrive(key="good", share=0)
-    assert not play.balancer.txs[tx].over_share
+        tx = scenario.arrive(key="x", share=0)
+        if tx in scenario.hops:
+            scenario.end_hop(tx, m.HopOutcome.ERROR, 0)
+    assert scenario.balancer.share_tokens[0] >= before
+    tx = scenario.arrive(key="good", share=0)
+    assert not scenario.balancer.txs[tx].over_share
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,6 +1,6 @@
-"""A cold cache host bears only so much, and it comes from all balancers together: the sum of what the decisions send.
+"""Tests that the hops of all balancers together do not overload a cold cache host.
 
-Each balancer of these tests is the real one, on one clock; the test gives each more to send there than it may.
+All balancers are real and share one simulated clock. Each has more transactions for the cold host than it may send.
 """
 
 from dataclasses import replace
@@ -20,7 +20,7 @@
 
 
 class Fleet:
-    """Balancers before one warm cache host and a cold one that just started."""
+    """Balancers with one warm cache host and a cold one that just started."""
 
     def __init__(self, many: int, rate: float, seed: int, even: bool = True, **terms: Any) -> None:
         self.random, self.rate = Random(seed), rate
@@ -30,13 +30,13 @@
         parts = [1.0 if even else self.random.expovariate(1.0) for _ in range(many)]
         self.rates = [rate * part / sum(parts) for part in parts]
         self.balancers = [self._new_balancer(n) for n in range(many)]
-        self.cold_hops: list[int] = []  # when something went to the cold one, by whomever
+        self.cold_hops: list[int] = []  # send times of hops to the cold host, from any balancer
         self.last_tx = 0
 
     def _new_balancer(self, number: int) -> Balancer:
         one = Balancer(replace(self.config, balancer_index=number, seed=number + 1))
         one.decide(T0, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, started_at=T0))))
-        # As measured at warm hosts, of which each has the same load.
+        # As if measured at warm hosts, which all have the same load.
         one.arrival_rate = one.rate_per_weight = self.rates[number]
         return one
 
@@ -48,7 +48,7 @@
         one.arrival_rate = one.rate_per_weight = self.rates[number]
 
     def try_cold_host(self, one: Balancer, now: int) -> None:
-        """Sends a hop to the cold host if the decisions have room for it there; it is never answered."""
+        """Send a hop to the cold host if the decisions allow it. The hop is never answered."""
         one.now, one.actions = now, []
         self.last_tx += 1
         tx = one.txs[self.last_tx] = new_tx(self.last_tx, now)
@@ -56,14 +56,14 @@
             self.cold_hops.append(now)
 
     def poisson(self, mean: float) -> int:
-        """A draw of how often something comes about."""
+        """A random number of events with this mean."""
         many, left = 0, self.random.expovariate(1.0)
         while left < mean:
             many, left = many + 1, left + self.random.expovariate(1.0)
         return many
 
     def max_per_window(self) -> int:
-        """The most within the settings' time."""
+        """The highest number of cold hops within any window."""
         times, most, first = sorted(self.cold_hops), 0, 0
         for last, at in enumerate(times):
             while times[first] <= at - WINDOW:
@@ -77,7 +77,7 @@
 
 
 def overload_limit(fleet: Fleet, now: int) -> float:
-    """N of the rule, a warm host being able to do what it is sent and no more."""
+    """The number of hops per window that overloads the cold host, if a warm host can just do the usual rate."""
     start = fleet.config
     warmth = start.cold_share + (1 - start.cold_share) * (now - T0) / start.warm_up_time
     return start.overload_multiple * warmth * fleet.rate * start.overload_window / SECOND
@@ -95,14 +95,14 @@
         step, end = 50 * MS, 8 * SECOND
         for at in range(0, end, step):
             now = T0 + at
-            # All want it in the same moments: a list, a drain or a hot key brings them there together.
+            # A list, a drain or a hot key may bring all balancers to the cold host in the same moments.
             if (wanted == "bursts" and at % (1500 * MS) >= step) or (wanted == "late" and at < 6 * SECOND):
                 continue
             if wanted == "restarts" and at == 2 * SECOND:
                 for number in range(0, many, 2):
                     fleet.restart(number, now)
             for one, rate_of_one in zip(fleet.balancers, fleet.rates, strict=True):
-                # As often as it sends to eight warm hosts, which is what the decisions deal windows for.
+                # As often as a balancer sends to eight warm hosts: the burst that the decisions are designed for.
                 for _ in range(fleet.poisson(8 * rate_of_one * step / SECOND)):
                     fleet.try_cold_host(one, now)
         most, bound = fleet.max_per_window(), overload_limit(fleet, T0 + end)
@@ -110,7 +110,7 @@
 
 
 def test_a_cold_host_gets_hops_on_a_clock_that_starts_at_zero() -> None:
-    """In the simulator, and on a machine that has just started, the first second of the clock is the day's."""
+    """The clock starts near 0 in the simulator and on a machine that has just booted."""
     sent = 0
     for number in range(100):
         one = Balancer(replace(CONFIG, balancer_index=number, balancer_count=100))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules: each is kept by the guard alone, whatever the rest decides."""
+"""Tests of the four rules, which hold whatever the rest of the decisions is."""
 
 import pytest
 
@@ -10,94 +10,96 @@
 
 @pytest.mark.parametrize("profile", range(4))
 def test_every_profile_with_every_hop_outcome(profile: int) -> None:
-    p = Scenario()
+    scenario = Scenario()
     for end in m.HopOutcome:
         if end is not m.HopOutcome.DONE:
-            p.end_hop(p.arrive(f"k{end}", profile), end)
-            p.run(1000)
-    p.matches(f"ends_profile_{profile}")
+            scenario.end_hop(scenario.arrive(f"k{end}", profile), end)
+            scenario.run(1000)
+    scenario.matches(f"ends_profile_{profile}")
 
 
 def test_one_response_before_the_goal_and_nothing_after_it() -> None:
-    p = Scenario(parallel_hops=False)
-    tx = p.arrive(profile=2)
-    p.run(2000)
-    p.end_hop(tx, m.HopOutcome.CANCELLED)
-    p.end_hop(tx, m.HopOutcome.CANCELLED)
-    tx = p.arrive()
-    p.end_hop(tx, m.HopOutcome.TIMED_OUT, duration_ms=600)
-    p.feed("gone", m.ClientGone(tx))
-    p.matches("one_answer")
+    scenario = Scenario(parallel_hops=False)
+    tx = scenario.arrive(profile=2)
+    scenario.run(2000)
+    scenario.end_hop(tx, m.HopOutcome.CANCELLED)
+    scenario.end_hop(tx, m.HopOutcome.CANCELLED)
+    tx = scenario.arrive()
+    scenario.end_hop(tx, m.HopOutcome.TIMED_OUT, duration_ms=600)
+    scenario.feed("gone", m.ClientGone(tx))
+    scenario.matches("one_answer")
 
 
 def test_a_timeout_at_the_hard_limit_still_gets_a_response() -> None:
-    p = Scenario()
-    tx = p.arrive(profile=2, ttl=100)
-    p.now += 100_000_000
-    p.end_hop(tx, m.HopOutcome.TIMED_OUT, duration_ms=100)
-    p.matches("hard_limit")
+    scenario = Scenario()
+    tx = scenario.arrive(profile=2, ttl=100)
+    scenario.now += 100_000_000
+    scenario.end_hop(tx, m.HopOutcome.TIMED_OUT, duration_ms=100)
+    scenario.matches("hard_limit")
 
 
 def test_a_journalled_transaction_is_not_repeated_after_the_dedup_window() -> None:
-    p = Scenario()
-    tx = p.arrive(profile=1)
-    p.now += 299_000_000
-    p.end_hop(tx, m.HopOutcome.RESET, duration_ms=299)
-    p.matches("memory")
+    scenario = Scenario()
+    tx = scenario.arrive(profile=1)
+    scenario.now += 299_000_000
+    scenario.end_hop(tx, m.HopOutcome.RESET, duration_ms=299)
+    scenario.matches("memory")
 
 
 def test_nothing_new_goes_to_a_host_that_drains_or_is_not_listed() -> None:
-    p = Scenario(2)
-    first = p.hops[p.arrive()][0]
-    p.list(listed_host(first, m.HostStatus.DRAINING))
-    p.arrive()
-    p.list(listed_host(first), complete=True)
-    p.arrive()
-    p.list(listed_host(first, m.HostStatus.GONE))
-    p.arrive()
-    p.matches("drain")
+    scenario = Scenario(2)
+    first = scenario.hops[scenario.arrive()][0]
+    scenario.list(listed_host(first, m.HostStatus.DRAINING))
+    scenario.arrive()
+    scenario.list(listed_host(first), complete=True)
+    scenario.arrive()
+    scenario.list(listed_host(first, m.HostStatus.GONE))
+    scenario.arrive()
+    scenario.matches("drain")
 
 
 def test_a_restarted_host_gets_its_ranges_back_within_its_budget() -> None:
-    p = Scenario(3)
+    scenario = Scenario(3)
     for n in range(400):
-        p.end_hop(p.arrive(f"k{n}"), m.HopOutcome.DONE)
-        p.run(10)
-    before = sum(hops == [1] for hops in p.hops.values())
-    p.trace.clear()
-    p.list(listed_host(1, started_at=p.now))
+        scenario.end_hop(scenario.arrive(f"k{n}"), m.HopOutcome.DONE)
+        scenario.run(10)
+    before = sum(hops == [1] for hops in scenario.hops.values())
+    scenario.trace.clear()
+    scenario.list(listed_host(1, started_at=scenario.now))
     taken = []
     for second in range(20):
-        seen, rate = p.last_tx, p.balancer.rate_per_weight
+        seen, rate = scenario.last_tx, scenario.balancer.rate_per_weight
         for n in range(100):
-            p.end_hop(p.arrive(f"k{n}"), m.HopOutcome.DONE)
-            p.run(10)
-        taken.append(sum(1 in p.hops.get(tx, []) for tx in range(seen + 1, p.last_tx + 1)))
-        part = 1.5 * max(rate, p.balancer.rate_per_weight) * (0.2 + 0.8 * (second + 1) / 20)  # of a multiple of 3
+            scenario.end_hop(scenario.arrive(f"k{n}"), m.HopOutcome.DONE)
+            scenario.run(10)
+        taken.append(sum(1 in scenario.hops.get(tx, []) for tx in range(seen + 1, scenario.last_tx + 1)))
+        part = (
+            1.5 * max(rate, scenario.balancer.rate_per_weight) * (0.2 + 0.8 * (second + 1) / 20)
+        )  # 1.5 is half of the overload multiple of 3
         assert taken[-1] <= part + 1
-    p.trace = [f"warm: {before // 4} of 100 a second; from its start: {' '.join(map(str, taken))}"]
-    p.matches("cold_budget")
+    scenario.trace = [f"warm: {before // 4} of 100 a second; from its start: {' '.join(map(str, taken))}"]
+    scenario.matches("cold_budget")
 
 
 def test_a_cold_host_with_unknown_rate_gets_one_hop_per_window() -> None:
-    p = Scenario(1)
-    p.list(listed_host(0, started_at=T0 - SECOND))
+    scenario = Scenario(1)
+    scenario.list(listed_host(0, started_at=T0 - SECOND))
     for n in range(200):
-        p.arrive(f"k{n}")
-    assert sum(len(h) for h in p.hops.values()) == 1
+        scenario.arrive(f"k{n}")
+    assert sum(len(h) for h in scenario.hops.values()) == 1
 
 
 def test_many_balancers_together_keep_the_budget_of_a_cold_host() -> None:
-    """Against a floor of one hop a window for each: nine times what the host could do, from 380 balancers."""
+    """One hop per window from each of 380 balancers would be nine times what the host can do."""
     sent = [0] * 10
     for number in range(100):
-        p = Scenario(1, balancer_count=100, balancer_index=number)
-        p.list(listed_host(0, started_at=T0 - SECOND))
+        scenario = Scenario(1, balancer_count=100, balancer_index=number)
+        scenario.list(listed_host(0, started_at=T0 - SECOND))
         for window in range(10):
-            before = len(p.hops)
-            p.arrive(f"a{window}")
-            p.run(500)
-            p.arrive(f"b{window}")
-            p.run(500)
-            sent[window] += len(p.hops) - before
+            before = len(scenario.hops)
+            scenario.arrive(f"a{window}")
+            scenario.run(500)
+            scenario.arrive(f"b{window}")
+            scenario.run(500)
+            sent[window] += len(scenario.hops) - before
     assert max(sent) <= 6 and sum(sent) >= 5
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,4 +1,4 @@
-"""Deployments built otherwise: weights that move with load, reports with answers, zones that are dear to cross."""
+"""Tests of other deployments: live weights, load reports, expensive hops between zones, cache-aside."""
 
 import json
 from dataclasses import replace
@@ -28,7 +28,7 @@
 
 
 def live_list(held: dict[int, float], hosts: int = 6, zones: int = 1) -> list[m.ListedHost]:
-    """The list as it stands when host n, of kind n % 3 and its size, holds so many a core."""
+    """A host list with live weights, where host n of kind n % 3 has the given load per core."""
     return [
         replace(listed_host(h, kind=h % 3), zone=h % zones, weight=CAPACITIES[h % 3] / (1 + held.get(h, 0.0)))
         for h in range(hosts)
@@ -36,38 +36,38 @@
 
 
 def live_scenario(hosts: int = 6, zones: int = 1, **terms: Any) -> Scenario:
-    p = Scenario(0, **(LIVE | terms))
-    p.list(*live_list({}, hosts, zones), complete=True)
-    return p
+    scenario = Scenario(0, **(LIVE | terms))
+    scenario.list(*live_list({}, hosts, zones), complete=True)
+    return scenario
 
 
-def home_hosts(p: Scenario, keys: int = 60, ends: m.HopOutcome = m.HopOutcome.DONE) -> list[int]:
+def home_hosts(scenario: Scenario, keys: int = 60, ends: m.HopOutcome = m.HopOutcome.DONE) -> list[int]:
     found = []
     for n in range(keys):
-        tx = p.arrive(f"k{n}")
-        found.append(p.hops[tx][0])
-        p.end_hop(tx, ends)
-        p.run(5)
+        tx = scenario.arrive(f"k{n}")
+        found.append(scenario.hops[tx][0])
+        scenario.end_hop(tx, ends)
+        scenario.run(5)
     return found
 
 
 def test_live_weights_change_with_every_list_and_move_no_key() -> None:
-    p, drawn = live_scenario(), Random(1)
-    before = home_hosts(p)
+    scenario, drawn = live_scenario(), Random(1)
+    before = home_hosts(scenario)
     for _ in range(30):
-        # Up and down together, as a fleet's load does; within what a host may hold.
-        p.list(*live_list({h: drawn.uniform(0, 2) for h in range(6)}))
-        assert home_hosts(p) == before
-    assert {h.weight for h in p.balancer.hosts.values()} == set(CAPACITIES)
+        # The load of the hosts varies within the load cap.
+        scenario.list(*live_list({h: drawn.uniform(0, 2) for h in range(6)}))
+        assert home_hosts(scenario) == before
+    assert {h.weight for h in scenario.balancer.hosts.values()} == set(CAPACITIES)
     assert sorted(set(before)) == list(range(6))
 
 
 def test_a_larger_host_has_more_keys_and_a_late_balancer_chooses_the_same_hosts() -> None:
-    p, late = live_scenario(12), Scenario(0, **LIVE)
+    scenario, late = live_scenario(12), Scenario(0, **LIVE)
     drawn = Random(2)
-    for n in range(20):  # it starts while most hold some
+    for n in range(20):  # it starts while most hosts have load
         late.list(*live_list({h: drawn.choice((0.0, 0.4, 1.9)) for h in range(12)}, 12), complete=not n)
-    keys = home_hosts(p, 600)
+    keys = home_hosts(scenario, 600)
     assert home_hosts(late, 600) == keys
     share = [sum(k % 3 == kind for k in keys) / 600 for kind in range(3)]
     assert share[0] < 0.25 < share[1] < 0.42 < share[2]
@@ -75,28 +75,28 @@
 
 @pytest.mark.parametrize("absurd", [0.0, 1e6, 1e-9])
 def test_an_absurd_weight_moves_no_key_and_changes_no_cold_budget(absurd: float) -> None:
-    p, other = live_scenario(), live_scenario()
+    scenario, other = live_scenario(), live_scenario()
     lines = live_list({})
     lines[2] = replace(lines[2], weight=absurd)
     other.list(*lines)
-    assert home_hosts(other) == home_hosts(p)
-    assert [h.weight for h in other.balancer.ready] == [h.weight for h in p.balancer.ready]
-    assert other.balancer.total_weight == p.balancer.total_weight
+    assert home_hosts(other) == home_hosts(scenario)
+    assert [h.weight for h in other.balancer.ready] == [h.weight for h in scenario.balancer.ready]
+    assert other.balancer.total_weight == scenario.balancer.total_weight
 
 
 def test_a_host_with_too_much_load_gives_up_ranges_and_takes_them_back() -> None:
     one, two = live_scenario(), live_scenario(seed=99, balancer_index=1)
     before = home_hosts(one, 240)
     crowd = before[0]
-    for p in (one, two):
+    for scenario in (one, two):
         for _ in range(4):
-            p.run(1000)
-            p.list(*live_list({crowd: 20.0}))
+            scenario.run(1000)
+            scenario.list(*live_list({crowd: 20.0}))
     spilled, other = home_hosts(one, 240), home_hosts(two, 240)
     left = [n for n, home in enumerate(before) if home == crowd and spilled[n] != crowd]
     assert 0.3 < len(left) / before.count(crowd) < 0.9  # four steps of RANGE_FRACTION_DOWN_PER_SECOND
     assert abs(one.balancer.hosts[crowd].range_fraction - (1 - 4 * RANGE_FRACTION_DOWN_PER_SECOND)) < 1e-9
-    # The same ranges, to the same places, at both balancers; and to several hosts, though one looked empty.
+    # Both balancers move the same ranges to the same hosts, and to several of them although one looked idle.
     assert spilled == other and len({spilled[n] for n in left}) > 2
     assert all(spilled[n] == home for n, home in enumerate(before) if home != crowd)
     for _ in range(20):
@@ -106,50 +106,50 @@
 
 
 def test_a_wrongly_reported_host_keeps_a_fifth_and_an_old_report_expires() -> None:
-    p = live_scenario()
-    before = home_hosts(p, 400)
+    scenario = live_scenario()
+    before = home_hosts(scenario, 400)
     for _ in range(30):
-        p.run(1000)
-        p.list(*live_list({0: 50.0}))
-    kept = [n for n, home in enumerate(home_hosts(p, 400)) if home == 0]
-    assert 0 < len(kept) < before.count(0) / 2 and p.balancer.hosts[0].range_fraction == pytest.approx(0.2)
+        scenario.run(1000)
+        scenario.list(*live_list({0: 50.0}))
+    kept = [n for n, home in enumerate(home_hosts(scenario, 400)) if home == 0]
+    assert 0 < len(kept) < before.count(0) / 2 and scenario.balancer.hosts[0].range_fraction == pytest.approx(0.2)
     for _ in range(60):
-        p.run(1000)
-        p.end_hop(p.arrive("k1"), m.HopOutcome.DONE)
-    assert p.balancer.hosts[0].range_fraction == 1.0 and home_hosts(p, 400) == before
+        scenario.run(1000)
+        scenario.end_hop(scenario.arrive("k1"), m.HopOutcome.DONE)
+    assert scenario.balancer.hosts[0].range_fraction == 1.0 and home_hosts(scenario, 400) == before
 
 
 def test_a_restarted_host_has_all_its_ranges() -> None:
-    p = live_scenario()
+    scenario = live_scenario()
     for _ in range(5):
-        p.run(1000)
-        p.list(*live_list({0: 50.0}))
-    assert p.balancer.hosts[0].range_fraction < 0.5
-    p.list(*[replace(x, started_at=p.now if x.host == 0 else 0) for x in live_list({})])
-    assert p.balancer.hosts[0].range_fraction == 1.0
+        scenario.run(1000)
+        scenario.list(*live_list({0: 50.0}))
+    assert scenario.balancer.hosts[0].range_fraction < 0.5
+    scenario.list(*[replace(x, started_at=scenario.now if x.host == 0 else 0) for x in live_list({})])
+    assert scenario.balancer.hosts[0].range_fraction == 1.0
 
 
 def test_an_evenly_loaded_fleet_gives_up_no_ranges() -> None:
-    p = live_scenario()
-    before = home_hosts(p)
+    scenario = live_scenario()
+    before = home_hosts(scenario)
     for _ in range(10):
-        p.list(*live_list({h: 20.0 for h in range(6)}))
-    assert home_hosts(p) == before
+        scenario.list(*live_list({h: 20.0 for h in range(6)}))
+    assert home_hosts(scenario) == before
 
 
 def test_the_service_time_counts_in_the_load_that_a_host_may_have() -> None:
-    p = live_scenario()
+    scenario = live_scenario()
     for n in range(60):
-        tx = p.arrive(f"k{n}")
-        service = 200 if p.hops[tx][0] == 3 else 30
+        tx = scenario.arrive(f"k{n}")
+        service = 200 if scenario.hops[tx][0] == 3 else 30
         report = m.LoadReport(active=1.0, service_time=float(service * MS))
-        p.feed("", m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, report))
-    p.run(1000)
-    p.list(*live_list({h: 1.0 for h in range(6)}))
-    assert [h.index for h in p.balancer.ready if h.range_fraction < 1.0] == [3]
+        scenario.feed("", m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, report))
+    scenario.run(1000)
+    scenario.list(*live_list({h: 1.0 for h in range(6)}))
+    assert [h.index for h in scenario.balancer.ready if h.range_fraction < 1.0] == [3]
 
 
-# ---- reports at the door ----
+# ---- load reports ----
 
 REPORT: dict[str, Any] = {"LoadReport": {"Source": "answers", "Names": ["depth", "mean_ms", "x0"]}}
 
@@ -186,25 +186,27 @@
 
 
 def test_stale_zero_and_missing_reports_move_no_key_and_eject_no_host() -> None:
-    names, p = NameTable(FACTS | REPORT), live_scenario()
-    before, drawn = home_hosts(p), Random(3)
+    names, scenario = NameTable(FACTS | REPORT), live_scenario()
+    before, drawn = home_hosts(scenario), Random(3)
     rows: list[Any] = [[5.0, 40.0, 0.5], [5.0, 40.0, 0.5], [0, 0, 0], None, [None] * 3, [1.0], "x"]
     for n in range(210):
-        tx = p.arrive(f"k{n % 60}")
-        p.feed("", m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.parse_report(drawn.choice(rows))))
-        p.run(5)
-    p.list(*live_list({}))
-    assert home_hosts(p) == before
-    assert not any(h.failures or h.ejected_until or h.on_probation for h in p.balancer.ready)
-    p.trace.clear()
+        tx = scenario.arrive(f"k{n % 60}")
+        scenario.feed(
+            "", m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.parse_report(drawn.choice(rows)))
+        )
+        scenario.run(5)
+    scenario.list(*live_list({}))
+    assert home_hosts(scenario) == before
+    assert not any(h.failures or h.ejected_until or h.on_probation for h in scenario.balancer.ready)
+    scenario.trace.clear()
     for n, row in enumerate(rows):
-        tx = p.arrive(f"k{n}")
+        tx = scenario.arrive(f"k{n}")
         said = f"hop {tx}.0 ends DONE, report {row}"
-        p.feed(said, m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.parse_report(row)))
-        p.run(300)
-    p.list(*live_list({2: 30.0}))
-    p.trace.append(f"rooms {[round(h.range_fraction, 2) for h in p.balancer.ready]}")
-    p.matches("reports")
+        scenario.feed(said, m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.parse_report(row)))
+        scenario.run(300)
+    scenario.list(*live_list({2: 30.0}))
+    scenario.trace.append(f"rooms {[round(h.range_fraction, 2) for h in scenario.balancer.ready]}")
+    scenario.matches("reports")
 
 
 def test_the_adapter_passes_on_weights_and_reports() -> None:
@@ -261,7 +263,7 @@
     )
     assert {home % 2 for home in home_hosts(near)} == {1}
     assert {home % 2 for home in home_hosts(cheap)} == {0, 1}
-    # The own zone is late with all that it is sent: ranges go back to their homes in the fleet, and then return.
+    # While the hosts of the own zone are slow, ranges move to their hosts in the whole fleet, and later return.
     for n in range(400):
         tx = near.arrive(f"k{n % 60}")
         if near.hops.get(tx):
@@ -276,62 +278,62 @@
 
 
 def test_other_zones_serve_the_ranges_of_a_lost_own_zone() -> None:
-    p = live_scenario(zones=2, zone=1, cross_zone_price=0.1)
-    p.list(*[replace(x, status=m.HostStatus.GONE) for x in live_list({}, zones=2) if x.zone == 1])
-    assert {home % 2 for home in home_hosts(p)} == {0}
+    scenario = live_scenario(zones=2, zone=1, cross_zone_price=0.1)
+    scenario.list(*[replace(x, status=m.HostStatus.GONE) for x in live_list({}, zones=2) if x.zone == 1])
+    assert {home % 2 for home in home_hosts(scenario)} == {0}
 
 
 # ---- late reads ----
 
 
 def cache_aside_scenario(**terms: Any) -> Scenario:
-    p = Scenario(4, origin=True, **terms)
+    scenario = Scenario(4, origin=True, **terms)
     for n in range(40):
-        p.end_hop(p.arrive(f"k{n}"), m.HopOutcome.DONE)
-        p.run(5)
-    p.trace.clear()
-    return p
+        scenario.end_hop(scenario.arrive(f"k{n}"), m.HopOutcome.DONE)
+        scenario.run(5)
+    scenario.trace.clear()
+    return scenario
 
 
 def test_a_late_read_goes_to_the_origin_while_half_of_its_limit_is_free() -> None:
-    p = cache_aside_scenario()
-    p.arrive("k1")
-    p.run(400)
-    p.end_hop(p.last_tx, m.HopOutcome.DONE, hop=1)
-    p.arrive("k2", profile=1)  # a write is there already
-    p.run(400)
-    p.balancer.origin_limit = 2.0
-    p.balancer.fetches_in_flight = 1
-    p.arrive("k3")
-    p.run(400)
-    p.matches("late_read")
+    scenario = cache_aside_scenario()
+    scenario.arrive("k1")
+    scenario.run(400)
+    scenario.end_hop(scenario.last_tx, m.HopOutcome.DONE, hop=1)
+    scenario.arrive("k2", profile=1)  # a write is in flight at the origin
+    scenario.run(400)
+    scenario.balancer.origin_limit = 2.0
+    scenario.balancer.fetches_in_flight = 1
+    scenario.arrive("k3")
+    scenario.run(400)
+    scenario.matches("late_read")
 
 
 def test_a_late_read_is_not_hedged_where_cache_hosts_fetch() -> None:
-    p = Scenario(4)
-    home_hosts(p, 40)
-    tx = p.arrive("k1")
-    p.run(400)
-    assert len(p.hops[tx]) == 1
+    scenario = Scenario(4)
+    home_hosts(scenario, 40)
+    tx = scenario.arrive("k1")
+    scenario.run(400)
+    assert len(scenario.hops[tx]) == 1
 
 
 def test_without_origin_capacity_a_late_read_is_not_hedged_and_is_refused_in_time() -> None:
-    p = cache_aside_scenario()
-    p.balancer.origin_limit, p.balancer.fetches_in_flight = 2.0, 1
-    tx = p.arrive("k1")
-    p.run(700)
-    assert len(p.hops[tx]) == 1 and any("roll back" in said for said in p.trace)
-    rolled = next(said for said in p.trace if "roll back" in said)
-    assert int(rolled.split()[0]) <= 200 + 600  # it came at 200 ms and has a goal of 600
+    scenario = cache_aside_scenario()
+    scenario.balancer.origin_limit, scenario.balancer.fetches_in_flight = 2.0, 1
+    tx = scenario.arrive("k1")
+    scenario.run(700)
+    assert len(scenario.hops[tx]) == 1 and any("roll back" in said for said in scenario.trace)
+    rolled = next(said for said in scenario.trace if "roll back" in said)
+    assert int(rolled.split()[0]) <= 200 + 600  # it arrived at 200 ms with a goal of 600 ms
 
 
-# ---- instances of both shapes before the same cache hosts, as real processes on loopback ----
+# ---- balancers with and without live weights on the same cache hosts, as real processes on loopback ----
 
 
 def test_balancers_with_and_without_live_weights_keep_the_rules_and_share_fairly(tmp_path: Path) -> None:
-    """A host is slow for a while and one is replaced. Bounds compare the two with each other, not with a clock."""
+    """One host is slow for a while and one is replaced. The two balancers are compared with each other, not a clock."""
     day = read_day("two-shapes", {"seconds": 5.0, "hosts": {"count": 6}, "clients": {"rate": 120.0}})
-    for seed in (1, 2, 3):  # a play that was late, as on a busy machine, is played again
+    for seed in (1, 2, 3):  # a run that was late, as on a busy machine, is repeated
         saw = play(day, seed, Contender("now"), tmp_path)
         if not measure(day, saw, [])["late"]:
             break
@@ -346,7 +348,7 @@
     part = [sum(done) / len(done) for done in tries.values()]
     assert min(len(done) for done in tries.values()) > 100
     assert min(part) > 0.6 and abs(part[0] - part[1]) < 0.15, part
-    # Every cache host is sent to, whatever the other kind gives up.
+    # Every cache host is used, whatever ranges the other balancer gives up.
     hops = {hop.host for hop in saw.fleet.hops}
     assert hops == set(range(6))
 
@@ -363,14 +365,14 @@
 
 
 def test_a_process_that_takes_over_chooses_the_same_hosts_at_once() -> None:
-    p, second = live_scenario(), Scenario(0, **LIVE)
-    p.run(1000)
-    p.list(*live_list({0: 20.0}))
-    before = home_hosts(p)
+    scenario, second = live_scenario(), Scenario(0, **LIVE)
+    scenario.run(1000)
+    scenario.list(*live_list({0: 20.0}))
+    before = home_hosts(scenario)
     second.list(*live_list({h: 1.0 for h in range(6)}), complete=True)
     assert {h.weight for h in second.balancer.ready} == {0.25, 0.5, 0.75}
-    names = {h.index: f"host-{h.index}" for h in p.balancer.ready}
-    told = decode_learned(encode_learned(p.balancer.learned(), names), {name: n for n, name in names.items()})
+    names = {h.index: f"host-{h.index}" for h in scenario.balancer.ready}
+    told = decode_learned(encode_learned(scenario.balancer.learned(), names), {name: n for n, name in names.items()})
     assert told is not None
     second.feed("", told)
     second.list(*live_list({h: 1.0 for h in range(6)}))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: what is malformed ends it with a message, what is merely unknown does not."""
+"""Tests of the wire adapter: malformed input is an error, unknown settings are ignored."""
 
 import io
 import json
