--- a/ternquay/net/driver.py
+++ b/ternquay/net/driver.py
@@ -1,4 +1,4 @@
-"""What the drivers of both sides share: a LineReceiver in raw mode, which keeps no bytes itself."""
+"""The base of connections to clients and to cache hosts: a LineReceiver in raw mode, which buffers nothing itself."""
 
 from contextlib import suppress
 from select import POLLERR, POLLHUP, POLLRDHUP, poll
@@ -8,25 +8,26 @@
 
 from twisted.protocols.basic import LineReceiver
 
-TCP_INFO_LAST_DATA = Struct(
-    "=52xI"
-)  # of the kernel's tcp_info: milliseconds since data last came (tcpi_last_data_recv)
-NS_PER_MS = 1_000_000  # nanoseconds
+# The field tcpi_last_data_recv of the kernel's struct tcp_info: milliseconds since data last arrived.
+TCP_INFO_LAST_DATA = Struct("=52xI")
+NS_PER_MS = 1_000_000
 
 
 class Driver(LineReceiver):
-    line_mode = 0  # raw from the first byte: the state machine has the one buffer
+    """The protocol of a TCP connection, with what the operating system knows about its unread bytes and its peer."""
+
+    line_mode = 0  # raw from the first byte: the only buffer is that of the state machine
     transport: Any
-    transport_closed = False  # the transport has closed it
-    reading_paused = False  # nothing is read for now; `paused` is the library's, which then keeps what comes to itself
+    transport_closed = False  # the transport has closed the connection
+    reading_paused = False  # unlike Twisted's attribute `paused`, with which it would buffer arriving bytes itself
 
     def connectionMade(self) -> None:
-        # An option that can't be set makes small writes later, and nothing wrong. The library would log a traceback.
+        # Without the option small writes are delayed, which is no error. Twisted would log a traceback of an exception.
         with suppress(OSError):
             self.transport.getHandle().setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
 
     def _peek(self) -> bytes | None:
-        """The first byte that has come and was not read, b"" for the other side's end, None for nothing."""
+        """Returns the first unread byte without reading it, b"" if the peer has closed, None if nothing is unread."""
         try:
             handle: socket = self.transport.getHandle()
             return handle.recv(1, MSG_PEEK | MSG_DONTWAIT)
@@ -36,15 +37,15 @@
             return b""
 
     def nothing_unread(self) -> bool:
-        """Whether nothing has come that was not read yet, neither bytes nor the other side's end."""
+        """Returns whether neither bytes nor a close of the peer have arrived unread."""
         return self._peek() is None
 
     def has_unread_bytes(self) -> bool:
-        """Whether bytes have come that the loop is about to read."""
+        """Returns whether bytes have arrived that the loop is about to read."""
         return not self.reading_paused and bool(self._peek())
 
     def receive_idle_ns(self) -> int:
-        """For how many nanoseconds nothing has come, as the system knows; 0 where it does not tell."""
+        """Returns the nanoseconds since data last arrived, or 0 if the operating system does not tell."""
         try:
             info = self.transport.getHandle().getsockopt(IPPROTO_TCP, TCP_INFO, TCP_INFO_LAST_DATA.size)
         except OSError:
@@ -52,7 +53,7 @@
         return int(TCP_INFO_LAST_DATA.unpack(info)[0]) * NS_PER_MS if len(info) == TCP_INFO_LAST_DATA.size else 0
 
     def peer_closed(self) -> bool:
-        """Whether the other side has closed, also behind bytes that were not read yet."""
+        """Returns whether the peer has closed, even if unread bytes arrived before the close."""
         first = self._peek()
         if not first:
             return first is not None
@@ -61,9 +62,9 @@
         return any(events & (POLLRDHUP | POLLHUP | POLLERR) for _, events in poller.poll(0))
 
     def close_if_nothing_unread(self) -> bool:
-        """Ends an idle connection at once, unless bytes have come that were not read: they would be lost.
+        """Closes an idle connection at once and returns True, unless unread bytes have arrived, which would be lost.
 
-        In one step, as the transport closes only a turn later, and a command may come in between.
+        The socket is shut down here, as the transport closes only a turn later and a command may arrive before that.
         """
         if self._peek():
             return False
@@ -73,7 +74,7 @@
         return True
 
     def hold_reading(self, paused: bool) -> None:
-        """Reads no more for now, or goes on."""
+        """Pauses or resumes reading."""
         self.reading_paused = paused
         if paused:
             self.transport.pauseProducing()
@@ -81,6 +82,6 @@
             self.transport.resumeProducing()
 
     def close_after_write(self) -> None:
-        """Closes once all is written; with a producer the transport never would."""
+        """Closes the connection once all bytes are written. The transport never would while it has a producer."""
         self.transport.unregisterProducer()
         self.transport.loseConnection()
