--- a/ternquay/net/start_times.py
+++ b/ternquay/net/start_times.py
@@ -61,7 +61,10 @@
             self.differences = [self.differences[0], *self.differences[1:][-(MAX_DIFFERENCES - 2) :], difference]
 
     def _monotonic_start(self, entry: HostEntry, now: int, earliest: int | None) -> int:
-        """Returns the start time of one host, 0 for long ago. A host that is new or restarted is not older than `earliest`."""
+        """Returns the start time of one host, 0 for long ago.
+
+        A host that is new or restarted has not started before `earliest`.
+        """
         if not entry.started_at:
             self.known.pop(entry.id, None)
             return 0
