--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -36,10 +36,10 @@
     assert read_config(str(path), {}).settings.gone_is_advisory
 
 
-def hosts_used(scenario: Scenario, many: int = 40) -> set[int]:
+def hosts_used(scenario: Scenario, txs: int = 40) -> set[int]:
     """The hosts that transactions are sent to now."""
     scenario.hops.clear()
-    for number in range(many):
+    for number in range(txs):
         tx = scenario.arrive(key=f"k{number}")
         for hop in range(len(scenario.hops.get(tx, []))):
             scenario.end_hop(tx, m.HopOutcome.DONE, hop)
@@ -47,18 +47,18 @@
     return {host for hosts in scenario.hops.values() for host in hosts}
 
 
-@pytest.mark.parametrize("advice", [True, False])
-@pytest.mark.parametrize("how", ["called gone", "left out", "empty"])
-def test_hosts_that_many_lists_drop_are_still_used_where_removal_is_advisory(how: str, advice: bool) -> None:
-    scenario = Scenario(4, gone_is_advisory=advice)
-    if how == "called gone":
+@pytest.mark.parametrize("advisory", [True, False])
+@pytest.mark.parametrize("removal", ["called gone", "left out", "empty"])
+def test_hosts_that_the_list_drops_are_still_used_where_removal_is_advisory(removal: str, advisory: bool) -> None:
+    scenario = Scenario(4, gone_is_advisory=advisory)
+    if removal == "called gone":
         scenario.list(listed_host(1, m.HostStatus.GONE), listed_host(2, m.HostStatus.GONE))
-    elif how == "left out":
+    elif removal == "left out":
         scenario.list(listed_host(0), listed_host(3), complete=True)
     else:
         scenario.list(complete=True)
-    left = set() if how == "empty" else {0, 3}
-    assert hosts_used(scenario) == ({0, 1, 2, 3} if advice else left)
+    remaining = set() if removal == "empty" else {0, 3}
+    assert hosts_used(scenario) == ({0, 1, 2, 3} if advisory else remaining)
     scenario.list(*(listed_host(h) for h in range(4)), complete=True)
     assert hosts_used(scenario) == {0, 1, 2, 3}
 
@@ -67,8 +67,8 @@
     scenario = Scenario(4, **ADVISORY)
     scenario.list(listed_host(2, m.HostStatus.DRAINING))
     assert hosts_used(scenario) == {0, 1, 3}
-    for lines in ((listed_host(2, m.HostStatus.GONE),), (listed_host(2),)):  # gone, and an outdated list
-        scenario.list(*lines)
+    for entries in ((listed_host(2, m.HostStatus.GONE),), (listed_host(2),)):  # gone, and an outdated list
+        scenario.list(*entries)
         assert hosts_used(scenario) == {0, 1, 3}
     scenario.list(*(listed_host(h) for h in range(4)), complete=True)
     assert hosts_used(scenario) == {0, 1, 3}
@@ -83,10 +83,10 @@
     assert hosts_used(scenario) == {0, 1, 2, 3}
 
 
-@pytest.mark.parametrize("advice", [True, False])
-def test_a_few_hosts_that_the_list_drops_count_as_gone(advice: bool) -> None:
+@pytest.mark.parametrize("advisory", [True, False])
+def test_a_few_hosts_that_the_list_drops_count_as_gone(advisory: bool) -> None:
     """As many hosts may fail by themselves at once; to keep using them costs more than it gains."""
-    scenario = Scenario(6, gone_is_advisory=advice)
+    scenario = Scenario(6, gone_is_advisory=advisory)
     scenario.list(listed_host(1, m.HostStatus.GONE))
     assert hosts_used(scenario) == {0, 2, 3, 4, 5}
     scenario.list(*(listed_host(h) for h in (0, 2, 3, 4)), complete=True)
--- a/tests/test_anywhere.py
+++ b/tests/test_anywhere.py
@@ -12,20 +12,20 @@
     """
     hops = 0
     for number in range(rounds):
-        wrong = number % 3 == 0
-        tx = scenario.arrive(key=f"bad{number % keys}" if wrong else f"good{number % 50}", ttl=900)
-        at = 0
-        while at < len(scenario.hops.get(tx, [])):
-            errs = wrong or scenario.hops[tx][at] in bad
+        key_fails = number % 3 == 0
+        tx = scenario.arrive(key=f"bad{number % keys}" if key_fails else f"good{number % 50}", ttl=900)
+        hop = 0
+        while hop < len(scenario.hops.get(tx, [])):
+            is_error = key_fails or scenario.hops[tx][hop] in bad
             scenario.end_hop(
                 tx,
-                m.HopOutcome.ERROR if errs else m.HopOutcome.DONE,
-                at,
-                duration_ms=3 if errs else 10,
-                cache_result=0 if errs else 1,
+                m.HopOutcome.ERROR if is_error else m.HopOutcome.DONE,
+                hop,
+                duration_ms=3 if is_error else 10,
+                cache_result=0 if is_error else 1,
             )
-            at += 1
-        hops += at * wrong
+            hop += 1
+        hops += hop * key_fails
         scenario.run(10)
     return hops
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -22,54 +22,54 @@
 class Fleet:
     """Balancers with one warm cache host and a cold one that just started."""
 
-    def __init__(self, many: int, rate: float, seed: int, even: bool = True, **terms: Any) -> None:
+    def __init__(self, count: int, rate: float, seed: int, equal_rates: bool = True, **overrides: Any) -> None:
         self.random, self.rate = Random(seed), rate
         self.config = replace(
-            CONFIG, balancer_count=many, can_cancel=True, parallel_hops=False, warm_up_time=30 * SECOND, **terms
+            CONFIG, balancer_count=count, can_cancel=True, parallel_hops=False, warm_up_time=30 * SECOND, **overrides
         )
-        parts = [1.0 if even else self.random.expovariate(1.0) for _ in range(many)]
-        self.rates = [rate * part / sum(parts) for part in parts]
-        self.balancers = [self._new_balancer(n) for n in range(many)]
+        weights = [1.0 if equal_rates else self.random.expovariate(1.0) for _ in range(count)]
+        self.rates = [rate * weight / sum(weights) for weight in weights]
+        self.balancers = [self._new_balancer(n) for n in range(count)]
         self.cold_hops: list[int] = []  # send times of hops to the cold host, from any balancer
         self.last_tx = 0
 
-    def _new_balancer(self, number: int) -> Balancer:
-        one = Balancer(replace(self.config, balancer_index=number, seed=number + 1))
-        one.decide(T0, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, started_at=T0))))
+    def _new_balancer(self, index: int) -> Balancer:
+        balancer = Balancer(replace(self.config, balancer_index=index, seed=index + 1))
+        balancer.decide(T0, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, started_at=T0))))
         # As if measured at warm hosts, which all have the same load.
-        one.arrival_rate = one.rate_per_weight = self.rates[number]
-        return one
+        balancer.arrival_rate = balancer.rate_per_weight = self.rates[index]
+        return balancer
 
-    def restart(self, number: int, now: int) -> None:
-        one = self.balancers[number] = Balancer(
-            replace(self.config, balancer_index=number, seed=self.random.getrandbits(32))
+    def restart(self, index: int, now: int) -> None:
+        balancer = self.balancers[index] = Balancer(
+            replace(self.config, balancer_index=index, seed=self.random.getrandbits(32))
         )
-        one.decide(now, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, started_at=T0))))
-        one.arrival_rate = one.rate_per_weight = self.rates[number]
+        balancer.decide(now, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, started_at=T0))))
+        balancer.arrival_rate = balancer.rate_per_weight = self.rates[index]
 
-    def try_cold_host(self, one: Balancer, now: int) -> None:
+    def try_cold_host(self, balancer: Balancer, now: int) -> None:
         """Send a hop to the cold host if the decisions allow it. The hop is never answered."""
-        one.now, one.actions = now, []
+        balancer.now, balancer.actions = now, []
         self.last_tx += 1
-        tx = one.txs[self.last_tx] = new_tx(self.last_tx, now)
-        if one._send(tx, one.hosts[COLD]):
+        tx = balancer.txs[self.last_tx] = new_tx(self.last_tx, now)
+        if balancer._send(tx, balancer.hosts[COLD]):
             self.cold_hops.append(now)
 
     def poisson(self, mean: float) -> int:
         """A random number of events with this mean."""
-        many, left = 0, self.random.expovariate(1.0)
-        while left < mean:
-            many, left = many + 1, left + self.random.expovariate(1.0)
-        return many
+        count, time = 0, self.random.expovariate(1.0)
+        while time < mean:
+            count, time = count + 1, time + self.random.expovariate(1.0)
+        return count
 
     def max_per_window(self) -> int:
         """The highest number of cold hops within any window."""
-        times, most, first = sorted(self.cold_hops), 0, 0
+        times, highest, first = sorted(self.cold_hops), 0, 0
         for last, at in enumerate(times):
             while times[first] <= at - WINDOW:
                 first += 1
-            most = max(most, last - first + 1)
-        return most
+            highest = max(highest, last - first + 1)
+        return highest
 
 
 def new_tx(number: int, now: int) -> Tx:
@@ -78,46 +78,46 @@
 
 def overload_limit(fleet: Fleet, now: int) -> float:
     """The number of hops per window that overloads the cold host, if a warm host can just do the usual rate."""
-    start = fleet.config
-    warmth = start.cold_share + (1 - start.cold_share) * (now - T0) / start.warm_up_time
-    return start.overload_multiple * warmth * fleet.rate * start.overload_window / SECOND
+    config = fleet.config
+    warmth = config.cold_share + (1 - config.cold_share) * (now - T0) / config.warm_up_time
+    return config.overload_multiple * warmth * fleet.rate * config.overload_window / SECOND
 
 
-@pytest.mark.parametrize("wanted", ["always", "bursts", "late", "restarts"])
-@pytest.mark.parametrize("tip", [1.5, 4.0])
-@pytest.mark.parametrize(("rate", "even"), [(3.0, True), (30.0, True), (36.0, False), (200.0, False)])
-@pytest.mark.parametrize("many", [1, 3, 30, 230])
+@pytest.mark.parametrize("demand", ["always", "bursts", "late", "restarts"])
+@pytest.mark.parametrize("overload_multiple", [1.5, 4.0])
+@pytest.mark.parametrize(("rate", "equal_rates"), [(3.0, True), (30.0, True), (36.0, False), (200.0, False)])
+@pytest.mark.parametrize("count", [1, 3, 30, 230])
 def test_all_balancers_together_do_not_overload_a_cold_host(
-    many: int, rate: float, even: bool, tip: float, wanted: str
+    count: int, rate: float, equal_rates: bool, overload_multiple: float, demand: str
 ) -> None:
     for seed in range(2):
-        fleet = Fleet(many, rate, seed, even, overload_multiple=tip)
+        fleet = Fleet(count, rate, seed, equal_rates, overload_multiple=overload_multiple)
         step, end = 50 * MS, 8 * SECOND
         for at in range(0, end, step):
             now = T0 + at
             # A list, a drain or a hot key may bring all balancers to the cold host in the same moments.
-            if (wanted == "bursts" and at % (1500 * MS) >= step) or (wanted == "late" and at < 6 * SECOND):
+            if (demand == "bursts" and at % (1500 * MS) >= step) or (demand == "late" and at < 6 * SECOND):
                 continue
-            if wanted == "restarts" and at == 2 * SECOND:
-                for number in range(0, many, 2):
-                    fleet.restart(number, now)
-            for one, rate_of_one in zip(fleet.balancers, fleet.rates, strict=True):
+            if demand == "restarts" and at == 2 * SECOND:
+                for index in range(0, count, 2):
+                    fleet.restart(index, now)
+            for balancer, balancer_rate in zip(fleet.balancers, fleet.rates, strict=True):
                 # As often as a balancer sends to eight warm hosts: the burst that the decisions are designed for.
-                for _ in range(fleet.poisson(8 * rate_of_one * step / SECOND)):
-                    fleet.try_cold_host(one, now)
-        most, bound = fleet.max_per_window(), overload_limit(fleet, T0 + end)
-        assert most <= bound + 2 * sqrt(bound) + 2, (many, rate, tip, wanted, most, bound)
+                for _ in range(fleet.poisson(8 * balancer_rate * step / SECOND)):
+                    fleet.try_cold_host(balancer, now)
+        highest, limit = fleet.max_per_window(), overload_limit(fleet, T0 + end)
+        assert highest <= limit + 2 * sqrt(limit) + 2, (count, rate, overload_multiple, demand, highest, limit)
 
 
 def test_a_cold_host_gets_hops_on_a_clock_that_starts_at_zero() -> None:
     """The clock starts near 0 in the simulator and on a machine that has just booted."""
     sent = 0
-    for number in range(100):
-        one = Balancer(replace(CONFIG, balancer_index=number, balancer_count=100))
+    for index in range(100):
+        balancer = Balancer(replace(CONFIG, balancer_index=index, balancer_count=100))
         now = SECOND
-        one.decide(now, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, started_at=now))))
-        one.arrival_rate = one.rate_per_weight = 0.3
-        one.now, one.actions = now, []
-        tx = one.txs[1] = new_tx(1, now)
-        sent += one._send(tx, one.hosts[COLD])
+        balancer.decide(now, m.ListChanged(True, (listed_host(WARM), listed_host(COLD, started_at=now))))
+        balancer.arrival_rate = balancer.rate_per_weight = 0.3
+        balancer.now, balancer.actions = now, []
+        tx = balancer.txs[1] = new_tx(1, now)
+        sent += balancer._send(tx, balancer.hosts[COLD])
     assert sent >= 5
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,9 +11,9 @@
 @pytest.mark.parametrize("profile", range(4))
 def test_every_profile_with_every_hop_outcome(profile: int) -> None:
     scenario = Scenario()
-    for end in m.HopOutcome:
-        if end is not m.HopOutcome.DONE:
-            scenario.end_hop(scenario.arrive(f"k{end}", profile), end)
+    for outcome in m.HopOutcome:
+        if outcome is not m.HopOutcome.DONE:
+            scenario.end_hop(scenario.arrive(f"k{outcome}", profile), outcome)
             scenario.run(1000)
     scenario.matches(f"ends_profile_{profile}")
 
@@ -68,15 +68,15 @@
     scenario.list(listed_host(1, started_at=scenario.now))
     taken = []
     for second in range(20):
-        seen, rate = scenario.last_tx, scenario.balancer.rate_per_weight
+        last_tx, rate = scenario.last_tx, scenario.balancer.rate_per_weight
         for n in range(100):
             scenario.end_hop(scenario.arrive(f"k{n}"), m.HopOutcome.DONE)
             scenario.run(10)
-        taken.append(sum(1 in scenario.hops.get(tx, []) for tx in range(seen + 1, scenario.last_tx + 1)))
-        part = (
+        taken.append(sum(1 in scenario.hops.get(tx, []) for tx in range(last_tx + 1, scenario.last_tx + 1)))
+        budget = (
             1.5 * max(rate, scenario.balancer.rate_per_weight) * (0.2 + 0.8 * (second + 1) / 20)
         )  # 1.5 is half of the overload multiple of 3
-        assert taken[-1] <= part + 1
+        assert taken[-1] <= budget + 1
     scenario.trace = [f"warm: {before // 4} of 100 a second; from its start: {' '.join(map(str, taken))}"]
     scenario.matches("cold_budget")
 
@@ -92,8 +92,8 @@
 def test_many_balancers_together_keep_the_budget_of_a_cold_host() -> None:
     """One hop per window from each of 380 balancers would be nine times what the host can do."""
     sent = [0] * 10
-    for number in range(100):
-        scenario = Scenario(1, balancer_count=100, balancer_index=number)
+    for index in range(100):
+        scenario = Scenario(1, balancer_count=100, balancer_index=index)
         scenario.list(listed_host(0, started_at=T0 - SECOND))
         for window in range(10):
             before = len(scenario.hops)
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -27,36 +27,36 @@
 CAPACITIES = (0.5, 1.0, 1.5)
 
 
-def live_list(held: dict[int, float], hosts: int = 6, zones: int = 1) -> list[m.ListedHost]:
+def live_list(load: dict[int, float], hosts: int = 6, zones: int = 1) -> list[m.ListedHost]:
     """A host list with live weights, where host n of kind n % 3 has the given load per core."""
     return [
-        replace(listed_host(h, kind=h % 3), zone=h % zones, weight=CAPACITIES[h % 3] / (1 + held.get(h, 0.0)))
+        replace(listed_host(h, kind=h % 3), zone=h % zones, weight=CAPACITIES[h % 3] / (1 + load.get(h, 0.0)))
         for h in range(hosts)
     ]
 
 
-def live_scenario(hosts: int = 6, zones: int = 1, **terms: Any) -> Scenario:
-    scenario = Scenario(0, **(LIVE | terms))
+def live_scenario(hosts: int = 6, zones: int = 1, **overrides: Any) -> Scenario:
+    scenario = Scenario(0, **(LIVE | overrides))
     scenario.list(*live_list({}, hosts, zones), complete=True)
     return scenario
 
 
-def home_hosts(scenario: Scenario, keys: int = 60, ends: m.HopOutcome = m.HopOutcome.DONE) -> list[int]:
-    found = []
+def home_hosts(scenario: Scenario, keys: int = 60, outcome: m.HopOutcome = m.HopOutcome.DONE) -> list[int]:
+    homes = []
     for n in range(keys):
         tx = scenario.arrive(f"k{n}")
-        found.append(scenario.hops[tx][0])
-        scenario.end_hop(tx, ends)
+        homes.append(scenario.hops[tx][0])
+        scenario.end_hop(tx, outcome)
         scenario.run(5)
-    return found
+    return homes
 
 
 def test_live_weights_change_with_every_list_and_move_no_key() -> None:
-    scenario, drawn = live_scenario(), Random(1)
+    scenario, random = live_scenario(), Random(1)
     before = home_hosts(scenario)
     for _ in range(30):
         # The load of the hosts varies within the load cap.
-        scenario.list(*live_list({h: drawn.uniform(0, 2) for h in range(6)}))
+        scenario.list(*live_list({h: random.uniform(0, 2) for h in range(6)}))
         assert home_hosts(scenario) == before
     assert {h.weight for h in scenario.balancer.hosts.values()} == set(CAPACITIES)
     assert sorted(set(before)) == list(range(6))
@@ -64,9 +64,9 @@
 
 def test_a_larger_host_has_more_keys_and_a_late_balancer_chooses_the_same_hosts() -> None:
     scenario, late = live_scenario(12), Scenario(0, **LIVE)
-    drawn = Random(2)
+    random = Random(2)
     for n in range(20):  # it starts while most hosts have load
-        late.list(*live_list({h: drawn.choice((0.0, 0.4, 1.9)) for h in range(12)}, 12), complete=not n)
+        late.list(*live_list({h: random.choice((0.0, 0.4, 1.9)) for h in range(12)}, 12), complete=not n)
     keys = home_hosts(scenario, 600)
     assert home_hosts(late, 600) == keys
     share = [sum(k % 3 == kind for k in keys) / 600 for kind in range(3)]
@@ -76,9 +76,9 @@
 @pytest.mark.parametrize("absurd", [0.0, 1e6, 1e-9])
 def test_an_absurd_weight_moves_no_key_and_changes_no_cold_budget(absurd: float) -> None:
     scenario, other = live_scenario(), live_scenario()
-    lines = live_list({})
-    lines[2] = replace(lines[2], weight=absurd)
-    other.list(*lines)
+    entries = live_list({})
+    entries[2] = replace(entries[2], weight=absurd)
+    other.list(*entries)
     assert home_hosts(other) == home_hosts(scenario)
     assert [h.weight for h in other.balancer.ready] == [h.weight for h in scenario.balancer.ready]
     assert other.balancer.total_weight == scenario.balancer.total_weight
@@ -87,18 +87,18 @@
 def test_a_host_with_too_much_load_gives_up_ranges_and_takes_them_back() -> None:
     one, two = live_scenario(), live_scenario(seed=99, balancer_index=1)
     before = home_hosts(one, 240)
-    crowd = before[0]
+    loaded = before[0]
     for scenario in (one, two):
         for _ in range(4):
             scenario.run(1000)
-            scenario.list(*live_list({crowd: 20.0}))
+            scenario.list(*live_list({loaded: 20.0}))
     spilled, other = home_hosts(one, 240), home_hosts(two, 240)
-    left = [n for n, home in enumerate(before) if home == crowd and spilled[n] != crowd]
-    assert 0.3 < len(left) / before.count(crowd) < 0.9  # four steps of RANGE_FRACTION_DOWN_PER_SECOND
-    assert abs(one.balancer.hosts[crowd].range_fraction - (1 - 4 * RANGE_FRACTION_DOWN_PER_SECOND)) < 1e-9
+    moved = [n for n, home in enumerate(before) if home == loaded and spilled[n] != loaded]
+    assert 0.3 < len(moved) / before.count(loaded) < 0.9  # four steps of RANGE_FRACTION_DOWN_PER_SECOND
+    assert abs(one.balancer.hosts[loaded].range_fraction - (1 - 4 * RANGE_FRACTION_DOWN_PER_SECOND)) < 1e-9
     # Both balancers move the same ranges to the same hosts, and to several of them although one looked idle.
-    assert spilled == other and len({spilled[n] for n in left}) > 2
-    assert all(spilled[n] == home for n, home in enumerate(before) if home != crowd)
+    assert spilled == other and len({spilled[n] for n in moved}) > 2
+    assert all(spilled[n] == home for n, home in enumerate(before) if home != loaded)
     for _ in range(20):
         one.run(1000)
         one.list(*live_list({}))
@@ -176,23 +176,23 @@
 
 
 def test_unknown_report_names_are_ignored_and_there_are_none_without_a_source() -> None:
-    told = {"Source": "answers", "Names": ["brightness", "concurrent", "tps", "err_ps"]}
-    assert NameTable(FACTS | {"LoadReport": told}).parse_report([9, 3, 8, 1]) == m.LoadReport(
+    report = {"Source": "answers", "Names": ["brightness", "concurrent", "tps", "err_ps"]}
+    assert NameTable(FACTS | {"LoadReport": report}).parse_report([9, 3, 8, 1]) == m.LoadReport(
         active=3.0, errors_per_second=1.0, completed_per_second=8.0
     )
     for source in ("probe", "none"):
-        assert NameTable(FACTS | {"LoadReport": told | {"Source": source}}).parse_report([9, 3, 8, 1]) is None
+        assert NameTable(FACTS | {"LoadReport": report | {"Source": source}}).parse_report([9, 3, 8, 1]) is None
     assert NameTable(FACTS).parse_report([1]) is None
 
 
 def test_stale_zero_and_missing_reports_move_no_key_and_eject_no_host() -> None:
     names, scenario = NameTable(FACTS | REPORT), live_scenario()
-    before, drawn = home_hosts(scenario), Random(3)
+    before, random = home_hosts(scenario), Random(3)
     rows: list[Any] = [[5.0, 40.0, 0.5], [5.0, 40.0, 0.5], [0, 0, 0], None, [None] * 3, [1.0], "x"]
     for n in range(210):
         tx = scenario.arrive(f"k{n % 60}")
         scenario.feed(
-            "", m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.parse_report(drawn.choice(rows)))
+            "", m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.parse_report(random.choice(rows)))
         )
         scenario.run(5)
     scenario.list(*live_list({}))
@@ -201,8 +201,8 @@
     scenario.trace.clear()
     for n, row in enumerate(rows):
         tx = scenario.arrive(f"k{n}")
-        said = f"hop {tx}.0 ends DONE, report {row}"
-        scenario.feed(said, m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.parse_report(row)))
+        label = f"hop {tx}.0 ends DONE, report {row}"
+        scenario.feed(label, m.HopEnded(tx, 0, m.HopOutcome.DONE, 10 * MS, True, 1, names.parse_report(row)))
         scenario.run(300)
     scenario.list(*live_list({2: 30.0}))
     scenario.trace.append(f"rooms {[round(h.range_fraction, 2) for h in scenario.balancer.ready]}")
@@ -214,10 +214,10 @@
     record = {"Host": "10.0.0.1:80", "Locality": "a", "ClassOfHost": "k", "Block": 0, "Availability": "IN"}
     assert [x.weight for x in instance.listed_hosts([record, record | {"CapacityHint": 0.25}])] == [0.0, 0.25]
     instance.decode_arrival({"Corr": "t", "Type": "read", "Subject": "a", "Ttl": 9000})
-    told = {"Corr": "t", "Trial": 0, "StateCode": "done", "Took": 5, "Ended": True, "Stats": [1, 20, 0.9]}
-    ended = instance.decode_reply(told)
+    reply = {"Corr": "t", "Trial": 0, "StateCode": "done", "Took": 5, "Ended": True, "Stats": [1, 20, 0.9]}
+    ended = instance.decode_reply(reply)
     assert isinstance(ended, m.HopEnded) and ended.report == m.LoadReport(active=1.0, service_time=20_000_000.0)
-    ended = instance.decode_reply(told | {"Stats": None})
+    ended = instance.decode_reply(reply | {"Stats": None})
     assert isinstance(ended, m.HopEnded) and ended.report is None
 
 
@@ -241,40 +241,40 @@
 ]
 
 
-@pytest.mark.parametrize(("change", "named"), INVALID_SETTINGS)
-def test_the_error_names_an_invalid_setting(change: dict[str, Any], named: str) -> None:
-    with pytest.raises(ValueError, match=f"^{named}:"):
+@pytest.mark.parametrize(("change", "field"), INVALID_SETTINGS)
+def test_the_error_names_an_invalid_setting(change: dict[str, Any], field: str) -> None:
+    with pytest.raises(ValueError, match=f"^{field}:"):
         parse_deployment(1, FACTS | change)
 
 
 def test_the_defaults_use_no_weights_and_no_zone() -> None:
-    start = parse_deployment(1, FACTS)
-    assert (start.weight_mode, start.zone, start.cross_zone_price) == (m.WeightMode.NONE, -1, 0.0)
-    assert not Balancer(start).prefer_own_zone
+    config = parse_deployment(1, FACTS)
+    assert (config.weight_mode, config.zone, config.cross_zone_price) == (m.WeightMode.NONE, -1, 0.0)
+    assert not Balancer(config).prefer_own_zone
 
 
 # ---- zones ----
 
 
 def test_expensive_zone_crossing_keeps_keys_in_the_own_zone_until_it_is_short_of_capacity() -> None:
-    near, cheap = (
+    expensive, cheap = (
         live_scenario(zones=2, zone=1, cross_zone_price=0.1),
         live_scenario(zones=2, zone=1, cross_zone_price=0.01),
     )
-    assert {home % 2 for home in home_hosts(near)} == {1}
+    assert {home % 2 for home in home_hosts(expensive)} == {1}
     assert {home % 2 for home in home_hosts(cheap)} == {0, 1}
     # While the hosts of the own zone are slow, ranges move to their hosts in the whole fleet, and later return.
     for n in range(400):
-        tx = near.arrive(f"k{n % 60}")
-        if near.hops.get(tx):
-            near.end_hop(tx, m.HopOutcome.DONE, duration_ms=2000 if near.hops[tx][0] % 2 else 20)
-        near.run(50)
-    strained = near.balancer.own_zone_fraction
-    assert strained < 0.8
+        tx = expensive.arrive(f"k{n % 60}")
+        if expensive.hops.get(tx):
+            expensive.end_hop(tx, m.HopOutcome.DONE, duration_ms=2000 if expensive.hops[tx][0] % 2 else 20)
+        expensive.run(50)
+    fraction = expensive.balancer.own_zone_fraction
+    assert fraction < 0.8
     for n in range(2000):
-        near.end_hop(near.arrive(f"k{n % 60}"), m.HopOutcome.DONE)
-        near.run(20)
-    assert near.balancer.own_zone_fraction == 1.0 and {home % 2 for home in home_hosts(near)} == {1}
+        expensive.end_hop(expensive.arrive(f"k{n % 60}"), m.HopOutcome.DONE)
+        expensive.run(20)
+    assert expensive.balancer.own_zone_fraction == 1.0 and {home % 2 for home in home_hosts(expensive)} == {1}
 
 
 def test_other_zones_serve_the_ranges_of_a_lost_own_zone() -> None:
@@ -286,8 +286,8 @@
 # ---- late reads ----
 
 
-def cache_aside_scenario(**terms: Any) -> Scenario:
-    scenario = Scenario(4, origin=True, **terms)
+def cache_aside_scenario(**overrides: Any) -> Scenario:
+    scenario = Scenario(4, origin=True, **overrides)
     for n in range(40):
         scenario.end_hop(scenario.arrive(f"k{n}"), m.HopOutcome.DONE)
         scenario.run(5)
@@ -322,9 +322,9 @@
     scenario.balancer.origin_limit, scenario.balancer.fetches_in_flight = 2.0, 1
     tx = scenario.arrive("k1")
     scenario.run(700)
-    assert len(scenario.hops[tx]) == 1 and any("roll back" in said for said in scenario.trace)
-    rolled = next(said for said in scenario.trace if "roll back" in said)
-    assert int(rolled.split()[0]) <= 200 + 600  # it arrived at 200 ms with a goal of 600 ms
+    assert len(scenario.hops[tx]) == 1 and any("roll back" in entry for entry in scenario.trace)
+    refusal = next(entry for entry in scenario.trace if "roll back" in entry)
+    assert int(refusal.split()[0]) <= 200 + 600  # it arrived at 200 ms with a goal of 600 ms
 
 
 # ---- balancers with and without live weights on the same cache hosts, as real processes on loopback ----
@@ -337,8 +337,8 @@
         saw = play(day, seed, Contender("now"), tmp_path)
         if not measure(day, saw, [])["late"]:
             break
-    told = [json.loads((tmp_path / f"balancer-{n}.json").read_text())["settings"]["Weights"] for n in (0, 1)]
-    assert told == ["live", "none"]
+    modes = [json.loads((tmp_path / f"balancer-{n}.json").read_text())["settings"]["Weights"] for n in (0, 1)]
+    assert modes == ["live", "none"]
     assert judge(day, saw) == []
     assert all(life.code in (None, 0) for life in saw.lives)
     tries: dict[int, list[bool]] = {0: [], 1: []}
@@ -372,9 +372,9 @@
     second.list(*live_list({h: 1.0 for h in range(6)}), complete=True)
     assert {h.weight for h in second.balancer.ready} == {0.25, 0.5, 0.75}
     names = {h.index: f"host-{h.index}" for h in scenario.balancer.ready}
-    told = decode_learned(encode_learned(scenario.balancer.learned(), names), {name: n for n, name in names.items()})
-    assert told is not None
-    second.feed("", told)
+    learned = decode_learned(encode_learned(scenario.balancer.learned(), names), {name: n for n, name in names.items()})
+    assert learned is not None
+    second.feed("", learned)
     second.list(*live_list({h: 1.0 for h in range(6)}))
     assert second.balancer.hosts[0].range_fraction == pytest.approx(1 - RANGE_FRACTION_DOWN_PER_SECOND)
     assert home_hosts(second) == before
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -51,15 +51,15 @@
     return b"".join(json.dumps(x).encode() + b"\n" for x in lines)
 
 
-def run_adapter(*parts: bytes) -> list[dict[str, Any]]:
+def run_adapter(*batches: bytes) -> list[dict[str, Any]]:
     out = io.BytesIO()
-    serve.serve(io.BytesIO(b"".join(parts)), out)
+    serve.serve(io.BytesIO(b"".join(batches)), out)
     return [json.loads(x) for x in out.getvalue().splitlines()]
 
 
 def test_a_transaction_is_sent_and_unknown_settings_are_ignored() -> None:
-    said = run_adapter(encode_batch(*BEGIN), encode_batch(ARRIVAL))
-    assert {"msg": "Deliver", "Who": 0, "Corr": "t/a", "Host": "10.0.0.1:80", "NotPast": 7397000} in said
+    messages = run_adapter(encode_batch(*BEGIN), encode_batch(ARRIVAL))
+    assert {"msg": "Deliver", "Who": 0, "Corr": "t/a", "Host": "10.0.0.1:80", "NotPast": 7397000} in messages
 
 
 @pytest.mark.parametrize("stats", [None, [], ["x"], "odd", [1.0, 2.0]])
@@ -73,8 +73,8 @@
 
 def test_a_killed_instance_loses_its_state_and_can_start_again() -> None:
     killed = {"msg": "Killed", "Who": 0}
-    said = run_adapter(encode_batch(*BEGIN, ARRIVAL), encode_batch(killed, *BEGIN, ARRIVAL | {"Corr": "t/b"}))
-    assert [x["Corr"] for x in said if x["msg"] == "Deliver"] == ["t/a", "t/b"]
+    messages = run_adapter(encode_batch(*BEGIN, ARRIVAL), encode_batch(killed, *BEGIN, ARRIVAL | {"Corr": "t/b"}))
+    assert [x["Corr"] for x in messages if x["msg"] == "Deliver"] == ["t/a", "t/b"]
 
 
 @pytest.mark.parametrize(
@@ -102,5 +102,5 @@
         raise ValueError("broken on purpose")
 
     monkeypatch.setattr(Balancer, "decide", broken)
-    said = run_adapter(encode_batch(*BEGIN))
-    assert said[0]["msg"] == "GiveIn" and "broken on purpose" in said[0]["BodyText"]
+    messages = run_adapter(encode_batch(*BEGIN))
+    assert messages[0]["msg"] == "GiveIn" and "broken on purpose" in messages[0]["BodyText"]
