--- a/ternquay/balance.py
+++ b/ternquay/balance.py
@@ -57,9 +57,9 @@
 MAX_EJECTION_NS = 8 * SECOND
 MAX_EJECTED_FRACTION = 0.4
 FALSE_EJECTION_INTERVAL_NS = 60 * SECOND  # between two ejections of a healthy host by chance
-FAILURE_RATIO_STEP = 0.01
+FAILURE_RATIO_STEP = 0.01  # of the moving average, per hop
 MIN_FAILURE_RATIO = 0.02
-MIN_SMOOTHING_PACE = 0.2
+MIN_SMOOTHING_PACE = 0.2  # of the usual step of a moving average, where hops are frequent
 # Refusals count too: a draining host refuses everything long before the host list says that it drains.
 FAILURE_OUTCOMES = (
     m.HopOutcome.ERROR,
@@ -70,7 +70,7 @@
 )
 
 # Retries and hedged hops.
-EXTRA_HOPS_PER_TX = 0.15
+EXTRA_HOPS_PER_TX = 0.15  # tokens that a transaction adds to the bucket
 MAX_EXTRA_HOP_TOKENS = 10.0
 BACKOFF_GOAL_FRACTION = 0.1  # of the service goal
 LATE_HOP_GOAL_FRACTION = 0.6  # of the service goal, after which a hop is late
@@ -91,17 +91,17 @@
 MIN_ORIGIN_LIMIT = 2.0
 SLOW_FETCH_GOAL_FRACTION = 0.5  # of the shortest service goal
 SLOW_HOST_FETCH_GOAL_FRACTION = 0.8  # of the shortest service goal; includes the work of the cache host that fetches
-MOSTLY_HITS_RATIO = 0.75
-HIT_RATIO_STEP = 0.05
-ORIGIN_PAUSE_FAILURES = 3
+MOSTLY_HITS_RATIO = 0.75  # from which reads without a known copy are not expected to fetch
+HIT_RATIO_STEP = 0.05  # of the moving average, per read
+ORIGIN_PAUSE_FAILURES = 3  # consecutive
 FIRST_ORIGIN_PAUSE_NS = 100 * MS
 MAX_ORIGIN_PAUSE_NS = 2 * SECOND
 
 # Cold cache hosts.
-COLD_BUDGET_MULTIPLE = 1.5
+COLD_BUDGET_MULTIPLE = 1.5  # of the load of a warm host; at most half of the overload multiple
 MIN_COLD_HOPS_PER_WINDOW = 2.0  # of all balancers together
-COLD_TURN_MARGIN = 0.9
-COLD_BURST_MULTIPLE = 8.0
+COLD_TURN_MARGIN = 0.9  # of the turns per window that would overload the host
+COLD_BURST_MULTIPLE = 8.0  # of the usual rate
 GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # its multiples modulo 2^64 are evenly spaced
 
 # The host list and timers.
@@ -140,7 +140,7 @@
             SLOW_FETCH_GOAL_FRACTION if config.cache_aside else SLOW_HOST_FETCH_GOAL_FRACTION
         )
         self.prefer_own_zone = config.cross_zone_price >= OWN_ZONE_MIN_PRICE
-        self.usual_ttl = [0] * len(config.profiles)
+        self.first_try_ttl = [0] * len(config.profiles)
         self.share_rates = [q / config.balancer_count for q in config.quotas]
         self.share_tokens, self.share_refilled_at = [0.0] * len(self.share_rates), [0] * len(self.share_rates)
 
@@ -162,9 +162,9 @@
         self.origin_limit = max(self.min_origin_limit, event.origin_limit / 2)
         # The values that it fetched are still at the cache hosts, though this process has seen none of them.
         self.unseen_hit_ratio, self.hit_ratio = max(self.unseen_hit_ratio, event.hits), event.hits
-        for measured in event.hosts:
-            if (host := self.hosts.get(measured.host)) is not None and not host.measured_at:
-                host.restore(measured, self.now)
+        for learned_host in event.hosts:
+            if (host := self.hosts.get(learned_host.host)) is not None and not host.measured_at:
+                host.restore(learned_host, self.now)
 
     # ---- the host list ----
 
@@ -582,16 +582,16 @@
     def _time_spent(self, event: m.TxArrived, profile: m.Profile) -> int:
         """How long the client of a retry has already waited, in ns."""
         # The hard limit shortens the time that a retry has left, which tells how long the client has already waited.
-        full_ttl = self.usual_ttl[event.profile]
+        full_ttl = self.first_try_ttl[event.profile]
         if not event.is_retry:
-            self.usual_ttl[event.profile] = max(full_ttl, event.ttl)
+            self.first_try_ttl[event.profile] = max(full_ttl, event.ttl)
             return 0
         return profile.hard_limit - event.ttl if event.ttl < full_ttl - MS else 0
 
     def _exceeds_share(self, share: int) -> bool:
         """Take a token from the bucket of a share, and return whether it was empty."""
         rate = self.share_rates[share]
-        burst = max(MIN_SHARE_BURST_TXS, SHARE_BURST_SECONDS * rate)  # at least one transaction
+        burst = max(MIN_SHARE_BURST_TXS, SHARE_BURST_SECONDS * rate)  # a small share still allows whole transactions
         tokens = min(burst, self.share_tokens[share] + rate * (self.now - self.share_refilled_at[share]) / SECOND)
         self.share_refilled_at[share], self.share_tokens[share] = self.now, tokens if tokens < 1.0 else tokens - 1.0
         return tokens < 1.0
@@ -621,7 +621,7 @@
         return not known and host.index not in self.known_copies.get(tx.key, ())
 
     def _response_lost(self, hop: Hop) -> bool:
-        """Whether later hops were answered and this one has taken a multiple of their usual duration."""
+        """Whether the response is probably lost: later hops were answered, and this one takes much longer."""
         if hop.expects_fetch:
             return (
                 self.newest_answered_fetch > hop.sent_at
@@ -886,7 +886,7 @@
         failures = max(MIN_FAILURES_TO_EJECT, min(MAX_FAILURES_TO_EJECT, int(run) + 1))
         return failures // 2 if on_probation else failures
 
-    def _count_failure(self, hop: Hop, at_once: bool = False) -> None:
+    def _count_failure(self, hop: Hop, eject_at_once: bool = False) -> None:
         """Count a failure of a host, and eject the host after enough of them in a row."""
         # A failed fetch counts against its host only while fetches through other hosts succeed.
         if hop.expects_fetch and self.fetch_failures >= ORIGIN_PAUSE_FAILURES:
@@ -894,7 +894,7 @@
         host = hop.host
         host.failures += 1
         if (
-            host.failures < (1 if at_once else self._failures_to_eject(host.on_probation))
+            host.failures < (1 if eject_at_once else self._failures_to_eject(host.on_probation))
             or host.ejected_until > self.now
         ):
             return
--- a/ternquay/state.py
+++ b/ternquay/state.py
@@ -169,14 +169,14 @@
     random: Random
     jitter_seed: int
     list_retry_delay: int
-    extra_hop_tokens: float
-    time_margin: int
+    extra_hop_tokens: float  # the token bucket of retries and hedged hops
+    time_margin: int  # subtracted from time limits
     shortest_goal: int
-    slow_fetch_duration: float
-    origin_limit: float
+    slow_fetch_duration: float  # from which fetches are slow, and the origin limit falls
+    origin_limit: float  # concurrent fetches
     min_origin_limit: float
-    unseen_hit_ratio: float
-    usual_ttl: list[int]
+    unseen_hit_ratio: float  # of reads whose copies this balancer has not seen
+    first_try_ttl: list[int]  # by profile, the longest TTL of a first try
     share_rates: list[float]
     share_tokens: list[float]
     share_refilled_at: list[int]
