--- a/tests/fleet_helper.py
+++ b/tests/fleet_helper.py
@@ -8,13 +8,13 @@
 
 from ternquay.rig.between import Between
 from ternquay.rig.ports import free_place
-from tests.hosted_helper import Answer, Hosted, document
+from tests.hosted_helper import HostedService, HttpReply, document
 
 KEY = b"0123456789abcdef0123456789abcdef"
 READ = b"mg k%d v Oi%d Pc=read,d=800\r\n"
 
 
-class Fellow(Hosted):
+class Fellow(HostedService):
     """One member; `address` is what its tenants' listeners are bound to."""
 
     def __init__(self, folder: Path, name: str, number: int, operator: str, peers: str) -> None:
@@ -26,9 +26,9 @@
             tls=f'[peers]\nfleet = "test"\nme = "{name}"\nkey_file = "fleet.key"\n'
             f'address = "{self.address}"\n{peers}\n',
         )
-        self.text = self.text.replace(self.digest(self.operator), self.digest(operator))
-        self.operator = operator
-        self.file.write_text(self.text)
+        self.config_text = self.config_text.replace(self.digest(self.operator_token), self.digest(operator))
+        self.operator_token = operator
+        self.config_file.write_text(self.config_text)
 
     def command(self) -> list[str]:
         return ["-m", "tests.fleet_launcher", self.odd, str(self.folder)] if self.odd else super().command()
@@ -52,18 +52,18 @@
 
     def read(self, port: int, wait: float = 0.4) -> bytes:
         """What a client gets for one read: a value, a word to come again, or nothing."""
-        return self.ask(f"{self.address}:{port}", READ % (1, 1), wait)
+        return self.exchange(f"{self.address}:{port}", READ % (1, 1), wait)
 
 
 class Fleet:
     def __init__(self, folder: Path, names: str = "abc", more: str = "", odd: str = "") -> None:
         from ternquay.hosted.administration import keys
 
-        places = {name: Hosted.place(free_place("127.0.0.1")) for name in names}
+        places = {name: HostedService.parse_address(free_place("127.0.0.1")) for name in names}
         self.between = Between(places)
         operator = keys.made("", "main")
         self.all: dict[str, Fellow] = {}
-        self.port = Hosted.place(free_place("127.7.0.1"))[1]
+        self.port = HostedService.parse_address(free_place("127.7.0.1"))[1]
         for n, name in enumerate(names):
             rows = "".join(
                 '[[peers.members]]\nname = "{}"\nplace = "{}"\n'.format(
@@ -78,7 +78,7 @@
         for name in names or self.all:
             self.all[name].launch()
         for name in names or self.all:
-            self.all[name].ready()
+            self.all[name].wait_until_ready()
         return self
 
     def end(self) -> None:
@@ -107,14 +107,14 @@
 
     def make(self, at: Fellow, name: str, servers: tuple[str, ...] = (), **terms: Any) -> int:
         """Takes a tenant in, at a port of every member."""
-        port = Hosted.place(free_place("127.7.0.1"))[1]
+        port = HostedService.parse_address(free_place("127.7.0.1"))[1]
         found = self.change(at, "POST", "/v1/tenants", document(name, f"0.0.0.0:{port}", servers, **terms))
         assert found.status == 201, found.body
         return port
 
     def change(
         self, at: Fellow, method: str, path: str, body: Any = None, within: float = 15.0, key: str = ""
-    ) -> Answer:
+    ) -> HttpReply:
         """Asked again while it is told that it is not now, or isn't known; always the same call."""
         end = time.monotonic() + within
         headers = {"idempotency_key": key or f"key-{time.monotonic_ns()}"}
--- a/tests/hosted_helper.py
+++ b/tests/hosted_helper.py
@@ -1,4 +1,4 @@
-"""A hosted service as a process of its own, with a store and an API, and calls to it as any client would make them."""
+"""Runs a hosted service with a store and an API as a process of its own, and calls it as any client would."""
 
 import http.client
 import json
@@ -22,60 +22,65 @@
 ]
 
 
-def document(name: str, listen: str, servers: tuple[str, ...] = (), **terms: Any) -> dict[str, Any]:
-    """A tenant as the API takes it."""
-    part = {"least": 0.1, "most": 0.8}
-    limits = {"cpu": part, "sockets": part, "memory": part} | terms.pop("limits", {})
+def document(name: str, listen: str, servers: tuple[str, ...] = (), **fields: Any) -> dict[str, Any]:
+    """Returns the document of a tenant, as the API takes it."""
+    guarantee = {"least": 0.1, "most": 0.8}
+    limits = {"cpu": guarantee, "sockets": guarantee, "memory": guarantee} | fields.pop("limits", {})
     return {
         "name": name,
         "listeners": [listen],
         "profiles": PROFILES,
         "limits": limits,
         "servers": [{"name": f"host-{n}", "place": place} for n, place in enumerate(servers)],
-    } | terms
+    } | fields
 
 
-class Answer:
+class HttpReply:
+    """A reply of the API with its decoded body."""
+
     def __init__(self, status: int, body: Any, headers: dict[str, str]) -> None:
         self.status, self.body, self.headers = status, body, headers
 
 
-class Hosted:
-    """Started, stopped and started again on the same store; its log is kept."""
+class HostedService:
+    """A process of the hosted service. It may be started again on the same store; the log is kept."""
 
     def __init__(self, folder: Path, more: str = "", tls: str = "") -> None:
         self.folder, self.api = folder, free_place("127.0.0.1")
-        self.operator = keys.made("", "main")
-        self.file, self.log = folder / "service.toml", folder / "log"
-        self.text = (
+        self.operator_token = keys.made("", "main")
+        self.config_file, self.log = folder / "service.toml", folder / "log"
+        self.config_text = (
             f'[process]\nsockets = 256\n[store]\npath = "registry.db"\n[api]\nlisten = "{self.api}"\n'
             f'calls_a_second = 500.0\nburst = 500\n{more}\n{tls}\n[[api.operators]]\nname = "main"\n'
-            f'digest = "{keys.digest_of(self.operator).hex()}"\n'
+            f'digest = "{keys.digest_of(self.operator_token).hex()}"\n'
         )
-        self.text += "[end]\n"
-        self.file.write_text(self.text)
+        self.config_text += "[end]\n"
+        self.config_file.write_text(self.config_text)
         self.process: subprocess.Popen[bytes] | None = None
 
-    def start(self) -> "Hosted":
+    def start(self) -> "HostedService":
+        """Starts the process and waits until it is ready."""
         self.launch()
-        return self.ready()
+        return self.wait_until_ready()
 
     def command(self) -> list[str]:
+        """Returns how the program is started, without its arguments."""
         return ["-m", "ternquay"]
 
     def launch(self) -> None:
+        """Starts the process."""
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, *self.command(), "host", "--config", str(self.file)], cwd=ROOT, stderr=log
+                [sys.executable, *self.command(), "host", "--config", str(self.config_file)], cwd=ROOT, stderr=log
             )
 
-    def ready(self) -> "Hosted":
-        """Once its API can be reached."""
+    def wait_until_ready(self) -> "HostedService":
+        """Waits until the API accepts connections."""
         assert self.process is not None
         until = time.monotonic() + 20
         while time.monotonic() < until:
             try:
-                socket.create_connection(self.place(self.api), timeout=1).close()
+                socket.create_connection(self.parse_address(self.api), timeout=1).close()
                 return self
             except OSError:
                 if self.process.poll() is not None:
@@ -84,7 +89,7 @@
         raise AssertionError(self.log.read_text()[-2000:])
 
     @staticmethod
-    def place(text: str) -> tuple[str, int]:
+    def parse_address(text: str) -> tuple[str, int]:
         host, _, port = text.rpartition(":")
         return host, int(port)
 
@@ -93,44 +98,46 @@
         self.process.kill()
         self.process.wait()
 
-    def end(self) -> int:
-        """SIGTERM; its exit code."""
+    def terminate(self) -> int:
+        """Sends SIGTERM; returns the exit code."""
         assert self.process is not None
         self.process.send_signal(signal.SIGTERM)
         return self.process.wait(10)
 
-    def call(self, method: str, path: str, body: Any = None, token: str | None = None, **headers: str) -> Answer:
-        connection = http.client.HTTPConnection(*self.place(self.api), timeout=10)
-        told = {"authorization": f"Bearer {self.operator if token is None else token}"}
-        told |= {name.replace("_", "-"): value for name, value in headers.items()}
+    def call(self, method: str, path: str, body: Any = None, token: str | None = None, **headers: str) -> HttpReply:
+        """Calls the API, by default as the operator."""
+        connection = http.client.HTTPConnection(*self.parse_address(self.api), timeout=10)
+        request_headers = {"authorization": f"Bearer {self.operator_token if token is None else token}"}
+        request_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
         text = body if isinstance(body, str | bytes | None) else json.dumps(body)
         try:
-            connection.request(method, path, text, told)
-            found = connection.getresponse()
-            answer = found.read()
-            return Answer(
-                found.status,
-                json.loads(answer) if answer else None,
-                {name.lower(): value for name, value in found.getheaders()},
+            connection.request(method, path, text, request_headers)
+            response = connection.getresponse()
+            content = response.read()
+            return HttpReply(
+                response.status,
+                json.loads(content) if content else None,
+                {name.lower(): value for name, value in response.getheaders()},
             )
         finally:
             connection.close()
 
-    def make(self, name: str, servers: tuple[str, ...] = (), **terms: Any) -> str:
-        """Takes a tenant in; where it listens."""
+    def create_tenant(self, name: str, servers: tuple[str, ...] = (), **fields: Any) -> str:
+        """Creates a tenant; returns the address at which it listens."""
         listen = free_place("127.0.0.1")
-        found = self.call("POST", "/v1/tenants", document(name, listen, servers, **terms))
+        found = self.call("POST", "/v1/tenants", document(name, listen, servers, **fields))
         assert found.status == 201, found.body
         return listen
 
-    def key(self, tenant: str, name: str, scope: str, **terms: Any) -> str:
-        found = self.call("POST", f"/v1/tenants/{tenant}/keys", {"name": name, "scope": scope, **terms})
+    def create_key(self, tenant: str, name: str, scope: str, **fields: Any) -> str:
+        """Creates an API key of the tenant; returns its token."""
+        found = self.call("POST", f"/v1/tenants/{tenant}/keys", {"name": name, "scope": scope, **fields})
         assert found.status == 201, found.body
         return str(found.body["token"])
 
-    def ask(self, listen: str, text: bytes, wait: float = 0.5) -> bytes:
-        """What a balancer's client gets for what it writes, within a while."""
-        with socket.create_connection(self.place(listen), timeout=5) as client:
+    def exchange(self, listen: str, text: bytes, wait: float = 0.5) -> bytes:
+        """Sends the text as a client of the tenant; returns what comes back until nothing does for `wait` seconds."""
+        with socket.create_connection(self.parse_address(listen), timeout=5) as client:
             client.sendall(text)
             client.settimeout(wait)
             found = b""
@@ -143,4 +150,5 @@
 
 
 def descriptors(process: "subprocess.Popen[bytes]") -> int:
+    """Returns the number of open file descriptors of the process."""
     return len(os.listdir(f"/proc/{process.pid}/fd"))
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -9,8 +9,8 @@
 
 from ternquay.rig.disk_faults import DiskFault, prepared, struck
 from ternquay.rig.terms import DayError
-from tests.hosted_helper import ROOT, Hosted
-from tests.test_hosted import READ, Host
+from tests.hosted_helper import ROOT, HostedService
+from tests.test_hosted import READ, FakeCacheHost
 
 STATE = "/v1/tenants/sur/state"
 STATES = ("suspended", "active")
@@ -18,7 +18,7 @@
 LASTS = 2.0
 
 
-class FailingDisk(Hosted):
+class FailingDisk(HostedService):
     """A hosted service whose store lies in a folder that fails by a plan; started again it fails no more."""
 
     def __init__(self, folder: Path, *faults: DiskFault) -> None:
@@ -26,8 +26,8 @@
         self.store, self.scratch = folder / "store", folder / "scratch"
         self.store.mkdir()
         self.scratch.mkdir()
-        self.text = self.text.replace('path = "registry.db"', 'path = "store/registry.db"')
-        self.file.write_text(self.text)
+        self.config_text = self.config_text.replace('path = "registry.db"', 'path = "store/registry.db"')
+        self.config_file.write_text(self.config_text)
         self.faults = faults
         self.began = 0.0
 
@@ -36,14 +36,14 @@
         self.began = time.monotonic()
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, *self.command(), "host", "--config", str(self.file)],
+                [sys.executable, *self.command(), "host", "--config", str(self.config_file)],
                 cwd=ROOT,
                 stderr=log,
                 env=environment,
             )
 
 
-def change(one: Hosted, state: str) -> int:
+def change(one: HostedService, state: str) -> int:
     """The version that was acknowledged, 0 for none."""
     found = one.call("PUT", STATE, {"state": state}, if_match="*")
     assert found.status in (200, 503, 504, 507), (found.status, found.body)
@@ -67,10 +67,10 @@
     tmp_path: Path, faults: tuple[DiskFault, ...]
 ) -> None:
     for_good = all(fault.rate == 1.0 for fault in faults)
-    host = Host()
+    host = FakeCacheHost()
     one = FailingDisk(tmp_path, *faults)
     one.start()
-    port = one.make("sur", (host.place,))
+    port = one.create_tenant("sur", (host.address,))
     acknowledged, asked, refused, states = 1, 0, 0, {1: "active"}
     try:
         while time.monotonic() < one.began + FAILS + LASTS:
@@ -85,13 +85,13 @@
                 states[version] = state
             refused += not version
             # Transactions go on by what is in force, whatever the disk does.
-            assert one.ask(port, READ % (1, 1), 0.3).startswith((b"VA 2", b"SERVER_ERROR busy"))
+            assert one.exchange(port, READ % (1, 1), 0.3).startswith((b"VA 2", b"SERVER_ERROR busy"))
         end = time.monotonic() + 10
         while not (version := change(one, "active")):
             assert time.monotonic() < end, one.log.read_text()[-2000:]
             time.sleep(0.1)
         acknowledged, states[version] = version, "active"
-        assert one.ask(port, READ % (1, 2), 0.5).startswith(b"VA 2")
+        assert one.exchange(port, READ % (1, 2), 0.5).startswith(b"VA 2")
         log = one.log.read_text()
         assert struck(one.scratch).total() > 0 and "Traceback" not in log
         one.kill()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,8 +22,8 @@
 import pytest
 
 from tests.fleet_helper import READ, Fellow, Fleet, until
-from tests.hosted_helper import ROOT, Hosted
-from tests.test_hosted import Host
+from tests.hosted_helper import ROOT, HostedService
+from tests.test_hosted import FakeCacheHost
 
 VALUE = b"VA 2 Oi1\r\nhi\r\n"
 STATE = "/v1/tenants/sur/state"
@@ -31,8 +31,8 @@
 
 
 @pytest.fixture(scope="module")
-def host() -> Host:
-    return Host()
+def host() -> FakeCacheHost:
+    return FakeCacheHost()
 
 
 @pytest.fixture
@@ -43,10 +43,10 @@
 
 
 @pytest.fixture
-def sur(fleet: Fleet, host: Host) -> int:
+def sur(fleet: Fleet, host: FakeCacheHost) -> int:
     """A fleet of three that serves one tenant everywhere; its port."""
     fleet.start()
-    port = fleet.make(fleet.leader(), "sur", (host.place,))
+    port = fleet.make(fleet.leader(), "sur", (host.address,))
     fleet.same()
     assert [one.read(port) for one in fleet.all.values()] == [VALUE] * 3
     return port
@@ -243,14 +243,14 @@
         assert [line["version"] for line in lines] == told[-100:]
 
 
-def test_what_one_machine_can_not_have_is_nowhere(fleet: Fleet, sur: int, host: Host) -> None:
+def test_what_one_machine_can_not_have_is_nowhere(fleet: Fleet, sur: int, host: FakeCacheHost) -> None:
     leader = fleet.leader()
     bad = fleet.others(leader)[0]
     with socket.create_server((bad.address, 0)) as taken:
         from tests.hosted_helper import document
 
         port = taken.getsockname()[1]
-        found = fleet.change(leader, "POST", "/v1/tenants", document("norte", f"0.0.0.0:{port}", (host.place,)))
+        found = fleet.change(leader, "POST", "/v1/tenants", document("norte", f"0.0.0.0:{port}", (host.address,)))
     assert found.status == 422 and found.body["field"] == "listeners[0]"
     assert found.body["detail"].startswith(f"{bad.name}: can't be bound")
     assert fleet.same() == 1
@@ -259,7 +259,7 @@
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection((one.address, port), timeout=2)
     # The same again once there is room: nothing of the first try is left anywhere.
-    made = fleet.change(leader, "POST", "/v1/tenants", document("norte", f"0.0.0.0:{port}", (host.place,)))
+    made = fleet.change(leader, "POST", "/v1/tenants", document("norte", f"0.0.0.0:{port}", (host.address,)))
     assert made.status == 201
     fleet.same()
 
@@ -475,7 +475,7 @@
                 "--url",
                 f"http://{leader.api}",
                 "--token",
-                leader.operator,
+                leader.operator_token,
                 *words,
             ],
             cwd=ROOT,
@@ -515,11 +515,11 @@
     fleet.same()
 
 
-def test_with_go_on_a_lone_member_serves_and_changes_want_all(tmp_path: Path, host: Host) -> None:
+def test_with_go_on_a_lone_member_serves_and_changes_want_all(tmp_path: Path, host: FakeCacheHost) -> None:
     fleet = Fleet(tmp_path, more='alone = "go-on"')
     try:
         fleet.start()
-        port = fleet.make(fleet.leader(), "sur", (host.place,))
+        port = fleet.make(fleet.leader(), "sur", (host.address,))
         fleet.same()
         leader = fleet.leader()
         lone, other = fleet.others(leader)
@@ -542,18 +542,18 @@
         fleet.end()
 
 
-def test_a_registry_of_one_process_is_what_the_fleet_begins_with(tmp_path: Path, host: Host) -> None:
+def test_a_registry_of_one_process_is_what_the_fleet_begins_with(tmp_path: Path, host: FakeCacheHost) -> None:
     fleet = Fleet(tmp_path)
     try:
         alone = fleet["b"]
-        text = alone.file.read_text()
-        alone.file.write_text(
+        text = alone.config_file.read_text()
+        alone.config_file.write_text(
             text.replace("[peers]", "#").replace(text.partition("[peers]")[2].partition("[[api.operators]]")[0], "\n")
         )
         alone.start()
-        port = Hosted.place(alone.make("sur", (host.place,)))[1]
-        assert alone.end() == 0
-        alone.file.write_text(text)
+        port = HostedService.parse_address(alone.create_tenant("sur", (host.address,)))[1]
+        assert alone.terminate() == 0
+        alone.config_file.write_text(text)
         fleet.start()
         assert fleet.same() == 1
         assert fleet["b"].fleet()["leader"] == "b"  # nobody else had it
@@ -562,19 +562,19 @@
         fleet["b"].kill()
         suspend(fleet, fleet.leader("ac"))
         # By itself it may be behind, so it does not begin without its fleet.
-        alone.file.write_text(alone.file.read_text().replace("[peers]", "[never]"))
+        alone.config_file.write_text(alone.config_file.read_text().replace("[peers]", "[never]"))
         with pytest.raises(AssertionError, match="never"):
             alone.start()
     finally:
         fleet.end()
 
 
-def test_who_is_far_behind_gets_all_that_is_in_force_at_once(tmp_path: Path, host: Host) -> None:
+def test_who_is_far_behind_gets_all_that_is_in_force_at_once(tmp_path: Path, host: FakeCacheHost) -> None:
     fleet = Fleet(tmp_path, more="log_kept = 16")
     try:
         fleet.start()
-        port = fleet.make(fleet.leader(), "sur", (host.place,))
-        gone = fleet.make(fleet.leader(), "norte", (host.place,))
+        port = fleet.make(fleet.leader(), "sur", (host.address,))
+        gone = fleet.make(fleet.leader(), "norte", (host.address,))
         fleet.same()
         leader = fleet.leader()
         behind = fleet.others(leader)[0]
@@ -588,7 +588,7 @@
         assert behind.read(port) == VALUE
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection((behind.address, gone), timeout=2)
-        behind.end()
+        behind.terminate()
         store = sqlite3.connect(behind.folder / "registry.db")
         assert int(store.execute("SELECT value FROM fleet_meta WHERE name = 'base'").fetchone()[0]) > 100
         store.close()
--- a/tests/test_fleet_odd.py
+++ b/tests/test_fleet_odd.py
@@ -9,15 +9,15 @@
 from tests.fleet_helper import Fleet, until
 from tests.hosted_helper import document
 from tests.test_fleet import STATE, VALUE, Asker, busy, host, suspend  # noqa: F401  # a fixture among them
-from tests.test_hosted import Host
+from tests.test_hosted import FakeCacheHost
 
 
-def test_the_leader_killed_at_each_step_of_a_change(tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_the_leader_killed_at_each_step_of_a_change(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
     """From the proposal to the answer: whatever the step, asked again with its key the change is made once."""
     fleet = Fleet(tmp_path, odd="die")
     try:
         fleet.start()
-        port = fleet.make(fleet.leader(), "sur", (host.place,))
+        port = fleet.make(fleet.leader(), "sur", (host.address,))
         fleet.same()
         for step in range(1, 60):
             leader = fleet.leader()
@@ -41,11 +41,11 @@
         fleet.end()
 
 
-def test_a_date_that_jumps_by_hours_changes_nothing(tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_a_date_that_jumps_by_hours_changes_nothing(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
     fleet = Fleet(tmp_path, odd="jump")
     try:
         fleet.start()
-        port = fleet.make(fleet.leader(), "sur", (host.place,))
+        port = fleet.make(fleet.leader(), "sur", (host.address,))
         fleet.same()
         askers = [Asker(one, port) for one in fleet.all.values()]
         until(lambda: all(asker.asked > 300 for asker in askers), 30)
@@ -58,13 +58,16 @@
         fleet.end()
 
 
-def test_a_clock_far_slower_than_the_bound_is_what_the_bound_is_stated_against(tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_a_clock_far_slower_than_the_bound_is_what_the_bound_is_stated_against(
+    tmp_path: Path,
+    host: FakeCacheHost,  # noqa: F811
+) -> None:
     """Cut off, it takes on by the old version for as long as its clock says: three leases instead of one."""
     fleet = Fleet(tmp_path)
     fleet["c"].odd = "slow"
     try:
         fleet.start()
-        port = fleet.make(fleet.leader("ab"), "sur", (host.place,))
+        port = fleet.make(fleet.leader("ab"), "sur", (host.address,))
         fleet.same()
         until(lambda: fleet["c"].fleet()["leader"] in ("a", "b"), 10)
         asker = Asker(fleet["c"], port)
@@ -81,11 +84,11 @@
         fleet.end()
 
 
-def test_the_member_that_leads_is_taken_out_and_let_in_again(tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_the_member_that_leads_is_taken_out_and_let_in_again(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
     fleet = Fleet(tmp_path)
     try:
         fleet.start()
-        port = fleet.make(fleet.leader(), "sur", (host.place,))
+        port = fleet.make(fleet.leader(), "sur", (host.address,))
         fleet.same()
         old = fleet.leader()
         rest = "".join(one.name for one in fleet.others(old))
@@ -108,19 +111,19 @@
 
 def test_what_was_decided_while_it_was_away_and_it_can_not_have_keeps_it_from_taking(
     tmp_path: Path,
-    host: Host,  # noqa: F811
+    host: FakeCacheHost,  # noqa: F811
 ) -> None:
     fleet = Fleet(tmp_path)
     try:
         fleet.start()
-        port = fleet.make(fleet.leader(), "sur", (host.place,))
+        port = fleet.make(fleet.leader(), "sur", (host.address,))
         fleet.same()
         leader = fleet.leader()
         away = fleet.others(leader)[0]
         away.kill()
         with socket.create_server((away.address, 0)) as taken:
             other = taken.getsockname()[1]
-            found = fleet.change(leader, "POST", "/v1/tenants", document("norte", f"0.0.0.0:{other}", (host.place,)))
+            found = fleet.change(leader, "POST", "/v1/tenants", document("norte", f"0.0.0.0:{other}", (host.address,)))
             assert found.status == 201
             away.start()
             until(
@@ -136,11 +139,11 @@
         fleet.end()
 
 
-def test_five_bear_the_loss_of_two_and_two_of_none(tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_five_bear_the_loss_of_two_and_two_of_none(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
     fleet = Fleet(tmp_path, "abcde")
     try:
         fleet.start()
-        port = fleet.make(fleet.leader(), "sur", (host.place,))
+        port = fleet.make(fleet.leader(), "sur", (host.address,))
         fleet.same()
         leader = fleet.leader()
         lost = [leader, fleet.others(leader)[0]]
@@ -158,17 +161,17 @@
         for one in (*lost, rest[0]):
             one.launch()
         for one in (*lost, rest[0]):
-            one.ready()
+            one.wait_until_ready()
         assert fleet.same() == 3
     finally:
         fleet.end()
 
 
-def test_two_members_warn_and_neither_changes_anything_alone(tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_two_members_warn_and_neither_changes_anything_alone(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
     fleet = Fleet(tmp_path, "ab")
     try:
         fleet.start()
-        port = fleet.make(fleet.leader(), "sur", (host.place,))
+        port = fleet.make(fleet.leader(), "sur", (host.address,))
         fleet.same()
         assert "2 members bear the loss of 0" in fleet["a"].log.read_text()
         fleet["b"].kill()
@@ -180,7 +183,7 @@
         fleet.end()
 
 
-def test_changes_while_a_cut_flaps(tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_changes_while_a_cut_flaps(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
     """Each half second one is cut off or all hear each other; changes go in at any member, each with its key."""
     fleet = Fleet(tmp_path)
     ended = threading.Event()
@@ -197,7 +200,7 @@
     flapping = threading.Thread(target=flap)
     try:
         fleet.start()
-        fleet.make(fleet.leader(), "sur", (host.place,))
+        fleet.make(fleet.leader(), "sur", (host.address,))
         fleet.same()
         flapping.start()
         told: list[int] = []
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -26,18 +26,18 @@
 from ternquay.hosted.administration import keys
 from ternquay.hosted.tenants.registry import Registry
 from ternquay.rig.ports import free_place
-from tests.hosted_helper import ROOT, Hosted, descriptors, document
+from tests.hosted_helper import ROOT, HostedService, descriptors, document
 
 READ = b"mg k%d v Oi%d Pc=read,d=800\r\n"
 
 
-class Host(threading.Thread):
-    """A cache host that answers each command at once, and counts what it had."""
+class FakeCacheHost(threading.Thread):
+    """A cache host that answers each command at once and counts the commands."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.place = "{}:{}".format(*self.listener.getsockname())
+        self.address = "{}:{}".format(*self.listener.getsockname())
         self.commands = 0
         self.start()
 
@@ -67,19 +67,19 @@
 
 
 @pytest.fixture(scope="module")
-def host() -> Host:
-    return Host()
+def host() -> FakeCacheHost:
+    return FakeCacheHost()
 
 
 @pytest.fixture(scope="module")
-def hosted(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Hosted]:
-    one = Hosted(tmp_path_factory.mktemp("hosted")).start()
+def hosted(tmp_path_factory: pytest.TempPathFactory) -> Iterator[HostedService]:
+    one = HostedService(tmp_path_factory.mktemp("hosted")).start()
     yield one
     if one.process is not None and one.process.poll() is None:
         one.kill()
 
 
-def gone(hosted: Hosted, name: str) -> None:
+def gone(hosted: HostedService, name: str) -> None:
     assert hosted.call("DELETE", f"/v1/tenants/{name}", if_match="*").status == 202
     until = time.monotonic() + 10
     while hosted.call("GET", f"/v1/tenants/{name}").status != 404:
@@ -87,27 +87,29 @@
         time.sleep(0.05)
 
 
-def test_from_made_to_gone_and_made_again_nothing_of_the_old_one_is_left(hosted: Hosted, host: Host) -> None:
-    listen = hosted.make("sur", (host.place,))
-    token = hosted.key("sur", "admin", "administrator")
-    assert hosted.ask(listen, b"mn\r\n" + READ % (1, 1)) == b"MN\r\nVA 2 Oi1\r\nhi\r\n"
+def test_from_made_to_gone_and_made_again_nothing_of_the_old_one_is_left(
+    hosted: HostedService, host: FakeCacheHost
+) -> None:
+    listen = hosted.create_tenant("sur", (host.address,))
+    token = hosted.create_key("sur", "admin", "administrator")
+    assert hosted.exchange(listen, b"mn\r\n" + READ % (1, 1)) == b"MN\r\nVA 2 Oi1\r\nhi\r\n"
     assert hosted.call("GET", "/v1/tenants/sur", token=token).status == 200
     before = hosted.call("GET", "/v1/tenants/sur").body["version"]
     gone(hosted, "sur")
     with pytest.raises(OSError):
-        hosted.ask(listen, b"mn\r\n")
-    found = hosted.call("POST", "/v1/tenants", document("sur", listen, (host.place,)))
+        hosted.exchange(listen, b"mn\r\n")
+    found = hosted.call("POST", "/v1/tenants", document("sur", listen, (host.address,)))
     assert found.status == 201 and found.body["version"] > before
     assert hosted.call("GET", "/v1/tenants/sur", token=token).status == 401
     use = hosted.call("GET", "/v1/process").body["tenants"]["sur"]
     assert (use["clients"], use["host_connections"], use["open"], use["cpu_s"]) == (0, 0, 0, 0.0)
-    assert hosted.ask(listen, READ % (1, 1)) == b"VA 2 Oi1\r\nhi\r\n"
+    assert hosted.exchange(listen, READ % (1, 1)) == b"VA 2 Oi1\r\nhi\r\n"
     gone(hosted, "sur")
 
 
-def test_states_limits_and_servers_change_under_open_connections(hosted: Hosted, host: Host) -> None:
-    listen = hosted.make("norte", (host.place,), limits={"txs_a_second": 20, "burst": 20})
-    with socket.create_connection(hosted.place(listen)) as client:
+def test_states_limits_and_servers_change_under_open_connections(hosted: HostedService, host: FakeCacheHost) -> None:
+    listen = hosted.create_tenant("norte", (host.address,), limits={"txs_a_second": 20, "burst": 20})
+    with socket.create_connection(hosted.parse_address(listen)) as client:
         client.settimeout(2)
         reader = client.makefile("rb")
 
@@ -132,7 +134,7 @@
     gone(hosted, "norte")
 
 
-def test_a_listener_that_can_not_be_bound_changes_nothing(hosted: Hosted) -> None:
+def test_a_listener_that_can_not_be_bound_changes_nothing(hosted: HostedService) -> None:
     version = hosted.call("GET", "/v1/tenants").body["version"]
     with socket.create_server(("127.0.0.1", 0)) as taken:
         told = document("lleno", "{}:{}".format(*taken.getsockname()))
@@ -141,11 +143,11 @@
     assert found.status == 422 and found.body["field"] == "listeners[1]" and "bound" in found.body["detail"]
     assert found.headers["content-type"] == "application/problem+json"
     assert hosted.call("GET", "/v1/tenants").body["version"] == version
-    socket.create_server(hosted.place(other)).close()  # and the first of them is free again
+    socket.create_server(hosted.parse_address(other)).close()  # and the first of them is free again
 
 
-def test_of_two_who_change_one_tenant_at_once_one_is_told_so(hosted: Hosted) -> None:
-    hosted.make("doble")
+def test_of_two_who_change_one_tenant_at_once_one_is_told_so(hosted: HostedService) -> None:
+    hosted.create_tenant("doble")
     found = hosted.call("GET", "/v1/tenants/doble/limits")
     told = {"if_match": found.headers["etag"]}
     statuses: list[int] = []
@@ -165,22 +167,22 @@
     gone(hosted, "doble")
 
 
-def test_a_watch_of_the_change_log_is_told_of_the_next_change(hosted: Hosted) -> None:
+def test_a_watch_of_the_change_log_is_told_of_the_next_change(hosted: HostedService) -> None:
     version = hosted.call("GET", "/v1/tenants").body["version"]
     found: list[Any] = []
     watch = threading.Thread(target=lambda: found.append(hosted.call("GET", f"/v1/changes?after={version}&wait_s=8")))
     began = time.monotonic()
     watch.start()
     time.sleep(0.5)
-    hosted.make("visto")
+    hosted.create_tenant("visto")
     watch.join(5)
     assert time.monotonic() - began < 5
     assert [(one["tenant"], one["kind"]) for one in found[0].body["changes"]] == [("visto", "make")]
     gone(hosted, "visto")
 
 
-def raw(hosted: Hosted, text: bytes, wait: float = 3.0) -> bytes:
-    with socket.create_connection(hosted.place(hosted.api), timeout=wait) as client:
+def raw(hosted: HostedService, text: bytes, wait: float = 3.0) -> bytes:
+    with socket.create_connection(hosted.parse_address(hosted.api), timeout=wait) as client:
         found = b""
         try:
             client.sendall(text)
@@ -191,8 +193,8 @@
         return found
 
 
-def test_bodies_headers_and_halves_have_bounds(hosted: Hosted) -> None:
-    auth = f"authorization: Bearer {hosted.operator}\r\nhost: x\r\n".encode()
+def test_bodies_headers_and_halves_have_bounds(hosted: HostedService) -> None:
+    auth = f"authorization: Bearer {hosted.operator_token}\r\nhost: x\r\n".encode()
     head = b"POST /v1/tenants HTTP/1.1\r\n" + auth
     began = time.monotonic()
     assert raw(hosted, head + b"content-length: 1073741824\r\n\r\n" + b"x" * 1000).startswith(b"HTTP/1.1 413")
@@ -211,15 +213,17 @@
 
 
 def test_calls_over_the_rate_are_told_to_come_back(tmp_path: Path) -> None:
-    one = Hosted(tmp_path)
-    one.file.write_text(one.text.replace("calls_a_second = 500.0\nburst = 500", "calls_a_second = 10.0\nburst = 5"))
+    one = HostedService(tmp_path)
+    one.config_file.write_text(
+        one.config_text.replace("calls_a_second = 500.0\nburst = 500", "calls_a_second = 10.0\nburst = 5")
+    )
     one.start()
     try:
         statuses, waits = [], []
-        connection = http.client.HTTPConnection(*one.place(one.api), timeout=10)
+        connection = http.client.HTTPConnection(*one.parse_address(one.api), timeout=10)
         began = time.monotonic()
         for _ in range(20):
-            connection.request("GET", "/v1/tenants", headers={"authorization": f"Bearer {one.operator}"})
+            connection.request("GET", "/v1/tenants", headers={"authorization": f"Bearer {one.operator_token}"})
             found = connection.getresponse()
             found.read()
             statuses.append(found.status)
@@ -233,9 +237,9 @@
 
 
 def test_more_connections_than_it_takes_are_told_so(tmp_path: Path) -> None:
-    one = Hosted(tmp_path, "connections = 3").start()
+    one = HostedService(tmp_path, "connections = 3").start()
     try:
-        held = [socket.create_connection(one.place(one.api)) for _ in range(3)]
+        held = [socket.create_connection(one.parse_address(one.api)) for _ in range(3)]
         time.sleep(0.3)
         assert raw(one, b"GET / HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 503")
         for client in held:
@@ -246,11 +250,11 @@
         one.kill()
 
 
-def test_killed_and_started_again_it_is_what_was_acknowledged(tmp_path: Path, host: Host) -> None:
-    one = Hosted(tmp_path).start()
+def test_killed_and_started_again_it_is_what_was_acknowledged(tmp_path: Path, host: FakeCacheHost) -> None:
+    one = HostedService(tmp_path).start()
     try:
-        listen = one.make("sur", (host.place,))
-        token = one.key("sur", "admin", "administrator")
+        listen = one.create_tenant("sur", (host.address,))
+        token = one.create_key("sur", "admin", "administrator")
         body = one.call("GET", "/v1/tenants/sur/limits").body | {"burst": 77}
         first = one.call("PUT", "/v1/tenants/sur/limits", body, if_match='"2"', idempotency_key="mine")
         assert first.status == 200
@@ -259,8 +263,8 @@
         again = one.call("PUT", "/v1/tenants/sur/limits", body, if_match='"2"', idempotency_key="mine")
         assert (again.status, again.body, again.headers["idempotency-replayed"]) == (200, first.body, "true")
         assert one.call("GET", "/v1/tenants/sur", token=token).body["version"] == 3
-        assert one.ask(listen, READ % (1, 1)) == b"VA 2 Oi1\r\nhi\r\n"
-        assert token not in one.log.read_text() and one.operator not in one.log.read_text()
+        assert one.exchange(listen, READ % (1, 1)) == b"VA 2 Oi1\r\nhi\r\n"
+        assert token not in one.log.read_text() and one.operator_token not in one.log.read_text()
         for line in one.log.read_text().splitlines():
             assert {"at", "level", "message"} <= json.loads(line).keys()
         told = [json.loads(line) for line in one.log.read_text().splitlines() if '"changed"' in line]
@@ -270,17 +274,17 @@
             ("sur", 3, "operator/main", "limits"),
         ]
         assert token.encode() not in b"".join(path.read_bytes() for path in tmp_path.glob("registry.db*"))
-        assert one.end() == 0
+        assert one.terminate() == 0
     finally:
         one.kill()
 
 
 def test_a_planned_end_answers_what_was_taken(tmp_path: Path) -> None:
     slow = socket.create_server(("127.0.0.1", 0))  # accepts and answers nobody
-    one = Hosted(tmp_path).start()
+    one = HostedService(tmp_path).start()
     try:
-        listen = one.make("sur", ("{}:{}".format(*slow.getsockname()),))
-        with socket.create_connection(one.place(listen)) as client:
+        listen = one.create_tenant("sur", ("{}:{}".format(*slow.getsockname()),))
+        with socket.create_connection(one.parse_address(listen)) as client:
             client.sendall(READ % (1, 1) + b"mg k v Oonce Pc=once,d=800\r\n")
             time.sleep(0.2)
             assert one.process is not None
@@ -325,14 +329,14 @@
     (tmp_path / "api.pem").write_bytes((tmp_path / "one.pem").read_bytes())
     (tmp_path / "api.key").write_bytes((tmp_path / "one.key").read_bytes())
     tls = '[api.tls]\ncertificate = "api.pem"\nkey = "api.key"\nclients_ca = "caller.pem"\n'
-    one = Hosted(tmp_path, tls=tls).start()
+    one = HostedService(tmp_path, tls=tls).start()
 
     def status(ca: str, caller: bool = True) -> int:
         context = ssl.create_default_context(cafile=str(tmp_path / f"{ca}.pem"))
         if caller:
             context.load_cert_chain(tmp_path / "caller.pem", tmp_path / "caller.key")
-        connection = http.client.HTTPSConnection(*one.place(one.api), timeout=5, context=context)
-        connection.request("GET", "/v1/tenants", headers={"authorization": f"Bearer {one.operator}"})
+        connection = http.client.HTTPSConnection(*one.parse_address(one.api), timeout=5, context=context)
+        connection.request("GET", "/v1/tenants", headers={"authorization": f"Bearer {one.operator_token}"})
         return connection.getresponse().status
 
     try:
@@ -355,7 +359,7 @@
         one.kill()
 
 
-def test_without_a_store_the_file_is_the_registry_and_is_followed(tmp_path: Path, host: Host) -> None:
+def test_without_a_store_the_file_is_the_registry_and_is_followed(tmp_path: Path, host: FakeCacheHost) -> None:
     listens = [free_place("127.0.0.1") for _ in range(3)]
 
     def text(*those: tuple[str, str, str]) -> str:
@@ -363,7 +367,7 @@
             "[process]\nsockets = 256\n"
             + "".join(
                 f'[[tenants]]\nname = "{name}"\nlisteners = ["{listen}"]\nstate = "{state}"\n'
-                f'servers = [{{ name = "h", place = "{host.place}" }}]\n'
+                f'servers = [{{ name = "h", place = "{host.address}" }}]\n'
                 'profiles = [{ name = "read", kind = "idempotent", service_goal_ms = 300, hard_limit_ms = 900 }]\n'
                 for name, listen, state in those
             )
@@ -376,11 +380,11 @@
         process = subprocess.Popen(
             [sys.executable, "-m", "ternquay", "host", "--config", str(file)], cwd=ROOT, stderr=log
         )
-    one = Hosted.__new__(Hosted)
+    one = HostedService.__new__(HostedService)
 
     def answers(listen: str) -> bytes:
         try:
-            return one.ask(listen, READ % (1, 1), 0.3)
+            return one.exchange(listen, READ % (1, 1), 0.3)
         except OSError:
             return b""
 
@@ -465,7 +469,7 @@
 # ---- the client ----
 
 
-def admin(hosted: Hosted, *words: str, token: str | None = None) -> tuple[int, str, str]:
+def admin(hosted: HostedService, *words: str, token: str | None = None) -> tuple[int, str, str]:
     done = subprocess.run(
         [
             sys.executable,
@@ -475,7 +479,7 @@
             "--url",
             f"http://{hosted.api}",
             "--token",
-            hosted.operator if token is None else token,
+            hosted.operator_token if token is None else token,
             *words,
         ],
         cwd=ROOT,
@@ -487,7 +491,7 @@
     return done.returncode, done.stdout, done.stderr
 
 
-def test_the_client_plans_applies_and_tells_scripts_what_came_of_it(hosted: Hosted, tmp_path: Path) -> None:
+def test_the_client_plans_applies_and_tells_scripts_what_came_of_it(hosted: HostedService, tmp_path: Path) -> None:
     listen, file = free_place("127.0.0.1"), tmp_path / "tenants.toml"
     file.write_text(
         f'[[tenants]]\nname = "plan"\nlisteners = ["{listen}"]\n'
@@ -533,12 +537,16 @@
 # ---- floods ----
 
 
-def test_one_client_that_pipelines_hundreds_does_not_take_the_others_turns(hosted: Hosted, host: Host) -> None:
-    listen = hosted.make("coro", (host.place,), limits={"txs_a_second": 100_000, "burst": 100_000, "open_txs": 400})
+def test_one_client_that_pipelines_hundreds_does_not_take_the_others_turns(
+    hosted: HostedService, host: FakeCacheHost
+) -> None:
+    listen = hosted.create_tenant(
+        "coro", (host.address,), limits={"txs_a_second": 100_000, "burst": 100_000, "open_txs": 400}
+    )
     stop = threading.Event()
 
     def flood() -> None:
-        client = socket.create_connection(hosted.place(listen), source_address=("127.0.0.7", 0))
+        client = socket.create_connection(hosted.parse_address(listen), source_address=("127.0.0.7", 0))
         client.settimeout(0.2)
         while not stop.is_set():
             try:
@@ -555,7 +563,7 @@
         one.start()
     time.sleep(0.5)
     took, committed = [], 0
-    with socket.create_connection(hosted.place(listen)) as client:
+    with socket.create_connection(hosted.parse_address(listen)) as client:
         client.settimeout(5)
         reader = client.makefile("rb")
         for n in range(100):
@@ -574,16 +582,16 @@
 
 
 def test_idle_tenants_cost_little_memory(tmp_path: Path) -> None:
-    one = Hosted(tmp_path).start()
+    one = HostedService(tmp_path).start()
     try:
         assert one.process is not None
         meter = psutil.Process(one.process.pid)
         none = {part: {"least": 0.0, "most": 1.0} for part in ("cpu", "sockets", "memory")}
         for n in range(10):
-            one.make(f"warm-{n}", tuple(f"10.0.{n}.{k}:80" for k in range(5)), limits=none)
+            one.create_tenant(f"warm-{n}", tuple(f"10.0.{n}.{k}:80" for k in range(5)), limits=none)
         before = meter.memory_info().rss
         for n in range(40):
-            one.make(f"t-{n}", tuple(f"10.1.{n}.{k}:80" for k in range(5)), limits=none)
+            one.create_tenant(f"t-{n}", tuple(f"10.1.{n}.{k}:80" for k in range(5)), limits=none)
         each = (meter.memory_info().rss - before) / 40
         assert each < 200_000, each
     finally:
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -19,9 +19,9 @@
 from ternquay.hosted.tenants.runtime import PreparedListeners, ProcessConfig
 from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, State
 from tests.helper import Net, Wire, member
-from tests.hosted_helper import Hosted
+from tests.hosted_helper import HostedService
 from tests.test_endings import Ending, begun, drained, ready
-from tests.test_hosted import Host as CacheHost
+from tests.test_hosted import FakeCacheHost
 from tests.test_net import Agent, mg
 from tests.test_registry import LIMITS, registry_of, tenant
 
@@ -254,10 +254,12 @@
 
 def test_on_loopback_who_waits_at_the_door_as_the_service_ends_is_let_in_and_answered(tmp_path: Path) -> None:
     """SIGTERM while all of a tenant's places are taken: those in the system's queue are in nobody's hands."""
-    cache = CacheHost()
-    one = Hosted(tmp_path).start()
+    cache = FakeCacheHost()
+    one = HostedService(tmp_path).start()
     try:
-        listen = one.place(one.make("sur", (cache.place,), limits={"sockets": {"least": 0.05, "most": 0.1}}))
+        listen = one.parse_address(
+            one.create_tenant("sur", (cache.address,), limits={"sockets": {"least": 0.05, "most": 0.1}})
+        )
         with ExitStack() as ended:
             for _ in range(25):  # as many as it has; they are new, so none of them is closed for another yet
                 ended.enter_context(socket.create_connection(listen, timeout=5))
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -28,7 +28,7 @@
 from ternquay.hosted.tenants.registry import CreateTenant, Registry, RemoveTenant, ReplaceTenant, SetState
 from ternquay.hosted.tenants.tenant import Endpoint, Server, State, TenantLimits
 from ternquay.rig.ports import free_place
-from tests.hosted_helper import ROOT, Hosted, document
+from tests.hosted_helper import ROOT, HostedService, document
 from tests.test_hosted_parts import SMALL
 from tests.test_registry import tenant
 from tests.test_review_links import free, serving, told, until
@@ -336,16 +336,16 @@
 
 
 def test_a_file_without_the_api_does_not_lock_the_operators_out(tmp_path: Path) -> None:
-    one = Hosted(tmp_path).start()
+    one = HostedService(tmp_path).start()
     try:
-        whole_file = one.file.read_text()
-        one.file.write_text('[process]\nsockets = 256\n[store]\npath = "registry.db"\n[end]\n')
+        whole_file = one.config_file.read_text()
+        one.config_file.write_text('[process]\nsockets = 256\n[store]\npath = "registry.db"\n[end]\n')
         process = one.process
         assert process is not None
         # Told again and again, as until the loop runs it is not heeded.
         until(lambda: again(process) and b"takes effect at the next start" in one.log.read_bytes())
         assert one.call("GET", "/v1/tenants").status == 200
-        one.file.write_text(whole_file)
+        one.config_file.write_text(whole_file)
     finally:
         one.kill()
 
@@ -509,10 +509,10 @@
 
 
 def test_a_second_service_does_not_start_on_a_store_that_is_in_use(tmp_path: Path) -> None:
-    one = Hosted(tmp_path).start()
+    one = HostedService(tmp_path).start()
     try:
         done = subprocess.run(
-            [sys.executable, "-m", "ternquay", "host", "--config", str(one.file)],
+            [sys.executable, "-m", "ternquay", "host", "--config", str(one.config_file)],
             cwd=ROOT,
             capture_output=True,
             text=True,
