--- a/tests/fleet_helper.py
+++ b/tests/fleet_helper.py
@@ -8,13 +8,13 @@
 
 from ternquay.rig.between import Between
 from ternquay.rig.ports import free_place
-from tests.hosted_helper import Answer, Hosted, document
+from tests.hosted_helper import HostedService, HttpReply, document
 
 KEY = b"0123456789abcdef0123456789abcdef"
 READ_COMMAND = b"mg k%d v Oi%d Pc=read,d=800\r\n"
 
 
-class MemberProcess(Hosted):
+class MemberProcess(HostedService):
     """One member; its tenants' listeners are bound to `address`. `fault`: a mode of the launcher, "" for none."""
 
     def __init__(self, folder: Path, name: str, number: int, operator: str, peers: str) -> None:
@@ -26,9 +26,9 @@
             tls=f'[peers]\nfleet = "test"\nme = "{name}"\nkey_file = "fleet.key"\n'
             f'address = "{self.address}"\n{peers}\n',
         )
-        self.text = self.text.replace(self.digest(self.operator), self.digest(operator))
-        self.operator = operator
-        self.file.write_text(self.text)
+        self.config_text = self.config_text.replace(self.digest(self.operator_token), self.digest(operator))
+        self.operator_token = operator
+        self.config_file.write_text(self.config_text)
 
     def command(self) -> list[str]:
         return ["-m", "tests.fleet_launcher", self.fault, str(self.folder)] if self.fault else super().command()
@@ -53,7 +53,7 @@
 
     def read(self, port: int, wait: float = 0.4) -> bytes:
         """What a client gets for one read: a value, a busy answer, or nothing."""
-        return self.ask(f"{self.address}:{port}", READ_COMMAND % (1, 1), wait)
+        return self.exchange(f"{self.address}:{port}", READ_COMMAND % (1, 1), wait)
 
 
 class FleetProcesses:
@@ -62,11 +62,11 @@
     def __init__(self, folder: Path, names: str = "abc", more: str = "", fault: str = "") -> None:
         from ternquay.hosted.administration import keys
 
-        addresses = {name: Hosted.place(free_place("127.0.0.1")) for name in names}
+        addresses = {name: HostedService.parse_address(free_place("127.0.0.1")) for name in names}
         self.between = Between(addresses)
         operator = keys.made("", "main")
         self.members: dict[str, MemberProcess] = {}
-        self.port = Hosted.place(free_place("127.7.0.1"))[1]
+        self.port = HostedService.parse_address(free_place("127.7.0.1"))[1]
         for n, name in enumerate(names):
             rows = "".join(
                 '[[peers.members]]\nname = "{}"\nplace = "{}"\n'.format(
@@ -81,7 +81,7 @@
         for name in names or self.members:
             self.members[name].launch()
         for name in names or self.members:
-            self.members[name].ready()
+            self.members[name].wait_until_ready()
         return self
 
     def end(self) -> None:
@@ -110,14 +110,14 @@
 
     def create_tenant(self, at: MemberProcess, name: str, servers: tuple[str, ...] = (), **terms: Any) -> int:
         """Creates a tenant that listens on the returned port at every member."""
-        port = Hosted.place(free_place("127.7.0.1"))[1]
+        port = HostedService.parse_address(free_place("127.7.0.1"))[1]
         found = self.call_until_final(at, "POST", "/v1/tenants", document(name, f"0.0.0.0:{port}", servers, **terms))
         assert found.status == 201, found.body
         return port
 
     def call_until_final(
         self, at: MemberProcess, method: str, path: str, body: Any = None, within: float = 15.0, key: str = ""
-    ) -> Answer:
+    ) -> HttpReply:
         """Repeats the same call, with the same key, until its answer is neither 503 nor 504."""
         end = time.monotonic() + within
         headers = {"idempotency_key": key or f"key-{time.monotonic_ns()}"}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,8 +22,8 @@
 import pytest
 
 from tests.fleet_helper import READ_COMMAND, FleetProcesses, MemberProcess, wait_until
-from tests.hosted_helper import ROOT, Hosted
-from tests.test_hosted import Host
+from tests.hosted_helper import ROOT, HostedService
+from tests.test_hosted import FakeCacheHost
 
 VALUE = b"VA 2 Oi1\r\nhi\r\n"
 STATE_PATH = "/v1/tenants/sur/state"
@@ -31,8 +31,8 @@
 
 
 @pytest.fixture(scope="module")
-def host() -> Host:
-    return Host()
+def host() -> FakeCacheHost:
+    return FakeCacheHost()
 
 
 @pytest.fixture
@@ -43,10 +43,10 @@
 
 
 @pytest.fixture
-def sur(fleet: FleetProcesses, host: Host) -> int:
+def sur(fleet: FleetProcesses, host: FakeCacheHost) -> int:
     """The port of the tenant "sur", which all three members of the fleet serve."""
     fleet.start()
-    port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.place,))
+    port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.address,))
     fleet.wait_converged()
     assert [one.read(port) for one in fleet.members.values()] == [VALUE] * 3
     return port
@@ -249,7 +249,7 @@
 
 
 def test_a_change_that_one_member_cannot_apply_is_aborted_everywhere(
-    fleet: FleetProcesses, sur: int, host: Host
+    fleet: FleetProcesses, sur: int, host: FakeCacheHost
 ) -> None:
     leader = fleet.wait_for_leader()
     bad = fleet.others(leader)[0]
@@ -258,7 +258,7 @@
 
         port = taken.getsockname()[1]
         found = fleet.call_until_final(
-            leader, "POST", "/v1/tenants", document("norte", f"0.0.0.0:{port}", (host.place,))
+            leader, "POST", "/v1/tenants", document("norte", f"0.0.0.0:{port}", (host.address,))
         )
     assert found.status == 422 and found.body["field"] == "listeners[0]"
     assert found.body["detail"].startswith(f"{bad.name}: can't be bound")
@@ -268,7 +268,7 @@
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection((one.address, port), timeout=2)
     # The same call succeeds once the port is free: nothing of the aborted change is left at any member.
-    made = fleet.call_until_final(leader, "POST", "/v1/tenants", document("norte", f"0.0.0.0:{port}", (host.place,)))
+    made = fleet.call_until_final(leader, "POST", "/v1/tenants", document("norte", f"0.0.0.0:{port}", (host.address,)))
     assert made.status == 201
     fleet.wait_converged()
 
@@ -484,7 +484,7 @@
                 "--url",
                 f"http://{leader.api}",
                 "--token",
-                leader.operator,
+                leader.operator_token,
                 *words,
             ],
             cwd=ROOT,
@@ -524,11 +524,11 @@
     fleet.wait_converged()
 
 
-def test_with_go_on_a_lone_member_serves_and_changes_need_all_members(tmp_path: Path, host: Host) -> None:
+def test_with_go_on_a_lone_member_serves_and_changes_need_all_members(tmp_path: Path, host: FakeCacheHost) -> None:
     fleet = FleetProcesses(tmp_path, more='alone = "go-on"')
     try:
         fleet.start()
-        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.place,))
+        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.address,))
         fleet.wait_converged()
         leader = fleet.wait_for_leader()
         lone, other = fleet.others(leader)
@@ -554,18 +554,18 @@
         fleet.end()
 
 
-def test_a_fleet_starts_with_the_registry_of_a_single_process(tmp_path: Path, host: Host) -> None:
+def test_a_fleet_starts_with_the_registry_of_a_single_process(tmp_path: Path, host: FakeCacheHost) -> None:
     fleet = FleetProcesses(tmp_path)
     try:
         alone = fleet["b"]
-        text = alone.file.read_text()
-        alone.file.write_text(
+        text = alone.config_file.read_text()
+        alone.config_file.write_text(
             text.replace("[peers]", "#").replace(text.partition("[peers]")[2].partition("[[api.operators]]")[0], "\n")
         )
         alone.start()
-        port = Hosted.place(alone.make("sur", (host.place,)))[1]
-        assert alone.end() == 0
-        alone.file.write_text(text)
+        port = HostedService.parse_address(alone.create_tenant("sur", (host.address,)))[1]
+        assert alone.terminate() == 0
+        alone.config_file.write_text(text)
         fleet.start()
         assert fleet.wait_converged() == 1
         assert fleet["b"].status()["leader"] == "b"  # no other member had the registry
@@ -574,19 +574,19 @@
         fleet["b"].kill()
         set_state(fleet, fleet.wait_for_leader("ac"))
         # Without its fleet it may be behind, so it refuses to start.
-        alone.file.write_text(alone.file.read_text().replace("[peers]", "[never]"))
+        alone.config_file.write_text(alone.config_file.read_text().replace("[peers]", "[never]"))
         with pytest.raises(AssertionError, match="never"):
             alone.start()
     finally:
         fleet.end()
 
 
-def test_a_member_far_behind_receives_a_snapshot(tmp_path: Path, host: Host) -> None:
+def test_a_member_far_behind_receives_a_snapshot(tmp_path: Path, host: FakeCacheHost) -> None:
     fleet = FleetProcesses(tmp_path, more="log_kept = 16")
     try:
         fleet.start()
-        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.place,))
-        gone = fleet.create_tenant(fleet.wait_for_leader(), "norte", (host.place,))
+        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.address,))
+        gone = fleet.create_tenant(fleet.wait_for_leader(), "norte", (host.address,))
         fleet.wait_converged()
         leader = fleet.wait_for_leader()
         behind = fleet.others(leader)[0]
@@ -600,7 +600,7 @@
         assert behind.read(port) == VALUE
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection((behind.address, gone), timeout=2)
-        behind.end()
+        behind.terminate()
         store = sqlite3.connect(behind.folder / "registry.db")
         assert int(store.execute("SELECT value FROM fleet_meta WHERE name = 'base'").fetchone()[0]) > 100
         store.close()
--- a/tests/test_fleet_odd.py
+++ b/tests/test_fleet_odd.py
@@ -9,15 +9,15 @@
 from tests.fleet_helper import FleetProcesses, wait_until
 from tests.hosted_helper import document
 from tests.test_fleet import STATE_PATH, VALUE, PollingReader, host, is_busy, set_state  # noqa: F401  # host is a fixture
-from tests.test_hosted import Host
+from tests.test_hosted import FakeCacheHost
 
 
-def test_the_leader_killed_at_each_step_of_a_change(tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_the_leader_killed_at_each_step_of_a_change(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
     """From the proposal to the answer: at whatever step the leader dies, the repeated call makes the change once."""
     fleet = FleetProcesses(tmp_path, fault="die")
     try:
         fleet.start()
-        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.place,))
+        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.address,))
         fleet.wait_converged()
         for step in range(1, 60):
             leader = fleet.wait_for_leader()
@@ -41,11 +41,11 @@
         fleet.end()
 
 
-def test_a_date_that_jumps_by_an_hour_has_no_effect(tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_a_date_that_jumps_by_an_hour_has_no_effect(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
     fleet = FleetProcesses(tmp_path, fault="jump")
     try:
         fleet.start()
-        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.place,))
+        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.address,))
         fleet.wait_converged()
         readers = [PollingReader(one, port) for one in fleet.members.values()]
         wait_until(lambda: all(reader.reads > 300 for reader in readers), 30)
@@ -58,13 +58,13 @@
         fleet.end()
 
 
-def test_a_clock_slower_than_the_drift_bound_breaks_the_lease(tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_a_clock_slower_than_the_drift_bound_breaks_the_lease(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
     """Partitioned, the slow member serves the old version until its own clock ends the lease, after three leases."""
     fleet = FleetProcesses(tmp_path)
     fleet["c"].fault = "slow"
     try:
         fleet.start()
-        port = fleet.create_tenant(fleet.wait_for_leader("ab"), "sur", (host.place,))
+        port = fleet.create_tenant(fleet.wait_for_leader("ab"), "sur", (host.address,))
         fleet.wait_converged()
         wait_until(lambda: fleet["c"].status()["leader"] in ("a", "b"), 10)
         reader = PollingReader(fleet["c"], port)
@@ -81,11 +81,11 @@
         fleet.end()
 
 
-def test_the_leader_is_removed_and_readmitted(tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_the_leader_is_removed_and_readmitted(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
     fleet = FleetProcesses(tmp_path)
     try:
         fleet.start()
-        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.place,))
+        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.address,))
         fleet.wait_converged()
         old = fleet.wait_for_leader()
         rest = "".join(one.name for one in fleet.others(old))
@@ -108,12 +108,12 @@
 
 def test_a_member_that_cannot_apply_a_decided_change_serves_nothing(
     tmp_path: Path,
-    host: Host,  # noqa: F811
+    host: FakeCacheHost,  # noqa: F811
 ) -> None:
     fleet = FleetProcesses(tmp_path)
     try:
         fleet.start()
-        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.place,))
+        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.address,))
         fleet.wait_converged()
         leader = fleet.wait_for_leader()
         away = fleet.others(leader)[0]
@@ -121,7 +121,7 @@
         with socket.create_server((away.address, 0)) as taken:
             other = taken.getsockname()[1]
             found = fleet.call_until_final(
-                leader, "POST", "/v1/tenants", document("norte", f"0.0.0.0:{other}", (host.place,))
+                leader, "POST", "/v1/tenants", document("norte", f"0.0.0.0:{other}", (host.address,))
             )
             assert found.status == 201
             away.start()
@@ -139,11 +139,11 @@
         fleet.end()
 
 
-def test_five_members_tolerate_the_loss_of_two(tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_five_members_tolerate_the_loss_of_two(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
     fleet = FleetProcesses(tmp_path, "abcde")
     try:
         fleet.start()
-        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.place,))
+        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.address,))
         fleet.wait_converged()
         leader = fleet.wait_for_leader()
         lost = [leader, fleet.others(leader)[0]]
@@ -161,17 +161,17 @@
         for one in (*lost, rest[0]):
             one.launch()
         for one in (*lost, rest[0]):
-            one.ready()
+            one.wait_until_ready()
         assert fleet.wait_converged() == 3
     finally:
         fleet.end()
 
 
-def test_two_members_warn_and_neither_makes_changes_alone(tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_two_members_warn_and_neither_makes_changes_alone(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
     fleet = FleetProcesses(tmp_path, "ab")
     try:
         fleet.start()
-        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.place,))
+        port = fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.address,))
         fleet.wait_converged()
         assert "2 members tolerate the loss of 0" in fleet["a"].log.read_text()
         fleet["b"].kill()
@@ -183,7 +183,7 @@
         fleet.end()
 
 
-def test_changes_during_a_flapping_partition(tmp_path: Path, host: Host) -> None:  # noqa: F811
+def test_changes_during_a_flapping_partition(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
     """Every half second a member is partitioned or the network heals; changes go to any member, each with its key."""
     fleet = FleetProcesses(tmp_path)
     ended = threading.Event()
@@ -200,7 +200,7 @@
     flapping = threading.Thread(target=flap)
     try:
         fleet.start()
-        fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.place,))
+        fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.address,))
         fleet.wait_converged()
         flapping.start()
         told: list[int] = []
