--- a/ternquay/consensus/core.py
+++ b/ternquay/consensus/core.py
@@ -13,7 +13,7 @@
 The protocol is Raft (Ongaro and Ousterhout 2014) with pre-votes and voters that refuse to elect another leader while
 they hear from the current one. Above it each change is a two-phase commit over all members: the leader proposes it,
 every member validates it and holds the tenant concerned, and only then is it decided. A member that does not answer
-is waited for until its lease has expired, after which it serves nothing; see docs/agreement.md.
+is waited for until its lease has expired, since it serves nothing from then on; see docs/agreement.md.
 
 Times are whole nanoseconds of the member's own clock; only durations are compared between members. No message of
 another member makes a method raise.
@@ -70,7 +70,7 @@
 
     @staticmethod
     def for_lease(lease: int, serve_without_quorum: bool = False) -> "Timing":
-        """The other durations follow from the lease."""
+        """Derives the other durations from the lease."""
         return Timing(lease, lease // 15, lease * 3 // 10, lease // 2, serve_without_quorum=serve_without_quorum)
 
     @property
@@ -181,27 +181,27 @@
         self.election_due = now + self._election_timeout()
         self.lease_until = 0
         self.held_proposals = set(self.log.open_proposals(self.applied_index))
-        self.validation: tuple[int, Rejection | None] = (0, None)
-        self.validating_index = 0
+        self.validation: tuple[int, Rejection | None] = (0, None)  # this machine's answer to the last proposal
+        self.validating_index = 0  # the proposal that the driver is validating
         self.votes: set[str] = set()
         self.own_vote_write = 0  # the number of the write that persists it
         self.match_index = 0  # up to where the log is known to match the current leader's
         self.pre_vote = False
         self.progress: dict[str, Progress] = {}
-        self.lease_sent_at: dict[str, int] = {}
+        self.lease_sent_at: dict[str, int] = {}  # when the leader last granted each member a lease
         self.elected_at = self.quorum_contact_at = self.round_sent_at = 0
         self.first_own_index = 0  # of the leader's first entry in its term
         self.hold_index = 0  # the proposal that the leader asks all members to hold
-        self.deciding_index = self.deciding_since = 0
+        self.deciding_index = self.deciding_since = 0  # the proposal that waits for other members, and since when
         self.leaving: set[str] = set()  # are granted no lease, and removed once theirs has expired
         self.learners: dict[str, str] = {}  # the disk id that each member reported last, by name
         self.snapshot: Snapshot | None = None
         self.snapshot_needed = False
-        self.incoming_data = bytearray()
+        self.incoming_data = bytearray()  # of the snapshot that is being received
         self.incoming_index = 0
         # For the driver, except `awaiting_write` and `pending_writes`.
         self.outbox: list[tuple[str, Message]] = []
-        self.awaiting_write: list[tuple[int, str, Message]] = []  # the write, the recipient
+        self.awaiting_write: list[tuple[int, str, Message]] = []  # sent once that write is on disk
         self.writes: list[Write] = []
         self.pending_writes: list[tuple[int, int, int]] = []  # number, last index, last term
         self.outcomes: list[Outcome] = []
@@ -215,6 +215,7 @@
         return self.log.membership()[0]
 
     def is_voter(self) -> bool:
+        """Whether this member, with this disk, belongs to the membership."""
         return self.me in self.membership().members
 
     def is_leader(self) -> bool:
@@ -401,10 +402,7 @@
     # ---- leader ----
 
     def propose(self, body: bytes, now: int) -> int:
-        """Appends a proposal and returns its index. Raises RetryLater.
-
-        There is one open proposal at a time.
-        """
+        """Appends a proposal and returns its index. Raises RetryLater, also while another proposal is open."""
         if not self.is_leader():
             raise RetryLater("another one leads" if self.leader else "nobody leads", self.leader)
         if not self.is_established_leader() or self.log.open_proposal():
