--- a/ternquay/hosted/administration/changes.py
+++ b/ternquay/hosted/administration/changes.py
@@ -257,7 +257,7 @@
         if len(key) > KEY_MOST or not key.isascii() or not key.isprintable():
             return problem(400, f"up to {KEY_MOST} printable characters are wanted", "Idempotency-Key")
         who = str(self.api.identified(call, self.registry, self.clock()))
-        found: StoredReply | None = self.fleet.pending_answer(who, _digest(key)) if self.fleet is not None else None
+        found: StoredReply | None = self.fleet.pending_reply(who, _digest(key)) if self.fleet is not None else None
         if found is None:
             found = yield self.stored.do(self.stored.store.find_reply, who, _digest(key))
         if found is None:
--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -180,7 +180,7 @@
         self.unappliable = ""  # why the registry in force cannot be applied on this machine; retried
         self.unreadable = ""  # why a decided change cannot be decoded; until the next start nothing after it is applied
         self.waiters: dict[tuple[int, int], Deferred[None]] = {}
-        self.pending_answers: dict[tuple[str, bytes], StoredReply] = {}  # not on disk yet
+        self.pending_replies: dict[tuple[str, bytes], StoredReply] = {}  # not on disk yet
         self.forwarded: dict[int, tuple[str, Deferred[Reply]]] = {}  # by call id: the leader and the reply
         self.was_leader = False  # after the previous _drive()
         self.flush_waiters: list[Deferred[None]] = []
@@ -489,7 +489,7 @@
             return
         self._apply_change(commit, prepared)
         if commit.reply is not None:
-            self.pending_answers[(commit.reply.who, commit.reply.key_digest)] = commit.reply
+            self.pending_replies[(commit.reply.who, commit.reply.key_digest)] = commit.reply
         self._queue_job(MarkApplied(outcome.index, commit))
         if waiter is not None:
             waiter.callback(None)
@@ -592,7 +592,7 @@
                     )
             elif isinstance(job, MarkApplied):
                 if job.change is not None and job.change.reply is not None:
-                    self.pending_answers.pop((job.change.reply.who, job.change.reply.key_digest), None)
+                    self.pending_replies.pop((job.change.reply.who, job.change.reply.key_digest), None)
                 if job.index - self.core.log.base_index >= self.config.retained_log_entries * 5 // 4:
                     self._compact(job.index - self.config.retained_log_entries)
         if number:
@@ -729,9 +729,9 @@
         text = msgspec.msgpack.encode(Forwarded(id, None, (reply.status, body, dict(reply.headers))))
         self.links.send(recipient, self._frame(recipient, FrameKind.REPLY, text))
 
-    def pending_answer(self, who: str, key: bytes) -> StoredReply | None:
+    def pending_reply(self, who: str, key: bytes) -> StoredReply | None:
         """The answer to an earlier call with this idempotency key, if it is not on disk yet."""
-        return self.pending_answers.get((who, key))
+        return self.pending_replies.get((who, key))
 
     def remove_member(self, name: str) -> Reply:
         """Removes a member for good. Only the leader can do this."""
