--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -1,6 +1,6 @@
 """One running member of a fleet: drives the consensus core with links, disk and tenants, and reports its status.
 
-    fleet = FleetMember(reactor, service, host, stored, boot)
+    fleet = FleetMember(reactor, config, host, stored, store, store.begin_boot())
     fleet.start()                          # raises InvalidField where the members' port can't be bound
     fleet.propose(commit)                  # -> a Deferred: fires once the change is in force, or fails with
                                            #    ChangeAborted, OutcomeUnknown or RetryLater
@@ -68,7 +68,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """A commit as the body of a log entry, with the answer for a repeated call. Encoded by position."""
+    """A commit as the body of a log entry, with the reply for a repeated call. Encoded by position."""
 
     tenant: str
     version: int
@@ -77,8 +77,8 @@
     kind: str
     detail: bytes
     entry: tuple[bytes, int, int] | None  # body, version, incarnation; None where the tenant was removed
-    answered: tuple[str, bytes, bytes, int, bytes] | None
-    noted: tuple[str, str, str, int, str] | None
+    reply: tuple[str, bytes, bytes, int, bytes] | None
+    audit: tuple[str, str, str, int, str] | None
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True):
@@ -105,32 +105,32 @@
 
 
 def change_of(commit: Commit) -> Change:
-    logged, answered, noted = commit.record, commit.reply, commit.audit
+    record, reply, audit = commit.record, commit.reply, commit.audit
     return Change(
-        logged.tenant,
-        logged.version,
-        logged.at,
-        logged.who,
-        logged.kind,
-        logged.body,
+        record.tenant,
+        record.version,
+        record.at,
+        record.who,
+        record.kind,
+        record.body,
         (encode_tenant(commit.entry.tenant), commit.entry.version, commit.entry.incarnation) if commit.entry else None,
-        (answered.who, answered.key_digest, answered.call_digest, answered.status, answered.body) if answered else None,
-        (noted.who, noted.peer, noted.call, noted.status, noted.reason) if noted else None,
+        (reply.who, reply.key_digest, reply.call_digest, reply.status, reply.body) if reply else None,
+        (audit.who, audit.peer, audit.call, audit.status, audit.reason) if audit else None,
     )
 
 
 def commit_of(change: Change) -> Commit:
     """Raises StoreError."""
     entry = TenantEntry(decode_tenant(change.entry[0]), *change.entry[1:]) if change.entry else None
-    answered = None
-    if change.answered is not None:
-        who, key, asked, status, body = change.answered
-        answered = StoredReply(who, key, asked, status, change.version, body)
+    reply = None
+    if change.reply is not None:
+        who, key_digest, call_digest, status, body = change.reply
+        reply = StoredReply(who, key_digest, call_digest, status, change.version, body)
     return Commit(
         ChangeRecord(change.version, change.at, change.who, change.tenant, change.kind, change.detail),
         entry,
-        answered,
-        AuditRecord(change.at, *change.noted) if change.noted else None,
+        reply,
+        AuditRecord(change.at, *change.audit) if change.audit else None,
     )
 
 
@@ -170,16 +170,16 @@
         )
         self.jobs: deque[Job] = deque()
         self.is_writing = self.is_reading_snapshot = False
-        self.disk_trouble = ""
-        self.durable = DurableState()
+        self.disk_trouble = ""  # the last error of the store, "" if there is none
+        self.durable = DurableState()  # as told to the other members
         self.pings: dict[str, Ping] = {}
         self.held_tenants: frozenset[str] = frozenset()
-        self.prepared: dict[int, tuple[str, Any]] = {}
+        self.prepared: dict[int, tuple[str, Any]] = {}  # by proposal: the tenant and its prepared listeners
         # The registry in force. The host may lag behind it, and serves nothing while it does.
         self.agreed_registry: Registry = host.registry
         self.unappliable = ""  # why the registry in force cannot be applied on this machine; retried
         self.unreadable = ""  # why a decided change cannot be decoded; until the next start nothing after it is applied
-        self.waiters: dict[tuple[int, int], Deferred[None]] = {}
+        self.waiters: dict[tuple[int, int], Deferred[None]] = {}  # by term and index of the proposal
         self.pending_replies: dict[tuple[str, bytes], StoredReply] = {}  # not on disk yet
         self.forwarded: dict[int, tuple[str, Deferred[Reply]]] = {}  # by call id: the leader and the reply
         self.was_leader = False  # after the previous _drive()
@@ -187,10 +187,11 @@
         self.execute_call: Callable[[Call], Deferred[Reply]] = lambda call: succeed(OUTCOME_UNKNOWN)
         self.on_change: Callable[[], None] = lambda: None
         self.stopped = False
-        self.logged_refusal = "not begun"
+        self.logged_refusal = "not begun"  # so that the first acceptance is logged
         self._load_boot_state(boot)
 
     def _load_boot_state(self, boot: BootState) -> None:
+        """Starts a new core from what the disk holds."""
         now = self.clock()
         self._drop_prepared()
         self.boot, self.identity = boot, boot.identity
@@ -273,6 +274,7 @@
         return self.unreadable or self.unappliable or self.core.refusal_reason(self.clock())
 
     def _update_held_tenants(self) -> None:
+        """Reads from the log which tenants the core holds."""
         names = set()
         for at in self.core.held_proposals:
             if self.core.log.base_index < at <= self.core.log.last_index:
--- a/ternquay/hosted/fleet/store.py
+++ b/ternquay/hosted/fleet/store.py
@@ -41,7 +41,7 @@
 
     version: int
     tenants: tuple[tuple[str, int, int, bytes], ...]
-    answers: tuple[tuple[str, bytes, bytes, int, int, int, bytes], ...]
+    replies: tuple[tuple[str, bytes, bytes, int, int, int, bytes], ...]
     changes: tuple[tuple[int, int, str, str, str, bytes], ...]
 
     def registry(self) -> Registry:
@@ -216,7 +216,7 @@
         for table in ("tenants", "answers", "changes"):
             db.execute(f"DELETE FROM {table}")
         db.executemany("INSERT INTO tenants VALUES (?, ?, ?, ?)", snapshot.tenants)
-        db.executemany("INSERT INTO answers VALUES (?, ?, ?, ?, ?, ?, ?)", snapshot.answers)
+        db.executemany("INSERT INTO answers VALUES (?, ?, ?, ?, ?, ?, ?)", snapshot.replies)
         db.executemany("INSERT INTO changes VALUES (?, ?, ?, ?, ?, ?)", snapshot.changes)
         db.execute("UPDATE meta SET value = ? WHERE name = 'version'", (snapshot.version,))
 
