--- a/tests/test_agreement_walk.py
+++ b/tests/test_agreement_walk.py
@@ -171,7 +171,7 @@
     world.time += 600 * MS
     for node in (first, second):
         world.tick(node)
-    for wanted in (False, True):  # the pre-votes and their replies, then the vote requests
+    for voting in (False, True):  # the pre-votes and their replies, then the vote requests
         while any(to == 2 for to, _, _ in world.flight):
             world.deliver(next(n for n, (to, _, _) in enumerate(world.flight) if to == 2))
         world.flight = [one for one in world.flight if one[1] == voter.me]
@@ -180,7 +180,7 @@
         for node in world.nodes:
             while node.queue:
                 world.sync(node)
-        if not wanted:
+        if not voting:
             late = [one for one in world.flight if one[1] == second.me and one[0] == 2]
             world.flight = [one for one in world.flight if one[1] == first.me and one[0] == 2]
     world.deliver(0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -132,15 +132,15 @@
 
 def test_a_member_paused_during_a_change_never_serves_the_old_version(fleet: FleetProcesses, sur: int) -> None:
     leader = fleet.wait_for_leader()
-    stopped = fleet.others(leader)[0]
-    reader = PollingReader(stopped, sur)
+    paused = fleet.others(leader)[0]
+    reader = PollingReader(paused, sur)
     wait_until(lambda: len(reader.values) > 10, 10)
-    stopped.pause()
-    client = socket.create_connection((stopped.address, sur), timeout=10)
+    paused.pause()
+    client = socket.create_connection((paused.address, sur), timeout=10)
     client.sendall(READ_COMMAND % (1, 1))  # is waiting when the process resumes
     version = set_state(fleet, leader)
     done = time.monotonic()
-    stopped.resume()
+    paused.resume()
     assert is_busy(client.makefile("rb").readline())
     client.close()
     assert fleet.wait_converged() == version
@@ -213,39 +213,39 @@
 def test_no_acknowledged_change_is_lost_when_leaders_are_killed(fleet: FleetProcesses, sur: int) -> None:
     """Calls are repeated with their key until the outcome is known; the change log must hold each change once."""
     follower = fleet.others(fleet.wait_for_leader())[0]
-    told: list[int] = []
+    versions: list[int] = []
     ended = threading.Event()
 
-    def changes() -> None:
+    def make_changes() -> None:
         while not ended.is_set():
             found = fleet.call_until_final(
-                follower, "PUT", STATE_PATH, {"state": ("suspended", "active")[len(told) % 2]}
+                follower, "PUT", STATE_PATH, {"state": ("suspended", "active")[len(versions) % 2]}
             )
             assert found.status == 200, found.body
-            told.append(found.body["version"])
+            versions.append(found.body["version"])
 
-    def more() -> None:
-        before = len(told)
-        wait_until(lambda: len(told) > before + 5, 20)
+    def wait_for_changes() -> None:
+        before = len(versions)
+        wait_until(lambda: len(versions) > before + 5, 20)
 
-    thread = threading.Thread(target=changes)
+    thread = threading.Thread(target=make_changes)
     thread.start()
     try:
         for _ in range(3):
-            more()
+            wait_for_changes()
             leader = fleet.wait_for_leader(within=20)
             if leader is follower:
                 leader = fleet.others(follower)[0]
             leader.kill()
-            more()
+            wait_for_changes()
             leader.start()
     finally:
         ended.set()
         thread.join(30)
-    assert fleet.wait_converged() == told[-1] and len(set(told)) == len(told)
+    assert fleet.wait_converged() == versions[-1] and len(set(versions)) == len(versions)
     for one in fleet.members.values():
-        lines = one.call("GET", f"/v1/changes?after={told[-100:][0] - 1}&limit=200").body["changes"]
-        assert [line["version"] for line in lines] == told[-100:]
+        lines = one.call("GET", f"/v1/changes?after={versions[-100:][0] - 1}&limit=200").body["changes"]
+        assert [line["version"] for line in lines] == versions[-100:]
 
 
 def test_a_change_that_one_member_cannot_apply_is_aborted_everywhere(
@@ -311,17 +311,17 @@
 
 def test_a_terminating_member_never_serves_the_old_version(fleet: FleetProcesses, sur: int) -> None:
     leader = fleet.wait_for_leader()
-    ends = fleet.others(leader)[0]
-    reader = PollingReader(ends, sur)
+    member = fleet.others(leader)[0]
+    reader = PollingReader(member, sur)
     wait_until(lambda: len(reader.values) > 10, 10)
-    assert ends.process is not None
-    ends.process.terminate()
+    assert member.process is not None
+    member.process.terminate()
     set_state(fleet, leader)
     done, reads = time.monotonic(), reader.reads
     wait_until(lambda: reader.reads > reads + 20, 10)
     reader.ended = True
     assert [at for at in reader.values if at > done] == []
-    assert ends.process.wait(10) == 0
+    assert member.process.wait(10) == 0
 
 
 def test_a_terminating_leader_hands_over_without_failed_reads(fleet: FleetProcesses, sur: int) -> None:
@@ -347,7 +347,7 @@
         assert not lost and len(reader.values) > 20, (began, ended, lost)
 
 
-def disk(member: MemberProcess) -> list[Path]:
+def disk_files(member: MemberProcess) -> list[Path]:
     return list(member.folder.glob("registry.db*"))
 
 
@@ -355,7 +355,7 @@
     leader = fleet.wait_for_leader()
     lost = fleet.others(leader)[0]
     lost.kill()
-    for path in disk(lost):
+    for path in disk_files(lost):
         path.unlink()
     version = set_state(fleet, leader)
     lost.start()
@@ -373,7 +373,7 @@
     old.kill()
     copy = tmp_path / "copy"
     copy.mkdir()
-    for path in disk(old):
+    for path in disk_files(old):
         shutil.copy(path, copy)
     old.start()
     fleet.wait_converged()
@@ -381,7 +381,7 @@
         version = set_state(fleet, leader, state)
     wait_until(lambda: fleet.wait_converged() == version, 5)
     old.kill()
-    for path in disk(old):
+    for path in disk_files(old):
         path.unlink()
     for path in copy.iterdir():
         shutil.copy(path, old.folder)
@@ -444,8 +444,8 @@
     full = [psutil.Process(one.process.pid) for one in fleet.others(leader) if one.process is not None]
     for process in full:
         process.rlimit(psutil.RLIMIT_FSIZE, (8 << 10, -1))
-    told = leader.call("PUT", STATE_PATH, {"state": "suspended"}, if_match="*", idempotency_key="later")
-    assert told.status == 504, told.body
+    first = leader.call("PUT", STATE_PATH, {"state": "suspended"}, if_match="*", idempotency_key="later")
+    assert first.status == 504, first.body
     assert [one.read(sur) for one in fleet.members.values()] == [VALUE] * 3
     for process in full:
         process.rlimit(psutil.RLIMIT_FSIZE, (-1, -1))
@@ -496,16 +496,16 @@
     wait_until(lambda: "suspected" in admin("fleet").stdout, 10)
     table = admin("fleet").stdout.splitlines()
     assert f"test as {leader.name} sees it: led by {leader.name}, term" in table[-1] and "version 2" in table[-1]
-    told = json.loads(admin("--json", "fleet").stdout)
-    assert {row["name"]: row["reach"] for row in told["members"]}[follower.name] == "suspected"
-    assert told["leader"] == leader.name and told["version"] == 2
+    status = json.loads(admin("--json", "fleet").stdout)
+    assert {row["name"]: row["reach"] for row in status["members"]}[follower.name] == "suspected"
+    assert status["leader"] == leader.name and status["version"] == 2
     wrong = admin("fleet", "leave", "nobody")
     assert wrong.returncode == 2 and "nobody is no member" in wrong.stderr
 
 
 def test_invalid_bytes_from_strangers_are_dropped(fleet: FleetProcesses, sur: int) -> None:
     one = fleet["a"]
-    place = fleet.between.places["a"]
+    address = fleet.between.places["a"]
     for text in (
         b"GET / HTTP/1.1\r\n\r\n",
         b"\x40\x00\x00\x00" + b"x" * 1000,
@@ -513,12 +513,12 @@
         b"\x00" * 4,
         b"\x00\x00",
     ):
-        with socket.create_connection(place, timeout=5) as stranger:
+        with socket.create_connection(address, timeout=5) as stranger:
             stranger.sendall(text)
             time.sleep(0.05)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         for size in (0, 1, 100, 8000):
-            stranger.sendto(b"z" * size, place)
+            stranger.sendto(b"z" * size, address)
     wait_until(lambda: {"size", "digest"} <= set(one.status()["dropped"]), 5, lambda: str(one.status()["dropped"]))
     set_state(fleet, one)
     fleet.wait_converged()
--- a/tests/test_fleet_odd.py
+++ b/tests/test_fleet_odd.py
@@ -139,7 +139,7 @@
         fleet.end()
 
 
-def test_five_members_tolerate_the_loss_of_two(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
+def test_five_members_tolerate_the_loss_of_two_but_not_of_three(tmp_path: Path, host: FakeCacheHost) -> None:  # noqa: F811
     fleet = FleetProcesses(tmp_path, "abcde")
     try:
         fleet.start()
@@ -203,15 +203,17 @@
         fleet.create_tenant(fleet.wait_for_leader(), "sur", (host.address,))
         fleet.wait_converged()
         flapping.start()
-        told: list[int] = []
+        versions: list[int] = []
         end = time.monotonic() + 8
         while time.monotonic() < end:
-            told.append(set_state(fleet, fleet["abc"[len(told) % 3]], ("suspended", "active")[len(told) % 2]))
+            versions.append(
+                set_state(fleet, fleet["abc"[len(versions) % 3]], ("suspended", "active")[len(versions) % 2])
+            )
         ended.set()
         flapping.join(5)
         fleet.between.heal()
-        assert fleet.wait_converged() == told[-1] and len(told) > 10
-        assert told == sorted(set(told))
+        assert fleet.wait_converged() == versions[-1] and len(versions) > 10
+        assert versions == sorted(set(versions))
     finally:
         ended.set()
         fleet.end()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -61,37 +61,37 @@
             decode_message(body)
 
 
-def recorded(peers: PeerTable, boot: int, durable: DurableState, disk: str = "disk", now: int = 0) -> str:
+def record(peers: PeerTable, boot: int, durable: DurableState, disk: str = "disk", now: int = 0) -> str:
+    """Records a frame and returns the reason for which it is rejected, "" if it is not."""
     frame = msgspec.structs.replace(FRAME, boot_id=boot, durable=durable, disk_id=disk)
     try:
         peers.record(frame, now)
-    except FrameRejected as fault:
-        return str(fault)
+    except FrameRejected as rejected:
+        return str(rejected)
     return ""
 
 
 def test_rolled_back_disks_and_superseded_starts_are_rejected() -> None:
     peers, boot = PeerTable(("a",), 100), [n << BOOT_RANDOM_BITS | n for n in range(9)]
-    assert recorded(peers, boot[1], DurableState(3, False, 2, 10)) == ""
-    assert recorded(peers, boot[1], DurableState(2, False, 2, 9)) == ""  # same start: a reordered frame
-    assert recorded(peers, boot[2], DurableState(3, False, 2, 10)) == ""  # restarted with everything
-    assert recorded(peers, boot[1], DurableState(3, False, 2, 10)) == "start"
+    assert record(peers, boot[1], DurableState(3, False, 2, 10)) == ""
+    assert record(peers, boot[1], DurableState(2, False, 2, 9)) == ""  # same start: a reordered frame
+    assert record(peers, boot[2], DurableState(3, False, 2, 10)) == ""  # restarted with everything
+    assert record(peers, boot[1], DurableState(3, False, 2, 10)) == "start"
     for durable in (DurableState(2, True, 2, 10), DurableState(3, False, 1, 50), DurableState(3, False, 2, 9)):
-        assert recorded(peers, boot[3], durable) == "set back"
-    assert recorded(peers, boot[3], DurableState(9, True, 9, 99)) == "set back"  # whatever that start reports later
-    assert (
-        recorded(peers, boot[2] + 1, DurableState(3, False, 2, 10)) == "set back"
-    )  # a copy with the same start counter
-    assert recorded(peers, boot[1], DurableState(), "another") == ""
-    assert recorded(PeerTable(("b",), 100), boot[1], DurableState()) == "stranger"
+        assert record(peers, boot[3], durable) == "set back"
+    assert record(peers, boot[3], DurableState(9, True, 9, 99)) == "set back"  # whatever that start reports later
+    # A copy of the disk that was started with the same start counter.
+    assert record(peers, boot[2] + 1, DurableState(3, False, 2, 10)) == "set back"
+    assert record(peers, boot[1], DurableState(), "another") == ""
+    assert record(PeerTable(("b",), 100), boot[1], DurableState()) == "stranger"
 
 
 def test_a_late_frame_ends_a_suspicion() -> None:
     peers = PeerTable(("a",), 100)
     assert peers.reachability(0) == {"a": "never heard"}
-    recorded(peers, 1, DurableState(), now=10)
+    record(peers, 1, DurableState(), now=10)
     assert peers.reachability(109) == {"a": "alive"} and peers.reachability(110) == {"a": "suspected"}
-    recorded(peers, 1, DurableState(), now=300)
+    record(peers, 1, DurableState(), now=300)
     assert peers.reachability(301) == {"a": "alive"}
 
 
