--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""A folder that fails for a while under the hosted service: what was acknowledged is there, all else whole or not."""
+"""A disk that fails for a while under the hosted service: acknowledged changes hold, others apply whole or not."""
 
 import subprocess
 import sys
@@ -14,12 +14,12 @@
 
 STATE = "/v1/tenants/sur/state"
 STATES = ("suspended", "active")
-FAILS = 2.5  # seconds from the start of the process; until then the tenant is taken in
-LASTS = 2.0
+FAILURE_START_SECONDS = 2.5  # after the start of the process; the tenant is created before that
+FAILURE_SECONDS = 2.0
 
 
 class FailingDisk(HostedService):
-    """A hosted service whose store lies in a folder that fails by a plan; started again it fails no more."""
+    """A hosted service whose store is in a folder that fails by a plan, relative to the start of the process."""
 
     def __init__(self, folder: Path, *faults: DiskFault) -> None:
         super().__init__(folder)
@@ -43,51 +43,61 @@
             )
 
 
-def change(one: HostedService, state: str) -> int:
-    """The version that was acknowledged, 0 for none."""
+def set_state(one: HostedService, state: str) -> int:
+    """Sets the state of the tenant. Returns the version that was acknowledged, 0 if the change was refused."""
     found = one.call("PUT", STATE, {"state": state}, if_match="*")
     assert found.status in (200, 503, 504, 507), (found.status, found.body)
     if found.status != 200:
-        assert found.body["detail" if "detail" in found.body else "title"]  # a reason
+        assert found.body["detail" if "detail" in found.body else "title"]  # the reason
     return int(found.body["version"]) if found.status == 200 else 0
 
 
 @pytest.mark.parametrize(
     "faults",
     [
-        (DiskFault("write", "ENOSPC", FAILS, FAILS + LASTS),),
-        (DiskFault("write", "SHORT", FAILS, FAILS + LASTS, 0.5),),
-        (DiskFault("fsync", "EIO", FAILS, FAILS + LASTS),),
-        (DiskFault("fsync", "EIO", FAILS, FAILS + LASTS, 0.3), DiskFault("write", "EDQUOT", FAILS, FAILS + LASTS, 0.1)),
-        (DiskFault("open", "EROFS", FAILS, FAILS + LASTS), DiskFault("write", "EROFS", FAILS, FAILS + LASTS)),
+        (DiskFault("write", "ENOSPC", FAILURE_START_SECONDS, FAILURE_START_SECONDS + FAILURE_SECONDS),),
+        (DiskFault("write", "SHORT", FAILURE_START_SECONDS, FAILURE_START_SECONDS + FAILURE_SECONDS, 0.5),),
+        (DiskFault("fsync", "EIO", FAILURE_START_SECONDS, FAILURE_START_SECONDS + FAILURE_SECONDS),),
+        (
+            DiskFault("fsync", "EIO", FAILURE_START_SECONDS, FAILURE_START_SECONDS + FAILURE_SECONDS, 0.3),
+            DiskFault("write", "EDQUOT", FAILURE_START_SECONDS, FAILURE_START_SECONDS + FAILURE_SECONDS, 0.1),
+        ),
+        (
+            DiskFault("open", "EROFS", FAILURE_START_SECONDS, FAILURE_START_SECONDS + FAILURE_SECONDS),
+            DiskFault("write", "EROFS", FAILURE_START_SECONDS, FAILURE_START_SECONDS + FAILURE_SECONDS),
+        ),
     ],
     ids=["full", "short writes", "no sync", "now and then", "read-only"],
 )
-def test_a_disk_that_fails_for_a_while_refuses_changes_and_loses_none(
+def test_a_failing_disk_refuses_changes_and_loses_none_that_were_acknowledged(
     tmp_path: Path, faults: tuple[DiskFault, ...]
 ) -> None:
-    for_good = all(fault.rate == 1.0 for fault in faults)
+    always_fails = all(fault.rate == 1.0 for fault in faults)
     host = FakeCacheHost()
     one = FailingDisk(tmp_path, *faults)
     one.start()
     port = one.create_tenant("sur", (host.address,))
     acknowledged, asked, refused, states = 1, 0, 0, {1: "active"}
     try:
-        while time.monotonic() < one.began + FAILS + LASTS:
+        while time.monotonic() < one.began + FAILURE_START_SECONDS + FAILURE_SECONDS:
             state, began = STATES[asked % 2], time.monotonic() - one.began
-            version, asked = change(one, state), asked + 1
+            version, asked = set_state(one, state), asked + 1
             ended = time.monotonic() - one.began
             if version:
                 assert version > acknowledged
-                # Nothing can be on the disk while every call fails.
-                assert not (for_good and began > FAILS + 0.1 and ended < FAILS + LASTS - 0.1), (version, began)
+                # Nothing can reach the disk while every call fails.
+                assert not (
+                    always_fails
+                    and began > FAILURE_START_SECONDS + 0.1
+                    and ended < FAILURE_START_SECONDS + FAILURE_SECONDS - 0.1
+                ), (version, began)
                 acknowledged = version
                 states[version] = state
             refused += not version
-            # Transactions go on by what is in force, whatever the disk does.
+            # Transactions go on under the configuration in force, whatever the disk does.
             assert one.exchange(port, READ % (1, 1), 0.3).startswith((b"VA 2", b"SERVER_ERROR busy"))
         end = time.monotonic() + 10
-        while not (version := change(one, "active")):
+        while not (version := set_state(one, "active")):
             assert time.monotonic() < end, one.log.read_text()[-2000:]
             time.sleep(0.1)
         acknowledged, states[version] = version, "active"
@@ -105,13 +115,13 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "named"),
+    ("fault", "field"),
     [
         (DiskFault("open", "SHORT"), "faults[0].error"),
         (DiskFault("fsync", "EX"), "faults[0].error"),
         (DiskFault("write", "EIO", 2.0, 1.0), "faults[0].end"),
     ],
 )
-def test_a_plan_that_can_not_be_used_is_named(tmp_path: Path, fault: DiskFault, named: str) -> None:
-    with pytest.raises(DayError, match=named.replace("[", r"\[")):
+def test_an_invalid_plan_names_its_field(tmp_path: Path, fault: DiskFault, field: str) -> None:
+    with pytest.raises(DayError, match=field.replace("[", r"\[")):
         prepared((fault,), tmp_path, tmp_path)
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -1,4 +1,4 @@
-"""Rates, lent allocations and turns: what one tenant takes beyond its part is never another's."""
+"""Rates, shared capacity and round robin: a tenant never gets more than its part at the expense of another."""
 
 from collections import Counter
 from random import Random
@@ -10,30 +10,30 @@
 MS = 1_000_000
 
 
-def test_a_bucket_takes_its_rate_and_burst_and_tells_when_to_come_back() -> None:
+def test_a_token_bucket_admits_its_rate_and_burst_and_returns_the_wait() -> None:
     bucket = TokenBucket(100.0, 5.0)
     assert [bucket.take(0) for _ in range(5)] == [0] * 5
     wait = bucket.take(0)
     assert 9 * MS < wait <= 10 * MS + 1
     assert bucket.take(wait - MS) > 0 and bucket.take(wait + 1) == 0
     taken = sum(bucket.take(SECOND + n * MS) == 0 for n in range(10_000))
-    assert 1000 <= taken <= 1006  # ten seconds at 100, and the burst
+    assert 1000 <= taken <= 1006  # ten seconds at 100 a second, and the burst
     bucket.change(20 * SECOND, 1.0, 2.0)
     assert [bucket.take(20 * SECOND) == 0 for _ in range(3)] == [True, True, False]
-    assert bucket.take(19 * SECOND) > 0  # a clock that went back gives nothing
+    assert bucket.take(19 * SECOND) > 0  # a clock that goes back adds no tokens
 
 
-def test_what_is_not_used_is_lent_and_its_owner_gets_it_back_at_once() -> None:
+def test_unused_capacity_is_lent_and_reclaimed_by_its_owner_at_once() -> None:
     capacity = SharedCapacity(100, {"a": Allocation(40, 90), "b": Allocation(40, 90), "c": Allocation(20, 50)})
-    assert sum(capacity.acquire("a") for _ in range(200)) == 90  # its most
-    assert sum(capacity.acquire("b") for _ in range(200)) == 40  # ten are left of the whole, but its part is its own
+    assert sum(capacity.acquire("a") for _ in range(200)) == 90  # its limit
+    assert sum(capacity.acquire("b") for _ in range(200)) == 40  # ten are left of the capacity, but 40 are guaranteed
     assert capacity.total_used == 130 and capacity.reclaimable() == [("a", 30)]
     capacity.release("a", 30)
     assert capacity.reclaimable() == [] and not capacity.acquire("a") and capacity.acquire("c", 20)
     assert capacity.reclaimable() == [("a", 20)]
 
 
-def test_one_that_has_no_part_any_more_gives_back_all_and_leaves_no_trace() -> None:
+def test_a_tenant_without_an_allocation_gives_back_everything() -> None:
     capacity = SharedCapacity(10, {"a": Allocation(5, 10), "b": Allocation(5, 10)})
     assert capacity.acquire("a", 8)
     capacity.set_allocations({"b": Allocation(5, 10)})
@@ -43,7 +43,7 @@
     assert capacity.total_used == 5 and capacity.used == {"b": 5}
 
 
-def test_parts_hold_whatever_is_taken_and_given_back() -> None:
+def test_allocations_hold_over_random_use() -> None:
     random = Random(7)
     allocations = {f"t{n}": Allocation(n * 4, 30 + n * 9) for n in range(6)}
     capacity = SharedCapacity(100, allocations)
@@ -52,7 +52,7 @@
         before = capacity.used.get(name, 0)
         if random.random() < 0.6:
             took = capacity.acquire(name, amount)
-            assert took or before + amount > allocations[name].guaranteed  # within its part nobody is turned away
+            assert took or before + amount > allocations[name].guaranteed  # within the guarantee nothing is refused
         else:
             capacity.release(name, amount)
         assert (
@@ -66,7 +66,7 @@
 def simulate(
     scheduler: DeficitRoundRobin, cost: dict[str, int], seconds: float, arrive: dict[str, int]
 ) -> tuple[Counter[str], int]:
-    """Time that each had, and the longest wait of one that pauses `arrive` between its turns."""
+    """Returns the time that each name had, and the longest wait of a name that pauses `arrive` between its turns."""
     now, had, longest = 0, Counter[str](), 0
     due = dict.fromkeys(arrive, 0)
     waits: dict[str, int] = {}
@@ -93,7 +93,7 @@
     return had, longest
 
 
-def test_floods_share_the_loop_by_weight_whatever_their_turns_cost() -> None:
+def test_saturating_tenants_share_the_time_by_weight_whatever_their_turns_cost() -> None:
     scheduler = DeficitRoundRobin(MS)
     scheduler.set_weights({"a": 1.0, "b": 1.0, "c": 2.0})
     had, _ = simulate(scheduler, {"a": 20 * MS, "b": MS // 10, "c": MS}, 20, {"a": 0, "b": 0, "c": 0})
@@ -101,20 +101,20 @@
     assert {name: round(had[name] / whole, 2) for name in "abc"} == {"a": 0.25, "b": 0.25, "c": 0.5}
 
 
-def test_who_asks_now_and_then_waits_for_one_turn_of_a_flood_at_the_most() -> None:
+def test_an_occasional_tenant_waits_for_one_turn_of_a_saturating_one_at_most() -> None:
     scheduler = DeficitRoundRobin(MS)
     scheduler.set_weights({"flood": 1.0, "calm": 1.0})
     had, longest = simulate(scheduler, {"flood": 3 * MS, "calm": MS // 2}, 20, {"flood": 0, "calm": 20 * MS})
-    assert had["calm"] > 0.95 * 20 / 0.0225 * 0.5 * MS  # all that it asked for, or nearly
+    assert had["calm"] > 0.95 * 20 / 0.0225 * 0.5 * MS  # nearly all that it asked for
     assert longest <= 2 * 4.5 * MS
 
 
-def test_a_pause_does_not_wipe_out_a_debt_and_time_does() -> None:
+def test_a_debt_outlasts_a_pause_and_expires_with_time() -> None:
     scheduler = DeficitRoundRobin(MS)
     scheduler.set_weights({"a": 1.0, "b": 1.0})
     scheduler.enqueue(0, "a")
     assert scheduler.next_turn() == "a"
-    scheduler.end_turn(0, "a", 50 * MS, more=False)  # far more than its part, then nothing for a moment
+    scheduler.end_turn(0, "a", 50 * MS, more=False)  # far more than its part, then a pause
     scheduler.enqueue(MS, "b")
     scheduler.enqueue(MS, "a")
     order = []
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("gone", ["a", "b"])
-def test_one_that_is_gone_in_its_turn_is_not_waited_for(gone: str) -> None:
+def test_a_name_removed_during_its_turn_is_not_waited_for(gone: str) -> None:
     scheduler = DeficitRoundRobin(MS)
     scheduler.set_weights({"a": 1.0, "b": 1.0})
     scheduler.enqueue(0, "a")
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -1,4 +1,4 @@
-"""A hosted service as it runs: tenants on sockets, the API with all that callers may send, its client, ends."""
+"""The hosted service as a process: tenants on sockets, valid and invalid API calls, the client, and shutdown."""
 
 import http.client
 import json
@@ -47,13 +47,13 @@
                 client, _ = self.listener.accept()
             except OSError:
                 return
-            threading.Thread(target=self.answers, args=(client,), daemon=True).start()
+            threading.Thread(target=self.serve, args=(client,), daemon=True).start()
 
-    def answers(self, client: socket.socket) -> None:
+    def serve(self, client: socket.socket) -> None:
         with suppress(OSError), client:
-            self.answer(client)
+            self.answer_commands(client)
 
-    def answer(self, client: socket.socket) -> None:
+    def answer_commands(self, client: socket.socket) -> None:
         reader = client.makefile("rb")
         for line in reader:
             words = line.split()
@@ -79,7 +79,8 @@
         one.kill()
 
 
-def gone(hosted: HostedService, name: str) -> None:
+def remove_tenant(hosted: HostedService, name: str) -> None:
+    """Ends the tenant and waits until it is removed."""
     assert hosted.call("DELETE", f"/v1/tenants/{name}", if_match="*").status == 202
     until = time.monotonic() + 10
     while hosted.call("GET", f"/v1/tenants/{name}").status != 404:
@@ -87,24 +88,22 @@
         time.sleep(0.05)
 
 
-def test_from_made_to_gone_and_made_again_nothing_of_the_old_one_is_left(
-    hosted: HostedService, host: FakeCacheHost
-) -> None:
+def test_a_recreated_tenant_keeps_nothing_of_the_removed_one(hosted: HostedService, host: FakeCacheHost) -> None:
     listen = hosted.create_tenant("sur", (host.address,))
     token = hosted.create_key("sur", "admin", "administrator")
     assert hosted.exchange(listen, b"mn\r\n" + READ % (1, 1)) == b"MN\r\nVA 2 Oi1\r\nhi\r\n"
     assert hosted.call("GET", "/v1/tenants/sur", token=token).status == 200
     before = hosted.call("GET", "/v1/tenants/sur").body["version"]
-    gone(hosted, "sur")
+    remove_tenant(hosted, "sur")
     with pytest.raises(OSError):
         hosted.exchange(listen, b"mn\r\n")
     found = hosted.call("POST", "/v1/tenants", document("sur", listen, (host.address,)))
     assert found.status == 201 and found.body["version"] > before
     assert hosted.call("GET", "/v1/tenants/sur", token=token).status == 401
-    use = hosted.call("GET", "/v1/process").body["tenants"]["sur"]
-    assert (use["clients"], use["host_connections"], use["open"], use["cpu_s"]) == (0, 0, 0, 0.0)
+    usage = hosted.call("GET", "/v1/process").body["tenants"]["sur"]
+    assert (usage["clients"], usage["host_connections"], usage["open"], usage["cpu_s"]) == (0, 0, 0, 0.0)
     assert hosted.exchange(listen, READ % (1, 1)) == b"VA 2 Oi1\r\nhi\r\n"
-    gone(hosted, "sur")
+    remove_tenant(hosted, "sur")
 
 
 def test_states_limits_and_servers_change_under_open_connections(hosted: HostedService, host: FakeCacheHost) -> None:
@@ -120,8 +119,8 @@
 
         assert ask(1) == b"VA 2 Oi1\r\nhi\r\n"
         answers = [ask(n) for n in range(2, 60)]
-        over = [line for line in answers if line.startswith(b"SERVER_ERROR busy ")]
-        assert 20 <= len(over) < 58 and all(0 < int(line.split()[2]) <= 1000 for line in over)
+        busy = [line for line in answers if line.startswith(b"SERVER_ERROR busy ")]
+        assert 20 <= len(busy) < 58 and all(0 < int(line.split()[2]) <= 1000 for line in busy)
         assert hosted.call("PUT", "/v1/tenants/norte/state", {"state": "suspended"}, if_match="*").status == 200
         assert ask(100).startswith(b"SERVER_ERROR busy ")
         commands = host.commands
@@ -131,30 +130,30 @@
         assert hosted.call("PUT", "/v1/tenants/norte/servers", {"servers": []}, if_match="*").status == 200
         time.sleep(0.1)
         assert ask(102).startswith(b"SERVER_ERROR busy") and host.commands == commands + 1
-    gone(hosted, "norte")
+    remove_tenant(hosted, "norte")
 
 
 def test_a_listener_that_can_not_be_bound_changes_nothing(hosted: HostedService) -> None:
     version = hosted.call("GET", "/v1/tenants").body["version"]
     with socket.create_server(("127.0.0.1", 0)) as taken:
-        told = document("lleno", "{}:{}".format(*taken.getsockname()))
+        lleno = document("lleno", "{}:{}".format(*taken.getsockname()))
         other = free_place("127.0.0.1")
-        found = hosted.call("POST", "/v1/tenants", told | {"listeners": [other, *told["listeners"]]})
+        found = hosted.call("POST", "/v1/tenants", lleno | {"listeners": [other, *lleno["listeners"]]})
     assert found.status == 422 and found.body["field"] == "listeners[1]" and "bound" in found.body["detail"]
     assert found.headers["content-type"] == "application/problem+json"
     assert hosted.call("GET", "/v1/tenants").body["version"] == version
-    socket.create_server(hosted.parse_address(other)).close()  # and the first of them is free again
+    socket.create_server(hosted.parse_address(other)).close()  # the first listener has been released
 
 
-def test_of_two_who_change_one_tenant_at_once_one_is_told_so(hosted: HostedService) -> None:
+def test_of_concurrent_changes_to_one_tenant_only_one_succeeds(hosted: HostedService) -> None:
     hosted.create_tenant("doble")
     found = hosted.call("GET", "/v1/tenants/doble/limits")
-    told = {"if_match": found.headers["etag"]}
+    headers = {"if_match": found.headers["etag"]}
     statuses: list[int] = []
     threads = [
         threading.Thread(
             target=lambda burst=burst: statuses.append(
-                hosted.call("PUT", "/v1/tenants/doble/limits", found.body | {"burst": burst}, **told).status
+                hosted.call("PUT", "/v1/tenants/doble/limits", found.body | {"burst": burst}, **headers).status
             )
         )
         for burst in (7, 8, 9)
@@ -164,10 +163,10 @@
     for one in threads:
         one.join()
     assert sorted(statuses) == [200, 412, 412]
-    gone(hosted, "doble")
+    remove_tenant(hosted, "doble")
 
 
-def test_a_watch_of_the_change_log_is_told_of_the_next_change(hosted: HostedService) -> None:
+def test_a_watch_of_the_change_log_returns_the_next_change(hosted: HostedService) -> None:
     version = hosted.call("GET", "/v1/tenants").body["version"]
     found: list[Any] = []
     watch = threading.Thread(target=lambda: found.append(hosted.call("GET", f"/v1/changes?after={version}&wait_s=8")))
@@ -178,10 +177,11 @@
     watch.join(5)
     assert time.monotonic() - began < 5
     assert [(one["tenant"], one["kind"]) for one in found[0].body["changes"]] == [("visto", "make")]
-    gone(hosted, "visto")
+    remove_tenant(hosted, "visto")
 
 
 def raw(hosted: HostedService, text: bytes, wait: float = 3.0) -> bytes:
+    """Sends the text to the API; returns what comes back."""
     with socket.create_connection(hosted.parse_address(hosted.api), timeout=wait) as client:
         found = b""
         try:
@@ -193,14 +193,14 @@
         return found
 
 
-def test_bodies_headers_and_halves_have_bounds(hosted: HostedService) -> None:
+def test_bodies_headers_and_incomplete_requests_are_bounded(hosted: HostedService) -> None:
     auth = f"authorization: Bearer {hosted.operator_token}\r\nhost: x\r\n".encode()
     head = b"POST /v1/tenants HTTP/1.1\r\n" + auth
     began = time.monotonic()
     assert raw(hosted, head + b"content-length: 1073741824\r\n\r\n" + b"x" * 1000).startswith(b"HTTP/1.1 413")
     chunk = b"10000\r\n" + b"y" * 65536 + b"\r\n"
     assert raw(hosted, head + b"transfer-encoding: chunked\r\n\r\n" + chunk * 40).startswith(b"HTTP/1.1 413")
-    assert time.monotonic() - began < 3  # at once, and not when all of it has come
+    assert time.monotonic() - began < 3  # rejected at once, not after the whole body has arrived
     assert b" 200 " not in raw(hosted, b"GET /v1/tenants HTTP/1.1\r\n" + auth + b"x: " + b"z" * 20_000 + b"\r\n\r\n")
     assert b" 200 " not in raw(hosted, b"GET /v1/tenants HTTP/1.1\r\n" + auth + b"x: y\r\n" * 300 + b"\r\n")
     assert raw(hosted, b"nonsense\r\n\r\n").startswith(b"HTTP/1.1 400")
@@ -212,7 +212,7 @@
     assert hosted.call("GET", "/v1/tenants").status == 200
 
 
-def test_calls_over_the_rate_are_told_to_come_back(tmp_path: Path) -> None:
+def test_calls_over_the_rate_are_told_to_retry(tmp_path: Path) -> None:
     one = HostedService(tmp_path)
     one.config_file.write_text(
         one.config_text.replace("calls_a_second = 500.0\nburst = 500", "calls_a_second = 10.0\nburst = 5")
@@ -228,7 +228,8 @@
             found.read()
             statuses.append(found.status)
             waits += [found.getheader("retry-after")] if found.status == 429 else []
-        # Told so and cut off, and connections are accepted at that rate: whoever goes on at once is slowed down.
+        # Such calls get 429 and the connection is closed. New connections are accepted at the same rate, which slows
+        # down a client that goes on at once.
         assert statuses[:5] == [200] * 5 and statuses.count(429) >= 3 and set(waits) == {"1"}
         assert time.monotonic() - began > 0.3
         connection.close()
@@ -236,13 +237,13 @@
         one.kill()
 
 
-def test_more_connections_than_it_takes_are_told_so(tmp_path: Path) -> None:
+def test_connections_beyond_the_limit_get_503(tmp_path: Path) -> None:
     one = HostedService(tmp_path, "connections = 3").start()
     try:
-        held = [socket.create_connection(one.parse_address(one.api)) for _ in range(3)]
+        open_connections = [socket.create_connection(one.parse_address(one.api)) for _ in range(3)]
         time.sleep(0.3)
         assert raw(one, b"GET / HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 503")
-        for client in held:
+        for client in open_connections:
             client.close()
         time.sleep(0.3)
         assert one.call("GET", "/v1/tenants").status == 200
@@ -250,7 +251,7 @@
         one.kill()
 
 
-def test_killed_and_started_again_it_is_what_was_acknowledged(tmp_path: Path, host: FakeCacheHost) -> None:
+def test_after_a_kill_and_a_restart_acknowledged_changes_hold(tmp_path: Path, host: FakeCacheHost) -> None:
     one = HostedService(tmp_path).start()
     try:
         listen = one.create_tenant("sur", (host.address,))
@@ -267,8 +268,8 @@
         assert token not in one.log.read_text() and one.operator_token not in one.log.read_text()
         for line in one.log.read_text().splitlines():
             assert {"at", "level", "message"} <= json.loads(line).keys()
-        told = [json.loads(line) for line in one.log.read_text().splitlines() if '"changed"' in line]
-        assert [(x["tenant"], x["version"], x["who"], x["kind"]) for x in told] == [
+        changes = [json.loads(line) for line in one.log.read_text().splitlines() if '"changed"' in line]
+        assert [(x["tenant"], x["version"], x["who"], x["kind"]) for x in changes] == [
             ("sur", 1, "operator/main", "make"),
             ("sur", 2, "operator/main", "key-made"),
             ("sur", 3, "operator/main", "limits"),
@@ -279,8 +280,8 @@
         one.kill()
 
 
-def test_a_planned_end_answers_what_was_taken(tmp_path: Path) -> None:
-    slow = socket.create_server(("127.0.0.1", 0))  # accepts and answers nobody
+def test_a_shutdown_answers_open_transactions(tmp_path: Path) -> None:
+    slow = socket.create_server(("127.0.0.1", 0))  # accepts connections and never answers
     one = HostedService(tmp_path).start()
     try:
         listen = one.create_tenant("sur", ("{}:{}".format(*slow.getsockname()),))
@@ -301,11 +302,11 @@
 
 
 def certificate(folder: Path, name: str) -> None:
-    """A certificate that is its own authority, and its key."""
+    """Writes a self-signed certificate and its key."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
     now = datetime.now(UTC)
-    made = (
+    signed = (
         x509.CertificateBuilder()
         .subject_name(subject)
         .issuer_name(subject)
@@ -317,13 +318,13 @@
         .add_extension(x509.SubjectAlternativeName([x509.IPAddress(ip_address("127.0.0.1"))]), critical=False)
         .sign(key, hashes.SHA256())
     )
-    (folder / f"{name}.pem").write_bytes(made.public_bytes(serialization.Encoding.PEM))
+    (folder / f"{name}.pem").write_bytes(signed.public_bytes(serialization.Encoding.PEM))
     (folder / f"{name}.key").write_bytes(
         key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption())
     )
 
 
-def test_tls_wants_its_callers_certificates_and_reloads_its_own(tmp_path: Path) -> None:
+def test_tls_requires_client_certificates_and_reloads_its_own(tmp_path: Path) -> None:
     for name in ("one", "two", "caller"):
         certificate(tmp_path, name)
     (tmp_path / "api.pem").write_bytes((tmp_path / "one.pem").read_bytes())
@@ -349,7 +350,7 @@
         (tmp_path / "api.pem").write_text("nonsense")
         one.process.send_signal(signal.SIGHUP)
         time.sleep(0.5)
-        assert status("one") == 200 and "certificate" in one.log.read_text()  # the old one is kept
+        assert status("one") == 200 and "certificate" in one.log.read_text()  # the old certificate stays in use
         (tmp_path / "api.pem").write_bytes((tmp_path / "two.pem").read_bytes())
         (tmp_path / "api.key").write_bytes((tmp_path / "two.key").read_bytes())
         one.process.send_signal(signal.SIGHUP)
@@ -359,17 +360,17 @@
         one.kill()
 
 
-def test_without_a_store_the_file_is_the_registry_and_is_followed(tmp_path: Path, host: FakeCacheHost) -> None:
+def test_without_a_store_the_file_is_the_registry_and_is_reloaded(tmp_path: Path, host: FakeCacheHost) -> None:
     listens = [free_place("127.0.0.1") for _ in range(3)]
 
-    def text(*those: tuple[str, str, str]) -> str:
+    def text(*tenants: tuple[str, str, str]) -> str:
         return (
             "[process]\nsockets = 256\n"
             + "".join(
                 f'[[tenants]]\nname = "{name}"\nlisteners = ["{listen}"]\nstate = "{state}"\n'
                 f'servers = [{{ name = "h", place = "{host.address}" }}]\n'
                 'profiles = [{ name = "read", kind = "idempotent", service_goal_ms = 300, hard_limit_ms = 900 }]\n'
-                for name, listen, state in those
+                for name, listen, state in tenants
             )
             + "[end]\n"
         )
@@ -411,7 +412,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "expected"),
     [
         ("name = 3", "name"),
         ("[api]\nlisten = '127.0.0.1:1'", "api"),
@@ -429,7 +430,7 @@
         ("[store]\npath='x'\n[[tenants]]\nname='a'\nlisteners=['127.0.0.1:1']\nprofiles=[]", "tenants"),
     ],
 )
-def test_a_file_that_can_not_be_used_is_told_in_one_line(text: str, named: str, tmp_path: Path) -> None:
+def test_an_invalid_file_gives_one_line_of_error(text: str, expected: str, tmp_path: Path) -> None:
     file = tmp_path / "s.toml"
     file.write_text(f"{text}\n[end]\n")
     for command in ("check", "host"):
@@ -442,10 +443,10 @@
             check=False,
         )
         assert found.returncode == 2 and found.stderr.count("\n") == 1, found.stderr
-        assert named in found.stderr or named == "TOML"
+        assert expected in found.stderr or expected == "TOML"
 
 
-def test_the_file_under_deploy_can_be_used() -> None:
+def test_the_file_under_deploy_is_valid() -> None:
     found = subprocess.run(
         [sys.executable, "-m", "ternquay", "check", "--config", "deploy/service.toml"],
         cwd=ROOT,
@@ -466,10 +467,11 @@
     assert found.stdout == "[]\n"
 
 
-# ---- the client ----
+# ---- the command-line client ----
 
 
 def admin(hosted: HostedService, *words: str, token: str | None = None) -> tuple[int, str, str]:
+    """Runs `ternquay admin`; returns its exit code, output and errors."""
     done = subprocess.run(
         [
             sys.executable,
@@ -491,7 +493,7 @@
     return done.returncode, done.stdout, done.stderr
 
 
-def test_the_client_plans_applies_and_tells_scripts_what_came_of_it(hosted: HostedService, tmp_path: Path) -> None:
+def test_the_client_plans_and_applies_and_sets_exit_codes(hosted: HostedService, tmp_path: Path) -> None:
     listen, file = free_place("127.0.0.1"), tmp_path / "tenants.toml"
     file.write_text(
         f'[[tenants]]\nname = "plan"\nlisteners = ["{listen}"]\n'
@@ -537,9 +539,7 @@
 # ---- floods ----
 
 
-def test_one_client_that_pipelines_hundreds_does_not_take_the_others_turns(
-    hosted: HostedService, host: FakeCacheHost
-) -> None:
+def test_clients_that_pipeline_hundreds_do_not_starve_others(hosted: HostedService, host: FakeCacheHost) -> None:
     listen = hosted.create_tenant(
         "coro", (host.address,), limits={"txs_a_second": 100_000, "burst": 100_000, "open_txs": 400}
     )
@@ -562,7 +562,7 @@
     for one in floods:
         one.start()
     time.sleep(0.5)
-    took, committed = [], 0
+    durations, committed = [], 0
     with socket.create_connection(hosted.parse_address(listen)) as client:
         client.settimeout(5)
         reader = client.makefile("rb")
@@ -573,12 +573,12 @@
             if line.startswith(b"VA"):
                 committed += 1
                 reader.readline()
-            took.append(time.monotonic() - began)
+            durations.append(time.monotonic() - began)
             time.sleep(0.01)
     stop.set()
-    assert committed >= 90 and sorted(took)[90] < 0.3
+    assert committed >= 90 and sorted(durations)[90] < 0.3
     assert descriptors(hosted.process) < 256  # type: ignore[arg-type]
-    gone(hosted, "coro")
+    remove_tenant(hosted, "coro")
 
 
 def test_idle_tenants_cost_little_memory(tmp_path: Path) -> None:
@@ -586,17 +586,17 @@
     try:
         assert one.process is not None
         meter = psutil.Process(one.process.pid)
-        none = {part: {"least": 0.0, "most": 1.0} for part in ("cpu", "sockets", "memory")}
+        unlimited = {resource: {"least": 0.0, "most": 1.0} for resource in ("cpu", "sockets", "memory")}
         for n in range(10):
-            one.create_tenant(f"warm-{n}", tuple(f"10.0.{n}.{k}:80" for k in range(5)), limits=none)
+            one.create_tenant(f"warm-{n}", tuple(f"10.0.{n}.{k}:80" for k in range(5)), limits=unlimited)
         before = meter.memory_info().rss
         for n in range(40):
-            one.create_tenant(f"t-{n}", tuple(f"10.1.{n}.{k}:80" for k in range(5)), limits=none)
+            one.create_tenant(f"t-{n}", tuple(f"10.1.{n}.{k}:80" for k in range(5)), limits=unlimited)
         each = (meter.memory_info().rss - before) / 40
         assert each < 200_000, each
     finally:
         one.kill()
 
 
-def test_an_empty_registry_is_one(tmp_path: Path) -> None:
+def test_an_empty_registry_has_version_0_and_tokens_match_their_pattern(tmp_path: Path) -> None:
     assert Registry().version == 0 and keys.TOKEN.fullmatch(keys.made("", "x"))
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -1,4 +1,4 @@
-"""What is still owed in the instant in which something of a hosted service ends; docs/endings.md has the crossings."""
+"""Answers that are owed at the moment when something of a hosted service ends; docs/endings.md lists the cases."""
 
 import socket
 import time
@@ -29,29 +29,29 @@
 
 
 @pytest.fixture(autouse=True)
-def nothing_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def bind_no_sockets(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("ternquay.hosted.host.bind_listeners", lambda *_: PreparedListeners())
 
 
 class HostedNet(Net):
-    """One tenant of a hosted service on a clock of the test's own, and no listener but what the test gives it."""
+    """One tenant of a hosted service on a simulated clock, with no listeners but those that the test adds."""
 
-    def __init__(self, **terms: Any) -> None:
+    def __init__(self, **fields: Any) -> None:
         self.reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
         self.trace: list[str] = []
         self.wires: list[Wire] = []
         self.reactor.advance(1000.0)
         self.reactor.running = True
         service: Any = SimpleNamespace(name="h", process=ProcessConfig(256, 96), fellows=None)
-        self.host = TenantHost(self.reactor, service, registry_of(tenant("sur", **terms)))
+        self.host = TenantHost(self.reactor, service, registry_of(tenant("sur", **fields)))
         self.host.start()
         self.runtime = self.host.runtimes["sur"]
         self.limits, self.sockets = self.runtime.limits, self.runtime.sockets
         self.dispatcher, self.pool = self.runtime.dispatcher, self.runtime.pool
         self.frontend: TenantFrontend = self.runtime.frontend
 
-    def turn_begins(self) -> None:
-        """What comes from here on is read at once; else it waits for its turn."""
+    def start_turn(self) -> None:
+        """Starts a turn of the loop, in which data is read at once; later it would wait for its turn."""
         self.host.loop_timing.begins(int(self.reactor.seconds() * 10**9))
 
     def client(self, address: str = "127.0.0.1") -> Wire:
@@ -59,47 +59,47 @@
         self.wires.append(Wire(self, f"client {count}", self.frontend.buildProtocol(SimpleNamespace(host=address))))
         return self.wires[-1]
 
-    def rests(self, address: str = "127.0.0.1") -> Wire:
-        """A client that has had an answer, and is idle."""
-        self.turn_begins()
+    def idle_client(self, address: str = "127.0.0.1") -> Wire:
+        """Returns a client that has had an answer and is idle."""
+        self.start_turn()
         one = self.client(address)
         one.feed(HELLO)
         assert "MN" in self.trace[-1]
         return one
 
 
-def ending() -> tuple[HostedNet, Wire]:
-    """The service has been told to end for a second, and a client waits for its last answer."""
+def shutting_down() -> tuple[HostedNet, Wire]:
+    """Returns a service that has been shutting down for a second, and a client that waits for its last answer."""
     net = HostedNet()
     client = net.client()
     net.host.shut_down()
     net.run(1000)
-    net.turn_begins()
+    net.start_turn()
     client.feed(mg(1))
     net.accept()
     return net, client
 
 
 def test_answers_of_the_turn_in_which_the_loop_would_stop_are_written() -> None:
-    """A loop that is behind finds the last answers due and the stop together."""
-    net, client = ending()
-    net.reactor.advance(1.3)  # both are due in one turn, and the system has taken nothing yet
+    """A loop that is late may find the last answers and the stop due in the same turn."""
+    net, client = shutting_down()
+    net.reactor.advance(1.3)  # both are due in this turn, and the system has taken nothing yet
     assert client.pending.startswith(b"SERVER_ERROR"), (client.pending, net.trace)
     assert net.reactor.running
     net.run(5)
     assert not net.reactor.running and any("client 0 < b'SERVER_ERROR" in one for one in net.trace)
 
 
-def test_a_client_that_takes_nothing_does_not_keep_the_process() -> None:
-    net, client = ending()
+def test_a_client_that_reads_nothing_does_not_keep_the_process_alive() -> None:
+    net, client = shutting_down()
     for _ in range(1500):
         net.reactor.advance(0.001)
     assert not net.reactor.running and client.pending
 
 
-def test_a_place_that_is_given_back_is_not_one_on_which_a_request_lies_unread() -> None:
+def test_reclaiming_sockets_does_not_close_a_client_with_unread_data() -> None:
     net = HostedNet()
-    writes, silent = net.rests(), net.rests()
+    writes, silent = net.idle_client(), net.idle_client()
     writes.unread = b"m"
     net.frontend.reclaim(1)
     net.run(1)
@@ -109,15 +109,15 @@
     assert not writes.lost
 
 
-@pytest.mark.parametrize("way", ["place for another", "given back", "shed", "leave"])
-def test_who_waits_for_a_turn_to_be_read_is_not_closed_for_others(way: str) -> None:
-    """Its command has come whole: closed without an answer, a transaction that was taken would be lost."""
+@pytest.mark.parametrize("way", ["displaced", "reclaimed", "shed", "leave"])
+def test_a_client_that_waits_for_its_turn_is_not_closed_for_others(way: str) -> None:
+    """Its whole command has arrived. Closing it without an answer would lose a transaction."""
     net = HostedNet(limits=replace(LIMITS, clients=3))
-    waits, other, third = net.client(), net.rests(), net.rests()
+    waits, other, third = net.client(), net.idle_client(), net.idle_client()
     net.reactor.advance(0.01)
     waits.feed(mg(1))
     assert not begun(net) and not net.reactor.tcpClients, "it waits for its turn"
-    if way == "given back":
+    if way == "reclaimed":
         net.frontend.reclaim(1)
     elif way == "leave":
         net.frontend.leave()
@@ -126,7 +126,7 @@
         net.frontend.shed()
         net.frontend.shed()
     else:
-        net.turn_begins()
+        net.start_turn()
         net.client("127.0.0.9")
     net.run(2)
     assert not waits.lost and (other.lost or third.lost)
@@ -134,9 +134,9 @@
     assert len(begun(net)) == 1
 
 
-def test_half_a_command_whose_rest_lies_unread_is_not_closed_for_another() -> None:
+def test_a_client_whose_command_continues_in_unread_data_is_not_closed_for_another() -> None:
     net = HostedNet(limits=replace(LIMITS, clients=2))
-    net.turn_begins()
+    net.start_turn()
     writes, stuck = net.client(), net.client()
     for one in (writes, stuck):
         one.feed(b"mg k v O")
@@ -145,18 +145,18 @@
     assert stuck.lost and not writes.lost and not newcomer.lost
 
 
-def test_a_place_for_another_costs_one_client_alone() -> None:
+def test_admitting_a_client_closes_only_one_other() -> None:
     net = HostedNet(limits=replace(LIMITS, clients=2))
-    net.turn_begins()
-    half, rests = net.client(), net.rests()
+    net.start_turn()
+    half, idle = net.client(), net.idle_client()
     half.feed(b"mg k v O")
     newcomer = net.client("127.0.0.9")
     net.run(1)
-    assert rests.lost and not half.lost and not newcomer.lost
+    assert idle.lost and not half.lost and not newcomer.lost
 
 
-class Door:
-    """A listener with clients in the system's queue, who are let in one at a time."""
+class FakeListener:
+    """A listener with clients in its backlog, which are accepted one at a time."""
 
     awaiting_open, sessionno = False, 0
 
@@ -176,49 +176,49 @@
         self.closed = True
 
 
-PLACE = Endpoint("127.0.0.1", 7001)
+ENDPOINT = Endpoint("127.0.0.1", 7001)
 
 
 @pytest.mark.parametrize("way", ["process", "tenant", "listener"])
-def test_who_waits_at_the_door_is_let_in_before_it_closes(way: str) -> None:
+def test_clients_in_the_backlog_are_accepted_before_a_listener_closes(way: str) -> None:
     net = HostedNet()
-    door = Door(net, 5)
-    net.runtime.ports[PLACE] = door
+    listener = FakeListener(net, 5)
+    net.runtime.ports[ENDPOINT] = listener
     if way == "process":
         net.host.shut_down()
         net.run(510)
     elif way == "tenant":
         net.host.change(SetState("sur", State.ENDING))
     else:
-        net.runtime._close_listener(PLACE)
-    assert door.closed and door.waiting == 0 and len(net.wires) == 5
+        net.runtime._close_listener(ENDPOINT)
+    assert listener.closed and listener.waiting == 0 and len(net.wires) == 5
 
 
-def test_a_door_stays_open_at_the_end_while_not_all_fit_who_wait_there() -> None:
+def test_at_shutdown_a_listener_stays_open_while_its_backlog_does_not_fit() -> None:
     net = HostedNet(limits=replace(LIMITS, sockets=Guarantee(0.05, 0.1)))
-    door = Door(net, 5)
-    net.runtime.ports[PLACE] = door
-    most = net.limits.sockets + net.limits.spare
-    rows = [net.client(f"127.0.1.{n}") for n in range(most)]
+    listener = FakeListener(net, 5)
+    net.runtime.ports[ENDPOINT] = listener
+    capacity = net.limits.sockets + net.limits.spare
+    clients = [net.client(f"127.0.1.{n}") for n in range(capacity)]
     assert net.sockets.full()
     net.host.shut_down()
     net.run(510)
-    assert not door.closed and door.waiting == 5
-    net.run(800)  # those who say nothing for a second lose their places
-    assert door.closed and door.waiting == 0 and any(one.lost for one in rows)
+    assert not listener.closed and listener.waiting == 5
+    net.run(800)  # clients that have sent nothing for a second are closed
+    assert listener.closed and listener.waiting == 0 and any(one.lost for one in clients)
 
 
-def test_a_door_is_closed_in_the_end_whoever_waits_there() -> None:
+def test_a_listener_is_closed_in_the_end_whatever_its_backlog() -> None:
     net = HostedNet()
-    door = Door(net, 10_000)
-    net.runtime.ports[PLACE] = door
+    listener = FakeListener(net, 10_000)
+    net.runtime.ports[ENDPOINT] = listener
     net.host.shut_down()
     net.run(3000)
-    assert door.closed and not net.reactor.running
+    assert listener.closed and not net.reactor.running
 
 
 @pytest.mark.parametrize(("after", "taken"), [(0, True), (50, True), (150, False)])
-def test_what_the_old_source_had_written_by_the_move_still_counts(
+def test_a_list_that_the_old_source_sent_before_the_change_still_counts(
     monkeypatch: pytest.MonkeyPatch, after: int, taken: bool
 ) -> None:
     agent: Any = None
@@ -233,15 +233,15 @@
     )
     assert ready(net)
     net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8600))))
-    assert len(agent.calls) == 3, "the first list, the watch, and the new one's"
+    assert len(agent.calls) == 3, "the first list, the watch, and the first list of the new source"
     net.run(after)
     agent.calls[1].callback(Ending(drained(5), ResponseDone()))
     assert ready(net) is not taken
     net.run(1000)
-    assert len(agent.calls) == 3, "the old one is called no more"
+    assert len(agent.calls) == 3, "the old source is not called any more"
 
 
-def test_what_the_old_source_tells_goes_for_nothing_once_servers_are_named(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_list_of_the_old_source_is_ignored_once_servers_are_configured(monkeypatch: pytest.MonkeyPatch) -> None:
     net = HostedNet(servers=())
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
@@ -252,8 +252,8 @@
     assert list(net.runtime.host_list) == ["127.0.1.1:11211"] and ready(net)
 
 
-def test_on_loopback_who_waits_at_the_door_as_the_service_ends_is_let_in_and_answered(tmp_path: Path) -> None:
-    """SIGTERM while all of a tenant's places are taken: those in the system's queue are in nobody's hands."""
+def test_on_loopback_clients_in_the_backlog_at_a_shutdown_are_accepted_and_answered(tmp_path: Path) -> None:
+    """SIGTERM while all sockets of a tenant are in use: the clients in the backlog must still get an answer."""
     cache = FakeCacheHost()
     one = HostedService(tmp_path).start()
     try:
@@ -261,7 +261,7 @@
             one.create_tenant("sur", (cache.address,), limits={"sockets": {"least": 0.05, "most": 0.1}})
         )
         with ExitStack() as ended:
-            for _ in range(25):  # as many as it has; they are new, so none of them is closed for another yet
+            for _ in range(25):  # as many as it may have; they are new, so none of them is closed for another yet
                 ended.enter_context(socket.create_connection(listen, timeout=5))
             time.sleep(0.1)
             waits = [ended.enter_context(socket.create_connection(listen, timeout=5)) for _ in range(4)]
@@ -276,10 +276,10 @@
         one.kill()
 
 
-def test_who_waits_long_for_a_turn_to_be_read_is_not_closed_as_one_that_stands_still() -> None:
-    """Its command is whole, and it is we who do not read it; half a command of another is ended all the same."""
+def test_a_client_that_waits_long_for_its_turn_is_not_closed_as_stalled() -> None:
+    """Its command is complete and the balancer does not read it; a client with half a command is closed as stalled."""
     net = HostedNet()
-    net.turn_begins()
+    net.start_turn()
     half = net.client()
     half.feed(b"mg k v O")
     net.reactor.advance(0.01)
