--- a/ternquay/net/http.py
+++ b/ternquay/net/http.py
@@ -1,8 +1,9 @@
-"""Calls over HTTP/1.1 by the library, with bounds of our own on all that a caller may send.
+"""An HTTP/1.1 server based on Twisted's, with limits on everything that a caller may send.
 
-Lines, headers, bodies, connections and the time of a half call are bounded; what passes a bound is told so and
-closed, a body by its length before it comes. Who stands behind the calls, and what an answer looks like, is the
-port's: the operators' address (net/management.py), the administration API (hosted/administration/http.py).
+Lines, headers, bodies, connections and the time for a request are limited. A caller that exceeds a limit gets an error
+response and is closed; a body that is too long by its content-length is rejected before it arrives. Subclasses of
+RequestPort handle the requests and format errors: the management address (net/management.py) and the administration
+API (hosted/administration/http.py).
 """
 
 from collections.abc import Mapping
@@ -16,18 +17,18 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestLimits:
-    """Sizes in bytes, times in seconds."""
+    """The limits of a port."""
 
     body_bytes: int
     connections: int
-    idle_seconds: int  # without a byte, and from the first byte of a call to its last
-    single_request: bool = False  # to a connection
+    idle_seconds: int  # without a byte, and from the first byte of a request to its last
+    single_request: bool = False  # per connection
     header_bytes: int = 8192
     header_lines: int = 64
 
 
 class IncomingRequest(http.Request):
-    """One call as it comes in; the library reads it."""
+    """A request, which Twisted parses."""
 
     channel: Any
     rejected = False
@@ -40,7 +41,7 @@
             super().gotLength(length)
 
     def handleContentChunk(self, data: bytes) -> None:
-        # One without a length, in chunks, is cut off where it passes the bound.
+        # A chunked body has no length in advance, so it is cut off where it exceeds the limit.
         if self.rejected:
             return
         self.body_received += len(data)
@@ -59,6 +60,7 @@
             self.channel.port.request_received(self)
 
     def reply(self, status: int, body: bytes, headers: Mapping[str, str]) -> None:
+        """Sends the response, unless the caller has gone or already has one."""
         if self._disconnected or self.finished:
             return
         self.setResponseCode(status)
@@ -71,7 +73,7 @@
 
 
 class Channel(http.HTTPChannel):
-    """One connection of a caller."""
+    """A connection of a caller."""
 
     requestFactory = IncomingRequest
     transport: Any
@@ -86,16 +88,16 @@
             limits.header_lines,
         )
         self.MAX_LENGTH = limits.header_bytes
-        self.has_request = False  # a whole call has come
-        self.answering = False  # a call is whole and has no answer yet; the library takes one at a time
-        self.request_timer: Any = None  # the timer of a call that is not whole
+        self.has_request = False  # a complete request has arrived
+        self.answering = False  # a complete request has no response yet; Twisted handles one at a time
+        self.request_timer: Any = None  # limits the time of a request that is not complete
 
     def connectionMade(self) -> None:
         super().connectionMade()
         self.port.channel_opened(self)
 
     def dataReceived(self, data: bytes) -> None:
-        # The library's own time begins anew with each byte: a byte a second would hold a place for ever.
+        # Twisted's own timeout restarts with each byte, so one byte per second would hold a connection for ever.
         if self.request_timer is None and not self.answering:
             self.request_timer = self.port.reactor.callLater(
                 self.port.request_limits.idle_seconds, self.forceAbortClient
@@ -103,7 +105,7 @@
         super().dataReceived(data)
 
     def request_complete(self) -> None:
-        """A call has come whole."""
+        """A complete request has arrived."""
         self.has_request = self.answering = True
         self._cancel_timer()
 
@@ -128,11 +130,11 @@
         return False
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        # Against the library, which closes without a word.
+        # Twisted would close without a response.
         self.reject(431, f"a line has up to {self.MAX_LENGTH} bytes")
 
     def reject(self, status: int, detail: str) -> None:
-        """Before a call is whole: answered, and the connection closed."""
+        """Sends an error response before the request is complete, and closes the connection."""
         body, headers = self.port.error_response(status, detail)
         head = b"HTTP/1.1 %d %b\r\n" % (status, http.RESPONSES.get(status, b"Turned away"))
         lines = {**headers, "content-length": str(len(body)), "connection": "close"}
@@ -146,28 +148,29 @@
 
 
 class RequestPort(ServerFactory):
-    """A listener for calls."""
+    """A factory of the connections of one listening port."""
 
     noisy = False
     reactor: Any
 
     def __init__(self, limits: RequestLimits) -> None:
         self.request_limits = limits
-        self.channels: dict[Channel, None] = {}  # the oldest first
+        self.channels: dict[Channel, None] = {}  # open connections, the oldest first
 
     def buildProtocol(self, addr: Any) -> Any:
         return Channel(self)
 
     def channel_opened(self, channel: Channel) -> None:
+        """Called for each new connection."""
         self.channels[channel] = None
 
     def request_received(self, request: IncomingRequest) -> None:
-        """A call is whole."""
+        """Handles a complete request."""
         raise NotImplementedError
 
     def error_response(self, status: int, detail: str) -> tuple[bytes, Mapping[str, str]]:
-        """The body and the headers of an answer to what was turned away."""
+        """Returns the body and the headers of an error response."""
         raise NotImplementedError
 
     def log(self, request: Any) -> None:
-        """The library's line for each call."""
+        """Suppresses Twisted's access log."""
