--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -11,7 +11,7 @@
 from ternquay.net import meta
 from ternquay.net.client import OVERDUE
 from ternquay.net.config import ConfigError, read_config
-from ternquay.net.management import answered
+from ternquay.net.management import respond
 from tests.helper import Net, member
 from tests.test_net import mg, va
 from tests.test_review_links import free, serving, told, until
@@ -62,7 +62,7 @@
 )
 def test_each_call_has_one_answer(call: str, why: str, status: int, step: str) -> None:
     steps = Steps(why)
-    assert answered(steps, *call.split(" "))[0] == status and steps.done[-1] == step
+    assert respond(steps, *call.split(" "))[0] == status and steps.done[-1] == step
 
 
 def talk(port: int, text: bytes) -> bytes:
