--- a/ternquay/net/transports.py
+++ b/ternquay/net/transports.py
@@ -1,54 +1,54 @@
-"""TCP connections that count what the system takes, and wait a moment where it refuses what it said it has room for.
+"""TCP connections that count the bytes written, and pause where the operating system refuses a writable socket.
 
-send(2) may fail with ENOBUFS on a socket that the poll calls writable. The library tries again with the next poll, at
-once, so that the loop spins for as long as that lasts. Here such a connection writes nothing for a moment.
+send(2) may fail with ENOBUFS on a socket that the poller reports as writable. Twisted retries with the next poll, at
+once, so that the loop spins as long as this lasts. These connections stop writing for a moment instead.
 """
 
 from typing import Any
 
 from twisted.internet.tcp import Client, Connector, Server
 
-MAX_REFUSED_WRITES = 2  # times in a row; once is the ordinary word that the socket's buffer is full
-PAUSE_SECONDS = 0.01  # seconds
+MAX_REFUSED_WRITES = 2  # consecutive ones; a single one only means that the socket's buffer is full
+PAUSE_SECONDS = 0.01
 
 
 class _WriteBackoff:
-    """Mixed into a connection of the library."""
+    """A mixin for Twisted's connections."""
 
-    refused_writes = 0  # times in a row that the system took nothing
-    bytes_taken = 0  # bytes that it took
+    refused_writes = 0  # consecutive ones
+    bytes_taken = 0  # by the operating system
 
     def writeSomeData(self: Any, data: Any) -> Any:
-        taken = super().writeSomeData(data)  # type: ignore[misc]
-        if not isinstance(taken, int):
-            return taken  # why the connection is lost
-        if taken > 0:
+        written = super().writeSomeData(data)  # type: ignore[misc]
+        if not isinstance(written, int):
+            return written  # the reason why the connection is lost
+        if written > 0:
             self.refused_writes = 0
-            self.bytes_taken += taken
+            self.bytes_taken += written
         elif data:
             self.refused_writes += 1
             if self.refused_writes > MAX_REFUSED_WRITES:
                 self.refused_writes = 0
                 self.stopWriting()
                 self.reactor.callLater(PAUSE_SECONDS, self.resume_writing)
-        return taken
+        return written
 
     def resume_writing(self: Any) -> None:
-        """The pause is over."""
+        """Writes again after the pause."""
         if self.connected:
             self.startWriting()
 
 
 class BackoffServer(_WriteBackoff, Server):
-    """A connection that was accepted."""
+    """An accepted connection."""
 
 
 class BackoffClient(_WriteBackoff, Client):
-    """A connection that is made."""
+    """An outgoing connection."""
 
 
 class BackoffConnector(Connector):
-    """Makes connections of this module."""
+    """Creates outgoing connections of this module."""
 
     def _makeTransport(self) -> BackoffClient:
         return BackoffClient(self.host, self.port, self.bindAddress, self, self.reactor)
