--- a/ternquay/net/inherited.py
+++ b/ternquay/net/inherited.py
@@ -1,4 +1,4 @@
-"""The clients' listening socket where the platform holds it: adopted as it is, never shut down and never bound anew."""
+"""The listening socket for clients that the platform holds. It is adopted as it is, never shut down or bound again."""
 
 import os
 import socket
@@ -10,40 +10,40 @@
 from ternquay.net.listing import Address
 
 
-def inherited_socket(where: Address, env: Mapping[str, str] = os.environ) -> socket.socket | None:
-    """The socket that the environment names, None where it names none. Raises ConfigError."""
-    told = env.get(SOCKET_FD_VARIABLE, "")
-    if not told:
+def inherited_socket(address: Address, env: Mapping[str, str] = os.environ) -> socket.socket | None:
+    """Returns the listening socket that the environment names, or None if it names none. Raises ConfigError."""
+    text = env.get(SOCKET_FD_VARIABLE, "")
+    if not text:
         return None
-    if not (told.isascii() and told.isdigit() and len(told) < 8):
-        raise ConfigError(f"{SOCKET_FD_VARIABLE}: a descriptor is wanted, not {told!r:.40}")
-    number = int(told)
+    if not (text.isascii() and text.isdigit() and len(text) < 8):
+        raise ConfigError(f"{SOCKET_FD_VARIABLE}: a descriptor is wanted, not {text!r:.40}")
+    descriptor = int(text)
     try:
-        if not stat.S_ISSOCK(os.fstat(number).st_mode):
-            raise ConfigError(f"{SOCKET_FD_VARIABLE}: descriptor {number} is no socket")
-        held = socket.socket(fileno=number)
+        if not stat.S_ISSOCK(os.fstat(descriptor).st_mode):
+            raise ConfigError(f"{SOCKET_FD_VARIABLE}: descriptor {descriptor} is no socket")
+        inherited = socket.socket(fileno=descriptor)
     except OSError as fault:
-        raise ConfigError(f"{SOCKET_FD_VARIABLE}: descriptor {number} can't be used: {fault.strerror}") from fault
+        raise ConfigError(f"{SOCKET_FD_VARIABLE}: descriptor {descriptor} can't be used: {fault.strerror}") from fault
     try:
-        stream = held.family in (socket.AF_INET, socket.AF_INET6) and held.type & socket.SOCK_STREAM
-        if not stream or not held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise ConfigError(f"{SOCKET_FD_VARIABLE}: descriptor {number} is no listening TCP socket")
-        host, port = held.getsockname()[:2]
-        if (host, port) != (where.host, where.port):
+        is_tcp = inherited.family in (socket.AF_INET, socket.AF_INET6) and inherited.type & socket.SOCK_STREAM
+        if not is_tcp or not inherited.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+            raise ConfigError(f"{SOCKET_FD_VARIABLE}: descriptor {descriptor} is no listening TCP socket")
+        host, port = inherited.getsockname()[:2]
+        if (host, port) != (address.host, address.port):
             raise ConfigError(
-                f"{SOCKET_FD_VARIABLE}: descriptor {number} listens on {host}:{port}, and listen says {where}"
+                f"{SOCKET_FD_VARIABLE}: descriptor {descriptor} listens on {host}:{port}, and listen says {address}"
             )
     except BaseException:
-        held.detach()  # it is not ours to close
+        inherited.detach()  # the socket belongs to the platform, so it is not closed
         raise
-    held.setblocking(False)
-    held.set_inheritable(False)
-    return held
+    inherited.setblocking(False)
+    inherited.set_inheritable(False)
+    return inherited
 
 
-def adopt_socket(reactor: Any, listener: Any, held: socket.socket, factory: Any) -> Any:
-    """The library's listener on it; of two descriptors for one socket the library's stays."""
-    port = listener._fromListeningDescriptor(reactor, held.fileno(), held.family, factory)
-    held.close()
+def adopt_socket(reactor: Any, listener: Any, inherited: socket.socket, factory: Any) -> Any:
+    """Returns a listening port on the socket. Twisted duplicates the descriptor; the original one is closed."""
+    port = listener._fromListeningDescriptor(reactor, inherited.fileno(), inherited.family, factory)
+    inherited.close()
     port.startListening()
     return port
