--- a/ternquay/net/library_log.py
+++ b/ternquay/net/library_log.py
@@ -1,4 +1,4 @@
-"""What Twisted logs by itself, passed on to the program's log: failures alone, and nothing to standard error."""
+"""Passes the failures that Twisted logs to the log of the program. Nothing else of Twisted's is logged."""
 
 from typing import Any
 
@@ -9,10 +9,10 @@
 
 @implementer(ILogObserver)
 class TwistedLogObserver:
-    """An observer of the library's events.
+    """An observer of Twisted's log events.
 
-    An error of a system call that the library has dealt with (it says then what it was about) is warned of once. Any
-    other failure is an exception that nobody caught.
+    A failed system call that Twisted has handled, for which its event has a `why`, is logged once as a warning. Any
+    other failure is an uncaught exception.
     """
 
     def __init__(self) -> None:
@@ -22,19 +22,19 @@
         failure = event.get("log_failure")
         if failure is None:
             return
-        about = event.get("why")
-        if about and failure.check(OSError):
-            self._warn(f"{about}: {failure.getErrorMessage()}")
+        reason = event.get("why")
+        if reason and failure.check(OSError):
+            self._warn(f"{reason}: {failure.getErrorMessage()}")
         else:
             logger.error("uncaught: {}", failure.getTraceback())
 
     def _warn(self, text: str) -> None:
         if text not in self.warned:
             self.warned.add(text)
-            logger.warning("{}, further ones are not told", text)
+            logger.warning("{}; further occurrences are not logged", text)
 
 
 def install() -> None:
-    """Takes the library's events from here on; those before are of its own start."""
+    """Observes Twisted's events from now on. Earlier ones, of its own start, are discarded."""
     observer: Any = TwistedLogObserver()
     globalLogBeginner.beginLoggingTo([observer], discardBuffer=True, redirectStandardIO=False)
