--- a/ternquay/net/__init__.py
+++ b/ternquay/net/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on sockets: everything here moves bytes and keeps time, the decisions stand in balance.py."""
+"""The balancer on sockets: connections, protocols, timers and the process. ternquay/balance.py makes the decisions."""
--- a/ternquay/net/__main__.py
+++ b/ternquay/net/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m ternquay.net`: serves by the configuration that EDGE_CONFIG names, and does nothing else.
+"""`python -m ternquay.net`: serves with the configuration file that EDGE_CONFIG names.
 
-How deploy/balancer.toml starts it. Beside `ternquay serve` it is 6 MB lighter, as no command line is loaded: a process
-has as little as 40 MB, and during an upgrade there are two of them in one limit.
+deploy/balancer.toml uses this entry point. It takes 6 MB less memory than `ternquay serve`, as it loads no command-line
+library. A process may have as little as 40 MB, and during an upgrade two processes share one limit.
 """
 
 import sys
@@ -10,8 +10,8 @@
 
 
 def serve(config: str = "") -> str:
-    """Serves until SIGTERM; what is wrong with the configuration comes back as one line."""
-    # Against 5 MB that the library takes for TLS where it is installed: no address of this process has any.
+    """Serves until SIGTERM. Returns the error of the configuration as one line, or an empty string."""
+    # Twisted would load 5 MB for TLS if OpenSSL is installed, and no port of this process uses TLS.
     sys.modules.setdefault("OpenSSL", None)  # type: ignore[arg-type]
     try:
         loaded = read_config(config)
