--- a/ternquay/cli.py
+++ b/ternquay/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line of ternquay."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -16,8 +16,8 @@
 
 
 @contextmanager
-def told_in_a_line() -> Iterator[None]:
-    """A fault of the configuration ends the command with one line and a status, not with a trace."""
+def one_line_config_errors() -> Iterator[None]:
+    """Reports an error of the configuration in one line with exit status 2, without a traceback."""
     try:
         yield
     except ConfigError as fault:
@@ -28,15 +28,15 @@
 @app.command()
 def serve(config: File = "") -> None:
     """Serve until SIGTERM."""
-    why = serve_alone(config)
-    if why:
-        typer.echo(f"ternquay: {why}", err=True)
+    error = serve_alone(config)
+    if error:
+        typer.echo(f"ternquay: {error}", err=True)
         raise typer.Exit(2)
 
 
 @contextmanager
-def service_in_a_line() -> Iterator[None]:
-    """The same for the file of a hosted service, with what that wants to be installed."""
+def one_line_service_errors() -> Iterator[None]:
+    """Does the same for the file of a hosted service and for packages that are not installed."""
     try:
         yield
     except ImportError as fault:
@@ -50,8 +50,8 @@
 @app.command()
 def host(config: Annotated[str, typer.Option("--config", help="The service's file.")] = "deploy/service.toml") -> None:
     """Serve many tenants until SIGTERM (docs/hosted-use.md)."""
-    with service_in_a_line():
-        from ternquay.hosted.host import run  # `serve` must not load any of it
+    with one_line_service_errors():
+        from ternquay.hosted.host import run  # imported here so that `serve` does not load it
         from ternquay.hosted.service import read_service
 
         run(read_service(Path(config)))
@@ -61,7 +61,7 @@
 def check(config: File = "") -> None:
     """Read a configuration, or the .toml file of a hosted service, and say what it holds, without listening."""
     if config.endswith(".toml"):
-        with service_in_a_line():
+        with one_line_service_errors():
             from ternquay.hosted.service import read_service
 
             service = read_service(Path(config))
@@ -71,7 +71,7 @@
             f"{'an API' if service.api else 'no API'}, {service.process.sockets} sockets"
         )
         return
-    with told_in_a_line():
+    with one_line_config_errors():
         loaded = read_config(config)
     typer.echo(
         f"{loaded.name}: listens on {loaded.listen}, "
@@ -84,7 +84,7 @@
 def rig(context: typer.Context) -> None:
     """The project's own fleet on loopback: days, faults, a judge of the rules, experiments."""
     try:
-        from ternquay.rig.commands import app as commands  # `serve` must not load any of it
+        from ternquay.rig.commands import app as commands  # imported here so that `serve` does not load it
     except ImportError as fault:
         typer.echo(f"ternquay rig: {fault.name} is not installed; the rig wants requirements-dev.txt", err=True)
         raise typer.Exit(2) from fault
@@ -96,12 +96,12 @@
 )
 def admin(context: typer.Context) -> None:
     """The administration API of a hosted service."""
-    with service_in_a_line():
+    with one_line_service_errors():
         from ternquay.hosted.administration.admin import app as commands
     commands(args=context.args, prog_name="ternquay admin")
 
 
 @app.command("version")
-def tell_version() -> None:
+def print_version() -> None:
     """Print the version."""
     typer.echo(VERSION)
