--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -12,7 +12,7 @@
 from ternquay.net.config import ConfigError, read_config
 from tests.helper import FACTS, Net, Scenario, listed_host, member
 from tests.test_net import mg, va
-from tests.test_review_links import told
+from tests.test_review_links import balancer_config
 
 ADVISORY = {"gone_is_advisory": True}
 
@@ -29,10 +29,10 @@
     )
     path = tmp_path / "x.json"
     for value in (1, "true", None):
-        path.write_text(json.dumps(told(1, 2, settings=facts_with(value))))
+        path.write_text(json.dumps(balancer_config(1, 2, settings=facts_with(value))))
         with pytest.raises(ConfigError, match=r"^settings: Invariants\.GoneIsAdvice: must be true or false"):
             read_config(str(path), {})
-    path.write_text(json.dumps(told(1, 2, settings=facts_with(True))))
+    path.write_text(json.dumps(balancer_config(1, 2, settings=facts_with(True))))
     assert read_config(str(path), {}).settings.gone_is_advisory
 
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -11,7 +11,7 @@
 from tests.helper import FACTS, Net, member
 from tests.test_flow import Store
 from tests.test_net import mg, ms, va
-from tests.test_review_links import free, serving, told
+from tests.test_review_links import balancer_config, free_port, serving
 
 
 def test_who_never_sends_a_whole_command_goes_by_age_and_not_before_a_true_one_could_have_ended() -> None:
@@ -82,7 +82,7 @@
 def test_it_listens_when_the_loop_runs_and_not_before(tmp_path: Path) -> None:
     """Against what the system accepts while the start still takes its time, and which lies there unread."""
     path, net = tmp_path / "x.json", Net()
-    path.write_text(json.dumps(told(1, 2, settings=FACTS)))
+    path.write_text(json.dumps(balancer_config(1, 2, settings=FACTS)))
     service = Service(net.reactor, read_config(str(path), {}))
     service.begin()
     assert not net.reactor.tcpServers and service.not_ready_reason()
@@ -91,9 +91,9 @@
 
 
 def test_on_loopback_true_clients_are_answered_beside_a_crowd_that_never_finishes(tmp_path: Path) -> None:
-    listen, store = free(), Store(9)
+    listen, store = free_port(), Store(9)
     where = member(1) | {"host_port": f"127.0.0.1:{store.port}"}
-    config = told(listen, free(), known={"revision": 1, "complete": True, "members": [where]})
+    config = balancer_config(listen, free_port(), known={"revision": 1, "complete": True, "members": [where]})
     with serving(config, tmp_path) as process:
         crowd, answered = [], 0
         until = time.monotonic() + 9
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -28,7 +28,7 @@
 from tests.hosted_helper import ROOT
 from tests.test_flow import Store
 from tests.test_net import TOLD, Agent, mg, ms
-from tests.test_review_links import free, serving, told, until
+from tests.test_review_links import balancer_config, free_port, serving, wait_until
 
 Failed: Any = Failure  # the library's have no types
 Broken: Any = ResponseFailed
@@ -307,9 +307,9 @@
 
 
 def test_on_loopback_idle_clients_may_fill_the_descriptors_while_discovery_is_down(tmp_path: Path) -> None:
-    most, store, listen, discovery = 64, Store(9), free(), free()
+    most, store, listen, discovery = 64, Store(9), free_port(), free_port()
     where = member(1) | {"host_port": f"127.0.0.1:{store.port}"}
-    config = told(
+    config = balancer_config(
         listen,
         discovery,
         known={"revision": 1, "complete": True, "members": [where]},
@@ -443,11 +443,11 @@
 
 def test_on_loopback_who_waits_at_the_door_as_it_closes_is_let_in_and_answered(tmp_path: Path) -> None:
     """SIGTERM while all places are taken: what the system had accepted is in nobody's hands as listening stops."""
-    store, listen = Store(9), free()
+    store, listen = Store(9), free_port()
     where = member(1) | {"host_port": f"127.0.0.1:{store.port}"}
-    config = told(
+    config = balancer_config(
         listen,
-        free(),
+        free_port(),
         known={"revision": 1, "complete": True, "members": [where]},
         limits={"cores": 1.0, "memory_mb": 96, "sockets": 64},
     )
@@ -675,15 +675,19 @@
 
 def test_on_loopback_no_further_hop_begins_after_its_client_closed_in_a_turn_that_lasts(tmp_path: Path) -> None:
     """The loop is held for 0.3 s after a hop was turned away; the client closes 0.05 s into that, unseen."""
-    path, listen, hosts = tmp_path / "told.json", free(), (TurnsAway(), TurnsAway())
+    path, listen, hosts = tmp_path / "told.json", free_port(), (TurnsAway(), TurnsAway())
     where = [member(n) | {"host_port": f"127.0.0.1:{one.port}"} for n, one in enumerate(hosts, 1)]
     path.write_bytes(
-        orjson.dumps(told(listen, free(), settings=FACTS, known={"revision": 1, "complete": True, "members": where}))
+        orjson.dumps(
+            balancer_config(
+                listen, free_port(), settings=FACTS, known={"revision": 1, "complete": True, "members": where}
+            )
+        )
     )
     with open(tmp_path / "log", "wb") as log:
         process = subprocess.Popen([sys.executable, "-c", HELD, str(path)], cwd=ROOT, stderr=log)
     try:
-        until(lambda: b"serves on" in (tmp_path / "log").read_bytes())
+        wait_until(lambda: b"serves on" in (tmp_path / "log").read_bytes())
         with socket.create_connection(("127.0.0.1", listen), timeout=5) as client:
             for number in range(200):  # both have a connection that rests
                 client.sendall(mg(number, f"k{number}"))
@@ -693,7 +697,7 @@
             before = [len(one.came) for one in hosts]
             TurnsAway.away.append(True)
             client.sendall(mg(1000, "k"))
-            until(lambda: sum(len(one.came) for one in hosts) > sum(before))
+            wait_until(lambda: sum(len(one.came) for one in hosts) > sum(before))
             time.sleep(0.05)
         closed = time.monotonic()
         time.sleep(0.5)
@@ -727,7 +731,7 @@
 def test_a_process_that_serves_looks_through_nothing_that_was_there_at_its_start(tmp_path: Path) -> None:
     """A full collection of the 50,000 objects of a start took 30 ms, with whatever was due meanwhile late."""
     path = tmp_path / "told.json"
-    path.write_bytes(orjson.dumps(told(free(), free(), settings=FACTS)))
+    path.write_bytes(orjson.dumps(balancer_config(free_port(), free_port(), settings=FACTS)))
     done = subprocess.run(
         [sys.executable, "-c", COLLECTS, str(path)], cwd=ROOT, capture_output=True, text=True, timeout=30
     )
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -12,9 +12,9 @@
 from ternquay.net import meta
 from ternquay.net.flow import Flow
 from tests.helper import FACTS, Net, Wire, member
-from tests.test_management import says
+from tests.test_management import hello_reply
 from tests.test_net import mg, va
-from tests.test_review_links import free, serving, told, until
+from tests.test_review_links import balancer_config, free_port, serving, wait_until
 
 MIB = 1 << 20
 SMALL = {"stream_above_bytes": 8, "chunk_bytes": 4, "value_bytes": 100, "answer_bytes": 100}
@@ -341,13 +341,13 @@
 
 
 def test_many_slow_readers_and_writers_of_4_mib_stay_within_the_memory(tmp_path: Path) -> None:
-    listen, store = free(), Store(3)
+    listen, store = free_port(), Store(3)
     where = member(1) | {"host_port": f"127.0.0.1:{store.port}"}
     # The one store and all its clients share this test's process, so that their times are long.
     profiles = [one | {"ServiceGoal": 8_000_000, "HardLimit": 9_000_000} for one in FACTS["Profiles"]]
-    config = told(
+    config = balancer_config(
         listen,
-        free(),
+        free_port(),
         limits={"cores": 1.0, "memory_mb": 64, "sockets": 256},
         settings=FACTS | {"Discovery": "pushed", "Profiles": profiles},
         known={"revision": 1, "complete": True, "members": [where]},
@@ -388,9 +388,9 @@
             one.start()
         while any(one.is_alive() for one in people):
             most = max(most, resident(process.pid))
-            assert says(listen) == b"MN\r\n"
+            assert hello_reply(listen) == b"MN\r\n"
             time.sleep(0.1)
-        until(lambda: not any(one.is_alive() for one in people))
+        wait_until(lambda: not any(one.is_alive() for one in people))
         assert not failed, failed[:3]
         # 128 MiB were on their way; a bound of two reads each way, and not of the values.
         assert most - before < 16 << 10, (before, most)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -31,9 +31,9 @@
 from ternquay.net.listing import Address, HostEntry
 from tests.helper import CONFIG, T0, Net, listed_host, member
 from tests.test_flow import Store
-from tests.test_management import OUT, READY, call, says
+from tests.test_management import OUT, READY, hello_reply, http_status
 from tests.test_net import mg, va
-from tests.test_review_links import until
+from tests.test_review_links import wait_until
 from tests.test_upgrade import platform
 
 LISTED = HostEntry("h1", Address("127.0.0.1", 9), "a", "k", 2, m.HostStatus.DRAINING, 1.5, 77)
@@ -174,20 +174,24 @@
 def test_the_second_takes_the_list_of_the_first_and_a_third_waits(tmp_path: Path) -> None:
     with platform(tmp_path) as held:
         first = held.start(known={"revision": 9, "complete": True, "members": [member(1), member(2, "draining")]})
-        until(first.ready)
+        wait_until(first.ready)
         # An older list, without one host at all: what the first knows goes before it.
         second = held.start(known={"revision": 3, "complete": True, "members": []})
-        until(second.ready)
+        wait_until(second.ready)
         assert "another process of this balancer is running" in second.text() and "wrote no note" not in second.text()
         third = held.start()
-        until(lambda: "this one waits" in third.text())
-        assert call(third.at, READY) == 503 and third.process.poll() is None and says(held.listen) == b"MN\r\n"
+        wait_until(lambda: "this one waits" in third.text())
+        assert (
+            http_status(third.at, READY) == 503
+            and third.process.poll() is None
+            and hello_reply(held.listen) == b"MN\r\n"
+        )
         first.process.terminate()
         assert first.process.wait(10) == 0
-        until(third.ready)
+        wait_until(third.ready)
         # Two upgrades in a row: the second is now the older one.
         second.process.terminate()
-        assert second.process.wait(10) == 0 and says(held.listen) == b"MN\r\n"
+        assert second.process.wait(10) == 0 and hello_reply(held.listen) == b"MN\r\n"
         third.process.terminate()
         assert third.process.wait(10) == 0
 
@@ -195,36 +199,36 @@
 def test_either_may_be_killed_at_any_time(tmp_path: Path) -> None:
     with platform(tmp_path) as held:
         old = held.start()
-        until(old.ready)
+        wait_until(old.ready)
         for wait in (0.0, 0.2, 0.5, 0.8, 1.2):
             new = held.start()
             time.sleep(wait)
             new.process.kill()
             new.process.wait()
-            assert old.ready() and says(held.listen) == b"MN\r\n"
+            assert old.ready() and hello_reply(held.listen) == b"MN\r\n"
         for wait in (0.1, 0.6, 1.0):
             new = held.start()
             time.sleep(wait)
             old.process.kill()
             old.process.wait()
-            until(new.ready)
-            assert says(held.listen) == b"MN\r\n" and "Traceback" not in new.text()
+            wait_until(new.ready)
+            assert hello_reply(held.listen) == b"MN\r\n" and "Traceback" not in new.text()
             old = new
 
 
 def test_of_a_drained_one_beside_a_new_one_no_question_gets_a_no(tmp_path: Path) -> None:
     with platform(tmp_path) as held:
         old = held.start()
-        until(old.ready)
-        assert call(old.at, OUT) == 200
+        wait_until(old.ready)
+        assert http_status(old.at, OUT) == 200
         new = held.start()
-        until(new.ready)
-        until(lambda: all(says(held.listen) == b"MN\r\n" for _ in range(10)))
-        assert call(old.at, READY) == 503
+        wait_until(new.ready)
+        wait_until(lambda: all(hello_reply(held.listen) == b"MN\r\n" for _ in range(10)))
+        assert http_status(old.at, READY) == 503
         # The new one goes again: the drained one is asked again, and says no.
         new.process.kill()
         new.process.wait()
-        until(lambda: says(held.listen).startswith(b"SERVER_ERROR"))
+        wait_until(lambda: hello_reply(held.listen).startswith(b"SERVER_ERROR"))
 
 
 def test_an_upgrade_under_load_loses_nothing(tmp_path: Path) -> None:
@@ -273,7 +277,7 @@
                 time.sleep(0.01)
 
         one = held.start(known=known)
-        until(one.ready)
+        wait_until(one.ready)
         people = [threading.Thread(target=keeps, args=(n,)) for n in range(8)]
         people += [threading.Thread(target=comes, args=(n,)) for n in range(8, 12)]
         for each in people:
@@ -281,7 +285,7 @@
         most = 0
         for _ in range(2):
             other = held.start(known=known)
-            until(other.ready)
+            wait_until(other.ready)
             one.process.terminate()
             while one.process.poll() is None:
                 with suppress(OSError):
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -14,7 +14,7 @@
 from ternquay.net.management import respond
 from tests.helper import Net, member
 from tests.test_net import mg, va
-from tests.test_review_links import free, serving, told, until
+from tests.test_review_links import balancer_config, free_port, serving, wait_until
 
 READY, OUT, BACK = "GET /control/ready", "POST /control/out-of-service", "POST /control/in-service"
 
@@ -65,7 +65,7 @@
     assert respond(steps, *call.split(" "))[0] == status and steps.done[-1] == step
 
 
-def talk(port: int, text: bytes) -> bytes:
+def exchange(port: int, text: bytes) -> bytes:
     """All that comes back until the connection ends, b"" for nothing."""
     with closing(socket.create_connection(("127.0.0.1", port), timeout=10)) as caller:
         caller.sendall(text)
@@ -76,20 +76,20 @@
         return found
 
 
-def call(port: int, text: str) -> int:
+def http_status(port: int, text: str) -> int:
     """The status of one call."""
-    return int(talk(port, f"{text} HTTP/1.1\r\nHost: x\r\n\r\n".encode()).split(b" ")[1])
+    return int(exchange(port, f"{text} HTTP/1.1\r\nHost: x\r\n\r\n".encode()).split(b" ")[1])
 
 
-def says(port: int) -> bytes:
+def hello_reply(port: int) -> bytes:
     with closing(socket.create_connection(("127.0.0.1", port), timeout=10)) as client:
         client.sendall(b"mn\r\n")
         return client.recv(100)
 
 
 def test_what_is_no_call_gets_an_answer_and_a_close(tmp_path: Path) -> None:
-    at = free()
-    with serving(told(free(), free(), management=f"127.0.0.1:{at}"), tmp_path) as process:
+    at = free_port()
+    with serving(balancer_config(free_port(), free_port(), management=f"127.0.0.1:{at}"), tmp_path) as process:
         for text, status in (
             (b"nonsense\r\n\r\n", b"400"),
             (b"GET /" + b"x" * 9000, b"431"),
@@ -105,23 +105,23 @@
                 b"413",
             ),
         ):
-            assert talk(at, text).startswith(b"HTTP/1.1 " + status), text[:60]
+            assert exchange(at, text).startswith(b"HTTP/1.1 " + status), text[:60]
         # A second call behind the first is not read.
-        assert talk(at, b"GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n" * 2).count(b"HTTP/1.1") == 1
-        assert call(at, READY) == 200 and process.poll() is None
+        assert exchange(at, b"GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n" * 2).count(b"HTTP/1.1") == 1
+        assert http_status(at, READY) == 200 and process.poll() is None
         assert "Traceback" not in (tmp_path / "log").read_text()
 
 
 def test_callers_that_say_nothing_and_a_flood_of_clients_hold_up_no_call(tmp_path: Path) -> None:
-    at, listen = free(), free()
-    with serving(told(listen, free(), management=f"127.0.0.1:{at}"), tmp_path) as process:
+    at, listen = free_port(), free_port()
+    with serving(balancer_config(listen, free_port(), management=f"127.0.0.1:{at}"), tmp_path) as process:
         silent = [socket.create_connection(("127.0.0.1", at), timeout=10) for _ in range(30)]
         for one in silent[::2]:
             with suppress(ConnectionResetError):  # the oldest have gone for the last
                 one.sendall(b"GET /control/re")
         crowd = [socket.create_connection(("127.0.0.1", listen), timeout=10) for _ in range(150)]
         for _ in range(5):
-            assert call(at, READY) == 200
+            assert http_status(at, READY) == 200
         # The half calls end by themselves, and the descriptors stay under what was told.
         for one in silent:
             one.settimeout(10)
@@ -132,28 +132,32 @@
         assert len(list(Path(f"/proc/{process.pid}/fd").iterdir())) <= 128
         for one in crowd:
             one.close()
-        assert call(at, READY) == 200
+        assert http_status(at, READY) == 200
 
 
 def test_a_drain_says_no_at_once_closes_what_rests_and_goes_back(tmp_path: Path) -> None:
-    at, listen = free(), free()
-    with serving(told(listen, free(), management=f"127.0.0.1:{at}"), tmp_path) as process:
+    at, listen = free_port(), free_port()
+    with serving(balancer_config(listen, free_port(), management=f"127.0.0.1:{at}"), tmp_path) as process:
         resting = socket.create_connection(("127.0.0.1", listen), timeout=10)
         resting.sendall(b"mn\r\n")
         assert resting.recv(100) == meta.HELLO
         half = socket.create_connection(("127.0.0.1", listen), timeout=10)
         half.sendall(b"mg k")
-        assert call(at, OUT) == call(at, OUT) == 200 and call(at, READY) == 503
-        assert says(listen) == meta.OUT_OF_SERVICE
+        assert http_status(at, OUT) == http_status(at, OUT) == 200 and http_status(at, READY) == 503
+        assert hello_reply(listen) == meta.OUT_OF_SERVICE
         assert resting.recv(100) == b""
         time.sleep(0.1)
-        assert says(listen) == meta.OUT_OF_SERVICE  # it goes on saying no
+        assert hello_reply(listen) == meta.OUT_OF_SERVICE  # it goes on saying no
         assert half.recv(100) == OVERDUE + b"\r\n" and half.recv(100) == b""  # its request was not whole in time
         assert process.poll() is None
-        assert call(at, BACK) == call(at, BACK) == 200 and call(at, READY) == 200 and says(listen) == meta.HELLO
+        assert (
+            http_status(at, BACK) == http_status(at, BACK) == 200
+            and http_status(at, READY) == 200
+            and hello_reply(listen) == meta.HELLO
+        )
         # Out, in and out again: the steps of the first drain are not those of the last.
         for text in (OUT, BACK, OUT, BACK):
-            assert call(at, text) == 200
+            assert http_status(at, text) == 200
         stays = socket.create_connection(("127.0.0.1", listen), timeout=10)
         stays.sendall(b"mn\r\n")
         assert stays.recv(100) == meta.HELLO
@@ -161,10 +165,10 @@
         stays.sendall(b"mn\r\n")
         assert stays.recv(100) == meta.HELLO
         # The end during a drain.
-        assert call(at, OUT) == 200
+        assert http_status(at, OUT) == 200
         process.terminate()
-        until(lambda: b"shutdown requested" in (tmp_path / "log").read_bytes())
-        assert call(at, READY) == 503 and call(at, BACK) == 409
+        wait_until(lambda: b"shutdown requested" in (tmp_path / "log").read_bytes())
+        assert http_status(at, READY) == 503 and http_status(at, BACK) == 409
         assert process.wait(10) == 0
 
 
@@ -219,7 +223,7 @@
     path = tmp_path / "x.json"
 
     def launched(env: dict[str, str], **more: Any) -> Any:
-        path.write_text(json.dumps(told(1, 2) | more))
+        path.write_text(json.dumps(balancer_config(1, 2) | more))
         return read_config(str(path), env)
 
     assert launched({}).management is None
@@ -233,9 +237,12 @@
 
 
 def test_no_cache_host_is_known_is_not_ready(tmp_path: Path) -> None:
-    at = free()
+    at = free_port()
     empty = {"revision": 1, "complete": True, "members": []}
-    with serving(told(free(), free(), management=f"127.0.0.1:{at}", known=empty), tmp_path):
-        assert call(at, READY) == 503
-    with serving(told(free(), free(), management=f"127.0.0.1:{at}", known=empty | {"members": [member(1)]}), tmp_path):
-        assert call(at, READY) == 200
+    with serving(balancer_config(free_port(), free_port(), management=f"127.0.0.1:{at}", known=empty), tmp_path):
+        assert http_status(at, READY) == 503
+    with serving(
+        balancer_config(free_port(), free_port(), management=f"127.0.0.1:{at}", known=empty | {"members": [member(1)]}),
+        tmp_path,
+    ):
+        assert http_status(at, READY) == 200
--- a/tests/test_many_processes.py
+++ b/tests/test_many_processes.py
@@ -17,7 +17,7 @@
 import orjson
 
 from tests.helper import FACTS, member
-from tests.test_review_links import free
+from tests.test_review_links import free_port
 
 ROOT = Path(__file__).parents[1]
 MANY = int(os.environ.get("PROCESSES", "24"))
@@ -71,7 +71,7 @@
     """One balancer, its client, and when it was ready."""
 
     def __init__(self, number: int, config: dict[str, Any], folder: Path) -> None:
-        self.number, self.port = number, free()
+        self.number, self.port = number, free_port()
         self.path = folder / f"{number}.json"
         self.log = folder / f"{number}.log"
         self.config = config | {"listen": f"127.0.0.1:{self.port}", "name": f"n{number}", "seed": f"{number + 1:x}"}
@@ -139,7 +139,7 @@
     }
     members = [member(n) | {"host_port": f"127.0.0.1:{host.port}"} for n, host in enumerate(hosts)]
     config: dict[str, Any] = {
-        "discovery": f"127.0.0.1:{free()}",  # down for all of it
+        "discovery": f"127.0.0.1:{free_port()}",  # down for all of it
         "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 128},
         "settings": FACTS | {"Balancers": MANY, "Invariants": rules},
         "known": {"revision": 1, "complete": True, "members": members[1:]},
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -10,7 +10,7 @@
 
 from tests.helper import FACTS, member
 from tests.test_many_processes import READY_WITHIN, Process
-from tests.test_review_links import free
+from tests.test_review_links import free_port
 
 MANY = 12
 TURN = 0.4  # seconds that a crowded discovery takes for one call; they are worked through in turn
@@ -52,7 +52,7 @@
     discovery = Discovery(way, listed)
     await discovery.begin()
     config = {
-        "discovery": f"127.0.0.1:{discovery.port if way != 'down' else free()}",
+        "discovery": f"127.0.0.1:{discovery.port if way != 'down' else free_port()}",
         "known": listed,
         "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 64},
         "settings": FACTS | {"Balancers": MANY, "Discovery": mode},
--- a/tests/test_review_links.py
+++ b/tests/test_review_links.py
@@ -247,7 +247,7 @@
 # ---- the real process: discovery that does not end its answers, a limit on descriptors ----
 
 
-def told(listen: int, discovery: int, **more: Any) -> dict[str, Any]:
+def balancer_config(listen: int, discovery: int, **more: Any) -> dict[str, Any]:
     return {
         "name": "n1",
         "listen": f"127.0.0.1:{listen}",
@@ -300,21 +300,21 @@
             preexec_fn=(lambda: setrlimit(RLIMIT_NOFILE, (files, files))) if files else None,
         )
     try:
-        until(lambda: b"serves on" in (folder / "log").read_bytes() or process.poll() is not None)
+        wait_until(lambda: b"serves on" in (folder / "log").read_bytes() or process.poll() is not None)
         yield process
     finally:
         process.kill()
         process.wait()
 
 
-def until(holds: Any, seconds: float = 20.0) -> None:
+def wait_until(holds: Any, seconds: float = 20.0) -> None:
     end = time.monotonic() + seconds
     while not holds():
         assert time.monotonic() < end
         time.sleep(0.02)
 
 
-def free() -> int:
+def free_port() -> int:
     return int(free_place("127.0.0.1").rpartition(":")[2])
 
 
@@ -327,8 +327,8 @@
 )
 def test_a_discovery_that_never_ends_its_answer_costs_no_socket_a_call(tmp_path: Path, head: bytes) -> None:
     discovery = Endless(head)
-    with serving(told(free(), discovery.port), tmp_path) as process:
-        until(lambda: discovery.calls >= 4)
+    with serving(balancer_config(free_port(), discovery.port), tmp_path) as process:
+        wait_until(lambda: discovery.calls >= 4)
         assert discovery.open <= 1, f"{discovery.open} connections are left of {discovery.calls} calls"
         # One thread: to look an address up the library would start one, for a name that is none.
         assert len(os.listdir(f"/proc/{process.pid}/task")) == 1
@@ -336,8 +336,10 @@
 
 
 def test_a_limit_on_descriptors_below_what_was_told_is_kept_to(tmp_path: Path) -> None:
-    listen = free()
-    with serving(told(listen, free(), limits={"memory_mb": 96, "sockets": 1024}), tmp_path, files=64) as process:
+    listen = free_port()
+    with serving(
+        balancer_config(listen, free_port(), limits={"memory_mb": 96, "sockets": 1024}), tmp_path, files=64
+    ) as process:
         clients = []
         for _ in range(100):
             with suppress(OSError):
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -31,7 +31,7 @@
 from tests.hosted_helper import ROOT, HostedService, document
 from tests.test_hosted_parts import SMALL
 from tests.test_registry import tenant
-from tests.test_review_links import free, serving, told, until
+from tests.test_review_links import balancer_config, free_port, serving, wait_until
 from tests.test_store import CALLS, UNLIMITED, answer, call, keeper, whole
 
 # ---- COMMIT that raises ----
@@ -343,7 +343,7 @@
         process = one.process
         assert process is not None
         # Told again and again, as until the loop runs it is not heeded.
-        until(lambda: again(process) and b"takes effect at the next start" in one.log.read_bytes())
+        wait_until(lambda: again(process) and b"takes effect at the next start" in one.log.read_bytes())
         assert one.call("GET", "/v1/tenants").status == 200
         one.config_file.write_text(whole_file)
     finally:
@@ -417,10 +417,10 @@
 def test_killed_at_any_point_it_comes_up_again_at_once_and_sends_nothing_of_its_last_life(
     tmp_path: Path, point: str
 ) -> None:
-    host, listen = Slow(), free()
-    config = told(
+    host, listen = Slow(), free_port()
+    config = balancer_config(
         listen,
-        free(),
+        free_port(),
         known={
             "revision": 1,
             "complete": True,
@@ -447,15 +447,15 @@
         if point == POINTS[0]:
             assert client.recv(99).startswith(b"SERVER_ERROR busy")
         else:
-            until(lambda: host.ids)
+            wait_until(lambda: host.ids)
         if point == POINTS[3]:
             client.recv(1000)
         if point == POINTS[4]:
             process.send_signal(signal.SIGTERM)
-            until(lambda: b"shutdown requested" in (tmp_path / "log").read_bytes())
+            wait_until(lambda: b"shutdown requested" in (tmp_path / "log").read_bytes())
         if point == POINTS[5]:
             process.send_signal(signal.SIGHUP)
-            until(lambda: b"configuration reloaded" in (tmp_path / "log").read_bytes())
+            wait_until(lambda: b"configuration reloaded" in (tmp_path / "log").read_bytes())
         process.kill()
         process.wait()
         before = list(host.ids)
@@ -474,11 +474,11 @@
 
 
 def test_told_to_end_twice_and_to_read_its_file_meanwhile_it_answers_what_it_took_and_ends_once(tmp_path: Path) -> None:
-    host, listen = Slow(), free()
+    host, listen = Slow(), free_port()
     host.part = 0.0
-    config = told(
+    config = balancer_config(
         listen,
-        free(),
+        free_port(),
         known={
             "revision": 1,
             "complete": True,
@@ -499,7 +499,7 @@
     with serving(config, tmp_path) as process, socket.create_connection(("127.0.0.1", listen)) as client:
         client.settimeout(5)
         client.sendall(WRITE % 0)
-        until(lambda: host.ids)
+        wait_until(lambda: host.ids)
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
             process.send_signal(number)
         assert client.recv(99) == b"SERVER_ERROR failed\r\n"
--- a/tests/test_stood_still.py
+++ b/tests/test_stood_still.py
@@ -16,7 +16,7 @@
 from tests.hosted_helper import ROOT
 from tests.test_endings import TurnsAway, begun
 from tests.test_net import mg
-from tests.test_review_links import free, told, until
+from tests.test_review_links import balancer_config, free_port, wait_until
 
 MS, SECOND = 1_000_000, 1_000_000_000
 GRACE = 0.5  # seconds
@@ -146,19 +146,19 @@
 
 
 def test_on_loopback_nothing_goes_to_a_host_whose_drain_was_told_while_the_process_was_stopped(tmp_path: Path) -> None:
-    hosts, discovery, listen = (TurnsAway(), TurnsAway()), Discovery(), free()
+    hosts, discovery, listen = (TurnsAway(), TurnsAway()), Discovery(), free_port()
     members = [member(n) | {"host_port": f"127.0.0.1:{one.port}"} for n, one in enumerate(hosts, 1)]
     discovery.listed = orjson.dumps({"revision": 1, "complete": True, "members": members})
     settings = FACTS | {"Profiles": LONG, "Invariants": FACTS["Invariants"] | {"DrainGrace": int(GRACE * 1e6)}}
     path = tmp_path / "told.json"
     known = orjson.loads(discovery.listed)
-    path.write_bytes(orjson.dumps(told(listen, discovery.port, settings=settings, known=known)))
+    path.write_bytes(orjson.dumps(balancer_config(listen, discovery.port, settings=settings, known=known)))
     with open(tmp_path / "log", "wb") as log:
         process = subprocess.Popen(
             [sys.executable, "-m", "ternquay.net"], cwd=ROOT, stderr=log, env=os.environ | {"EDGE_CONFIG": str(path)}
         )
     try:
-        until(lambda: b"serves on" in (tmp_path / "log").read_bytes())
+        wait_until(lambda: b"serves on" in (tmp_path / "log").read_bytes())
         with socket.create_connection(("127.0.0.1", listen), timeout=5) as client:
             key = ""
             for number in range(100):  # a key that lives at the first host
@@ -169,7 +169,7 @@
                     key = f"k{number}"
                     if hosts[1].came:
                         break
-            until(lambda: bool(discovery.watches))
+            wait_until(lambda: bool(discovery.watches))
             time.sleep(0.3)
             process.send_signal(signal.SIGSTOP)
             drain = orjson.dumps({"revision": 2, "complete": False, "members": [members[0] | {"phase": "draining"}]})
@@ -180,7 +180,7 @@
             time.sleep(GRACE + 0.3)
             process.send_signal(signal.SIGCONT)
             assert client.recv(200).startswith((b"VA 1", b"SERVER_ERROR busy"))
-            until(lambda: len(discovery.watches) > watches)
+            wait_until(lambda: len(discovery.watches) > watches)
             assert len(hosts[0].came) == before, "told 0.75 s ago that it drains"
     finally:
         process.send_signal(signal.SIGCONT)
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -36,9 +36,9 @@
 from ternquay.rig.terms import CallFault
 from tests.helper import FACTS, Net, Wire, member
 from tests.test_flow import Store
-from tests.test_management import OUT, call, talk
+from tests.test_management import OUT, exchange, http_status
 from tests.test_net import mg, ms, va
-from tests.test_review_links import free, serving, told
+from tests.test_review_links import balancer_config, free_port, serving
 from tests.test_system_calls import running
 
 OWED = 3.0  # seconds from its last byte in which a client that stopped has its error and its close
@@ -106,9 +106,9 @@
 @contextmanager
 def balancer(folder: Path) -> Iterator[int]:
     """The real process with one cache host; the port that it listens on."""
-    store, listen = Store(3), free()
+    store, listen = Store(3), free_port()
     known = {"revision": 1, "complete": True, "members": [member(1) | {"host_port": f"127.0.0.1:{store.port}"}]}
-    with serving(told(listen, free(), known=known), folder):
+    with serving(balancer_config(listen, free_port(), known=known), folder):
         yield listen
 
 
@@ -161,10 +161,10 @@
 
 def test_on_loopback_whoever_stops_while_the_process_stands_still_is_ended_in_time(tmp_path: Path) -> None:
     """The bytes came while the process was stopped: it reads them later, and they are as old as they are."""
-    store, listen = Store(3), free()
+    store, listen = Store(3), free_port()
     known = {"revision": 1, "complete": True, "members": [member(1) | {"host_port": f"127.0.0.1:{store.port}"}]}
     clients = [Stopping([written]) for written in STOPS.values()]
-    with serving(told(listen, free(), known=known), tmp_path) as process:
+    with serving(balancer_config(listen, free_port(), known=known), tmp_path) as process:
         process.send_signal(SIGSTOP)
         Timer(2.0, process.send_signal, [SIGCONT]).start()
         watched(listen, clients, OWED + 4)
@@ -381,12 +381,12 @@
     tmp_path: Path, step: str
 ) -> None:
     clients = [Stopping([b"mg k v"]), Stopping([b"ms k 9 O1 Pc=once,d=900\r\nx"])]
-    store, listen, management = Store(3), free(), free()
+    store, listen, management = Store(3), free_port(), free_port()
     known = {"revision": 1, "complete": True, "members": [member(1) | {"host_port": f"127.0.0.1:{store.port}"}]}
-    config = told(listen, free(), known=known, management=f"127.0.0.1:{management}")
+    config = balancer_config(listen, free_port(), known=known, management=f"127.0.0.1:{management}")
     with serving(config, tmp_path) as process:
         acts = {
-            "drain": lambda: call(management, OUT),
+            "drain": lambda: http_status(management, OUT),
             "end": process.terminate,
             "reload": lambda: process.send_signal(SIGHUP),
         }
@@ -440,11 +440,12 @@
 
 
 def test_on_loopback_operators_read_why_clients_were_closed(tmp_path: Path) -> None:
-    listen, management = free(), free()
-    with serving(told(listen, free(), management=f"127.0.0.1:{management}"), tmp_path) as process:
+    listen, management = free_port(), free_port()
+    with serving(balancer_config(listen, free_port(), management=f"127.0.0.1:{management}"), tmp_path) as process:
         watched(listen, [Stopping([b"mg k v"]), Stopping([b"ms k -1 O1 Pc=once,d=9\r\n"])], OWED + 1)
         metrics, events = (
-            talk(management, b"GET /control/%b HTTP/1.1\r\nHost: x\r\n\r\n" % name) for name in (b"metrics", b"events")
+            exchange(management, b"GET /control/%b HTTP/1.1\r\nHost: x\r\n\r\n" % name)
+            for name in (b"metrics", b"events")
         )
         process.terminate()
         assert process.wait(10) == 0
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -24,7 +24,7 @@
 from tests.helper import member
 from tests.test_flow import Store
 from tests.test_net import mg
-from tests.test_review_links import free, told, until
+from tests.test_review_links import balancer_config, free_port, wait_until
 
 LASTS = 1.0  # seconds in which calls fail, from the first attempt on
 # For one that fails all the time: with a pause after each some 20 a second, without one many thousands.
@@ -65,16 +65,16 @@
 @contextmanager
 def running(folder: Path, *faults: CallFault) -> Iterator[Running]:
     """Started as deploy/balancer.toml does it, with one cache host."""
-    store, listen, path = Store(3), free(), folder / "told.json"
+    store, listen, path = Store(3), free_port(), folder / "told.json"
     known = {"revision": 1, "complete": True, "members": [member(1) | {"host_port": f"127.0.0.1:{store.port}"}]}
-    path.write_bytes(orjson.dumps(told(listen, free(), known=known)))
+    path.write_bytes(orjson.dumps(balancer_config(listen, free_port(), known=known)))
     environment = prepared(CallPlan(faults), folder) | {"EDGE_CONFIG": str(path)}
     with open(folder / "log", "wb") as log:
         process = subprocess.Popen(
             [sys.executable, "-m", "ternquay.net"], stderr=log, env=environment, cwd=Path(__file__).parents[1]
         )
     try:
-        until(lambda: b"serves on" in (folder / "log").read_bytes() or process.poll() is not None)
+        wait_until(lambda: b"serves on" in (folder / "log").read_bytes() or process.poll() is not None)
         yield Running(process, listen, folder)
     finally:
         process.kill()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,8 +16,8 @@
 from ternquay.net.inherited import inherited_socket
 from ternquay.net.listing import Address
 from tests.hosted_helper import ROOT
-from tests.test_management import READY, call, says
-from tests.test_review_links import free, told, until
+from tests.test_management import READY, hello_reply, http_status
+from tests.test_review_links import balancer_config, free_port, wait_until
 
 
 class Platform:
@@ -45,9 +45,11 @@
 
 class Process:
     def __init__(self, platform: Platform, number: int, **more: Any) -> None:
-        self.at, self.log = free(), platform.folder / f"log{number}"
+        self.at, self.log = free_port(), platform.folder / f"log{number}"
         path = platform.folder / f"told{number}.json"
-        path.write_text(json.dumps(told(platform.listen, free(), management=f"127.0.0.1:{self.at}") | more))
+        path.write_text(
+            json.dumps(balancer_config(platform.listen, free_port(), management=f"127.0.0.1:{self.at}") | more)
+        )
         env = os.environ | {
             "EDGE_SOCKET_FD": str(platform.held.fileno()),
             "TMPDIR": str(platform.common),
@@ -60,7 +62,7 @@
 
     def ready(self) -> bool:
         try:
-            return call(self.at, READY) == 200
+            return http_status(self.at, READY) == 200
         except (OSError, IndexError):
             return False
 
@@ -80,17 +82,17 @@
 def test_a_second_process_takes_over_and_no_connection_is_refused(tmp_path: Path) -> None:
     with platform(tmp_path) as held:
         old = held.start()
-        until(old.ready)
+        wait_until(old.ready)
         new = held.start()
-        until(new.ready)
-        assert says(held.listen) == b"MN\r\n"
+        wait_until(new.ready)
+        assert hello_reply(held.listen) == b"MN\r\n"
         old.process.terminate()
         # Whoever comes while the old one goes is taken by the new one, or by the old one and served.
         while old.process.poll() is None:
-            assert says(held.listen) == b"MN\r\n"
+            assert hello_reply(held.listen) == b"MN\r\n"
         assert old.process.wait() == 0 and new.process.poll() is None
         for _ in range(20):
-            assert says(held.listen) == b"MN\r\n"
+            assert hello_reply(held.listen) == b"MN\r\n"
         # Two of them beside each other: what neither needs is not loaded, though it is installed here.
         assert "cryptography" not in Path(f"/proc/{new.process.pid}/maps").read_text()
         new.process.terminate()
@@ -99,7 +101,7 @@
         with closing(socket.create_connection(("127.0.0.1", held.listen), timeout=5)) as waits:
             waits.sendall(b"mn\r\n")
             third = held.start()
-            until(third.ready)
+            wait_until(third.ready)
             assert waits.recv(10) == b"MN\r\n"
 
 
@@ -132,19 +134,19 @@
 def test_it_starts_under_the_smallest_limits_and_keeps_to_them(tmp_path: Path) -> None:
     with platform(tmp_path) as held:
         small = held.start(limits={"cores": 0.5, "memory_mb": 72, "sockets": 96})
-        until(small.ready)
+        wait_until(small.ready)
         status = Path(f"/proc/{small.process.pid}/status").read_text().split()
         assert int(status[status.index("RssAnon:") + 1]) < 36 << 10
         crowd = [socket.create_connection(("127.0.0.1", held.listen), timeout=5) for _ in range(120)]
         assert len(os.listdir(f"/proc/{small.process.pid}/fd")) <= 96 and small.ready()
         for one in crowd:
             one.close()
-        until(lambda: says(held.listen) == b"MN\r\n")
+        wait_until(lambda: hello_reply(held.listen) == b"MN\r\n")
 
 
 def test_a_wrong_descriptor_ends_the_start_with_one_line(tmp_path: Path) -> None:
     path = tmp_path / "told.json"
-    path.write_text(json.dumps(told(free(), free())))
+    path.write_text(json.dumps(balancer_config(free_port(), free_port())))
     done = subprocess.run(
         [sys.executable, "-m", "ternquay", "serve", "--config", str(path)],
         cwd=ROOT,
