--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -62,7 +62,7 @@
         )
         self.runtimes: dict[str, TenantRuntime] = {}
         self.runtimes_by_id: dict[str, TenantRuntime] = {}
-        self.removing: set[str] = set()
+        self.removing: set[str] = set()  # names of tenants whose removal has been requested
         self.remove: Callable[[str], Any] = self._remove_unstored
         self.started_at, self.ending, self.stopping = reactor.seconds(), False, False
         self.lists_to_refresh: set[str] = set()  # ids of tenants
@@ -75,8 +75,8 @@
         prepared = {}
         for name, entry in self.registry.tenants.items():
             try:
-                places = () if entry.tenant.state is State.ENDING else entry.tenant.listeners
-                prepared[name] = bind_listeners(self.reactor, places, self.own_address)
+                endpoints = () if entry.tenant.state is State.ENDING else entry.tenant.listeners
+                prepared[name] = bind_listeners(self.reactor, endpoints, self.own_address)
             except InvalidField as fault:
                 for one in prepared.values():
                     one.drop()
@@ -100,13 +100,13 @@
         after, before = registry.tenants.get(name), self.registry.tenants.get(name)
         if after is None or after.tenant.state is State.ENDING:
             return PreparedListeners()
-        there = before.tenant.listeners if before is not None else ()
-        new = tuple(place for place in after.tenant.listeners if place not in there)
+        bound = before.tenant.listeners if before is not None else ()
+        new = tuple(endpoint for endpoint in after.tenant.listeners if endpoint not in bound)
         try:
             return bind_listeners(self.reactor, new, self.own_address)
         except InvalidField as fault:
-            at = after.tenant.listeners.index(new[int(fault.field[len("listeners[") : -1])])
-            raise InvalidField(f"listeners[{at}]", fault.reason) from fault
+            index = after.tenant.listeners.index(new[int(fault.field[len("listeners[") : -1])])
+            raise InvalidField(f"listeners[{index}]", fault.reason) from fault
 
     def apply(self, registry: Registry, name: str, prepared: PreparedListeners) -> None:
         """Applies the change to one tenant in one step. If it raises, the other tenants are as they were."""
@@ -254,13 +254,16 @@
         self.ending = True
         logger.info("shutting down, {} transactions open", self._open_transactions())
         now = int(self.reactor.seconds() * SECOND)
-        accept_grace = leave_after = stop_after = flush = 0
+        accept_grace = leave_after = stop_after = flush_timeout = 0
         for runtime in self.runtimes.values():
             limits = runtime.limits
             runtime.dispatcher.ends_at = now + limits.last_answer_after
             accept_grace, stop_after = max(accept_grace, limits.accept_grace), max(stop_after, limits.stop_after)
-            leave_after, flush = max(leave_after, limits.leave_after), max(flush, limits.flush_timeout)
-        self.flush_timeout = flush
+            leave_after, flush_timeout = (
+                max(leave_after, limits.leave_after),
+                max(flush_timeout, limits.flush_timeout),
+            )
+        self.flush_timeout = flush_timeout
         self.reactor.callLater(accept_grace / SECOND, self._close_listeners)
         self.reactor.callLater(leave_after / SECOND, self._close_clients)
         self.reactor.callLater(stop_after / SECOND, self._stop)
@@ -305,23 +308,25 @@
 
 def differences(old: Registry, new: Registry) -> list[Change]:
     """Returns the changes from one registry to the other: those that free resources first."""
-    found: list[Change] = []
+    changes: list[Change] = []
     for name, entry in old.tenants.items():
         if name not in new.tenants and entry.tenant.state is not State.ENDING:
-            found.append(SetState(name, State.ENDING))
+            changes.append(SetState(name, State.ENDING))
     for name, entry in new.tenants.items():
         current = old.tenants.get(name)
-        found += [CreateTenant(entry.tenant)] if current is None else _tenant_differences(current.tenant, entry.tenant)
-    return found
+        changes += (
+            [CreateTenant(entry.tenant)] if current is None else _tenant_differences(current.tenant, entry.tenant)
+        )
+    return changes
 
 
 def _tenant_differences(old: Tenant, new: Tenant) -> list[Change]:
-    found: list[Change] = []
+    changes: list[Change] = []
     if replace(new, state=old.state) != old:
-        found.append(ReplaceTenant(replace(new, state=old.state)))
+        changes.append(ReplaceTenant(replace(new, state=old.state)))
     if new.state is not old.state:
-        found.append(SetState(new.name, new.state))
-    return found
+        changes.append(SetState(new.name, new.state))
+    return changes
 
 
 class ServiceProcess:
@@ -344,14 +349,14 @@
         from ternquay.hosted.administration.changes import Keeper, Stored
         from ternquay.hosted.store import Store, StoreError
 
-        fleet_config, life = self.service.fellows, None
+        fleet_config, boot = self.service.fellows, None
         store: Store
         try:
             if fleet_config is not None:
                 from ternquay.hosted.fleet.store import FleetStore
 
                 store = member = FleetStore(self.service.store)
-                life = member.begin_boot()
+                boot = member.begin_boot()
             else:
                 store = Store(self.service.store)
                 if store.belongs_to_fleet():
@@ -368,8 +373,8 @@
         if fleet_config is not None:
             from ternquay.hosted.fleet.member import FleetMember
 
-            assert life is not None
-            self.fleet = FleetMember(self.reactor, fleet_config, self.host, self.stored, member, life)
+            assert boot is not None
+            self.fleet = FleetMember(self.reactor, fleet_config, self.host, self.stored, member, boot)
             self.keeper.join(self.fleet)
             self.host.resources.admission_delay = self.fleet.admission_delay
 
--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -29,7 +29,7 @@
 
 MAX_HOPS = 4
 MAX_BACKOFF_NS = SECOND
-SPARE_SOCKETS = 8  # for clients that come when all is full: they are told so and closed
+SPARE_SOCKETS = 8  # for clients that connect when the tenant is full: they are told so and closed
 MAX_INDICES = 10_000
 
 
@@ -60,7 +60,7 @@
 
 
 class NameIndex(dict[str, int]):
-    """Assigns small indices to names as they appear. Beyond MAX_INDICES each call gets an index of its own."""
+    """Assigns small indices to names as they appear. Beyond MAX_INDICES names, each look-up gets a new index."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -165,8 +165,8 @@
 
     connection_class = TenantConnection
 
-    def __init__(self, scheduler: FairScheduler, name: str, *terms: Any) -> None:
-        super().__init__(*terms)
+    def __init__(self, scheduler: FairScheduler, name: str, *args: Any) -> None:
+        super().__init__(*args)
         self.scheduler, self.name = scheduler, name
 
     def close_all(self) -> None:
@@ -182,8 +182,8 @@
     list_received: Callable[[bool, tuple[HostEntry, ...]], None]
     shared_hop_ended: Callable[[Endpoint, m.HopOutcome], None]
 
-    def __init__(self, *terms: Any) -> None:
-        super().__init__(*terms)
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
         self.shared_endpoints: dict[int, Endpoint] = {}
 
     def list_told(self, whole: bool, entries: tuple[HostEntry, ...]) -> None:
@@ -283,11 +283,11 @@
         self.frontend.fence_delay = (
             partial(resources.admission_delay, tenant.name) if resources.admission_delay is not None else None
         )
-        self.ports: dict[Endpoint, Any] = {}
-        self.host_list: dict[str, HostEntry] = {}
+        self.ports: dict[Endpoint, Any] = {}  # open listeners
+        self.host_list: dict[str, HostEntry] = {}  # by host id
         self.start_times = StartTimes(resources.wall_clock_offset)
         self.discovery: Discovery | None = None
-        self.ending_since = 0
+        self.ending_since = 0  # 0: not ending
 
     # ---- start, changes and end ----
 
@@ -382,15 +382,16 @@
     # ---- cache hosts ----
 
     def _use_host_source(self, tenant: Tenant, before: Endpoint | None = None) -> None:
+        """Takes the cache hosts from the tenant's source or list; `before` is the source until now."""
         old = None
         if self.discovery is not None and tenant.source != before:
             # What the old source has sent by now still counts, unless the change itself lists the servers.
             old, self.discovery = self.discovery, None
             (old.stop if tenant.source is None else old.retire)()
         if tenant.source is not None and self.discovery is None:
-            where = Address(tenant.source.host, tenant.source.port)
+            address = Address(tenant.source.host, tenant.source.port)
             self.discovery = Discovery(
-                self.resources.reactor, self.dispatcher, self.limits, where, self.start_times, old
+                self.resources.reactor, self.dispatcher, self.limits, address, self.start_times, old
             )
             self.dispatcher.watch = self.discovery.watch
             self.discovery.watch()
@@ -400,10 +401,10 @@
 
     def _host_entry(self, server: Server) -> HostEntry:
         # The endpoint identifies the host, whatever name the tenant gives it.
-        where = Address(server.endpoint.host, server.endpoint.port)
+        address = Address(server.endpoint.host, server.endpoint.port)
         status = m.HostStatus.DRAINING if server.draining else m.HostStatus.READY
-        cell = self.cells.get(str(where))
-        return HostEntry(str(where), where, server.zone, "", cell, status, server.weight, server.started)
+        cell = self.cells.get(str(address))
+        return HostEntry(str(address), address, server.zone, "", cell, status, server.weight, server.started)
 
     def _list_received(self, whole: bool, hosts: tuple[HostEntry, ...]) -> None:
         """Takes a list from the registry or the source and passes it through the shared host table to the decisions."""
@@ -454,6 +455,7 @@
     # ---- periodic work and usage ----
 
     def sweep(self) -> None:
+        """Closes stale connections; called periodically."""
         if self.sockets.hosts:
             self.pool.close_stale()
         if self.frontend.all:
