--- a/ternquay/hosted/__init__.py
+++ b/ternquay/hosted/__init__.py
@@ -1,1 +1,1 @@
-"""Many tenants (hosted archives) on one balancer. `serve` loads nothing of it."""
+"""The hosted service: many tenants (hosted archives) on one balancer. `ternquay serve` does not load it."""
--- a/ternquay/hosted/shared/__init__.py
+++ b/ternquay/hosted/shared/__init__.py
@@ -1,1 +1,1 @@
-"""The one loop, and what tenants share of it."""
+"""What the tenants of a process share: the event loop, sockets and memory."""
--- a/ternquay/hosted/store.py
+++ b/ternquay/hosted/store.py
@@ -113,15 +113,15 @@
 def decode_tenant(body: bytes) -> Tenant:
     """Returns the tenant of a stored form. Raises StoreError if it can't be read."""
     try:
-        told = msgspec.json.decode(body, type=StoredTenant)
-        keys = tuple(ApiKey(k.name, k.digest, Scope(k.scope), k.since, k.until) for k in told.keys)
-        return replace(tenant_from_document(told.tenant), keys=keys, state=parse_state(told.state))
+        stored = msgspec.json.decode(body, type=StoredTenant)
+        keys = tuple(ApiKey(key.name, key.digest, Scope(key.scope), key.since, key.until) for key in stored.keys)
+        return replace(tenant_from_document(stored.tenant), keys=keys, state=parse_state(stored.state))
     except (msgspec.DecodeError, InvalidField, ValueError) as fault:
         raise StoreError(f"a tenant that is kept can't be read: {fault}") from fault
 
 
 class Store:
-    """An open store. Its methods raise StoreError."""
+    """An open store. Its methods raise StoreError if the file can't be read or written."""
 
     def __init__(self, path: Path | str, on_step: Callable[[str], None] = lambda step: None) -> None:
         self.path, self.on_step = str(path), on_step
@@ -149,6 +149,7 @@
             raise StoreError(f"{self.path}: {fault}") from fault
 
     def _initialize(self, db: sqlite3.Connection) -> None:
+        """Locks and checks the file, and creates the tables that are missing."""
         # One process owns the store: a second one would acknowledge changes that the first does not know.
         db.execute("PRAGMA locking_mode = EXCLUSIVE")
         mode = db.execute("PRAGMA journal_mode = WAL").fetchone()[0]
@@ -185,6 +186,7 @@
         return bool(self._query("SELECT 1 FROM sqlite_master WHERE name = 'fleet_meta'", ()))
 
     def close(self) -> None:
+        """Closes the file."""
         self.db.close()
 
     # ---- reading ----
--- a/ternquay/hosted/tenants/__init__.py
+++ b/ternquay/hosted/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""What a tenant is, by itself and beside the others, and how one runs."""
+"""Tenants: their configuration, the registry of all of them, and the runtime of each."""
