--- a/tests/test_drain_silent.py
+++ b/tests/test_drain_silent.py
@@ -1,4 +1,4 @@
-"""Watches that fall silent while cache hosts begin to drain: several processes, the page's clocks, and wrong twins."""
+"""Watches that fall silent while cache hosts begin to drain. Deliberately wrong balancers must be detected."""
 
 import json
 import subprocess
@@ -13,13 +13,13 @@
 PARTS = ("pat", "not-anew", "late")
 
 
-def test_a_change_counts_by_the_clocks_of_the_page() -> None:
+def test_a_change_counts_as_delivered_by_the_platforms_clocks() -> None:
     made = [1 * SECOND, 4 * SECOND, 9 * SECOND]
     one = Counted(10 * SECOND)
     one.asks(2 * SECOND, 3 * SECOND)
     one.written(1)
     one.asks(2 * SECOND, 3 * SECOND)
-    assert one.due(60 * SECOND, made) == 1  # it watches: what is written counts, and nothing else
+    assert one.due(60 * SECOND, made) == 1  # while it watches, only written changes count
     one.falls_silent(3 * SECOND)
     assert one.due(9 * SECOND - 1, made) == 1 and one.due(9 * SECOND, made) == 3
     late = Counted(10 * SECOND, version=1)
@@ -27,7 +27,7 @@
     late.falls_silent(3 * SECOND)
     assert late.due(24 * SECOND - 1, made) == 1 and late.due(24 * SECOND, made) == 3
     late.asks(5 * SECOND, 50)
-    assert late.due(24 * SECOND, made) == 3  # a call that is out changes nothing of what it missed
+    assert late.due(24 * SECOND, made) == 3  # a call in progress does not change what was missed
     late.written(2)
     assert late.due(24 * SECOND, made) == 2
     none = Counted(10 * SECOND, version=1)
@@ -39,11 +39,13 @@
     ended = Counted(10 * SECOND, version=0)
     ended.asks(1 * SECOND, 3 * SECOND)
     ended.falls_silent(2 * SECOND)
-    ended.goes_down(5 * SECOND)  # and its watch ends with it: it missed what could be told by then
+    ended.goes_down(5 * SECOND)  # this ends the watch, which missed all changes until then
     ended.asks(6 * SECOND, 50)
     ended.fails()
     assert ended.due(8 * SECOND - 1, made) == 0 and ended.due(8 * SECOND, made) == 2
-    assert ended.due(46 * SECOND - 1, made) == 2 and ended.due(46 * SECOND, made) == 3  # by the clock of a failed call
+    assert (
+        ended.due(46 * SECOND - 1, made) == 2 and ended.due(46 * SECOND, made) == 3
+    )  # by the clock of the failed call
 
 
 def play(out: Path, decisions: str) -> "subprocess.Popen[str]":
@@ -69,15 +71,15 @@
     return subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
 
 
-def test_no_hop_goes_to_a_leaving_host_past_the_grace_and_wrong_twins_are_caught(tmp_path: Path) -> None:
-    """Four balancers each, one of them stopped for a while, before a discovery that begins two watches a second."""
+def test_no_hop_reaches_a_draining_host_after_the_grace_and_wrong_balancers_are_detected(tmp_path: Path) -> None:
+    """Each run has four balancers, one stopped for a while, and a discovery that begins two watches per second."""
     found: dict[str, dict[str, Any]] = {}
     for _ in range(3):
         plays = {part: play(tmp_path / part, part) for part in PARTS if part not in found}
         for part, running in plays.items():
             told, _ = running.communicate(timeout=120)
             assert running.returncode in (0, 1, 3), told
-            if running.returncode != 3:  # else the machine was too busy for the rig
+            if running.returncode != 3:  # 3: the machine was too busy for the rig
                 found[part] = json.loads((tmp_path / part / "result.json").read_text())
     drains = {part: result["rules"]["drains"] for part, result in found.items()}
     assert drains["pat"] == 0 and drains["not-anew"] > 0 and drains["late"] > 0, drains
@@ -85,7 +87,7 @@
     assert found["pat"]["service"] > 0.8
 
 
-def test_the_day_has_all_that_it_is_for() -> None:
+def test_the_day_contains_the_faults_it_is_meant_for() -> None:
     day = read_day("drain-silent")
     assert {fault.kind for fault in day.faults} >= {"list-silent", "list-queue", "host-drains", "balancer-stop"}
     assert day.balancers.count > 3
