--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -1,4 +1,4 @@
-"""Lists of a thousand cache hosts, and nothing sent to one that leaves whatever kept the news from the connections."""
+"""Lists of a thousand cache hosts; and no hop to a draining host, even if handling the list failed."""
 
 import subprocess
 import sys
@@ -16,11 +16,11 @@
 from tests.helper import FACTS, Net, member
 from tests.test_net import TOLD, mg, va
 
-MANY = 1024
+HOST_COUNT = 1024
 ROOT = Path(__file__).parents[1]
 
 
-def test_a_hop_that_waits_for_its_dial_is_not_written_when_the_news_of_a_drain_broke_off(
+def test_a_hop_that_waits_for_its_connection_is_not_written_after_a_drain_whose_list_failed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     net = Net(hosts=1)
@@ -28,10 +28,10 @@
     client.feed(mg(1))
     listed = net.pool.listed
 
-    def fails(index: int, *told: Any) -> None:
+    def fails(index: int, *args: Any) -> None:
         if index:
-            raise RuntimeError("a fault within the list")
-        listed(index, *told)
+            raise RuntimeError("broken on purpose")
+        listed(index, *args)
 
     monkeypatch.setattr(net.pool, "listed", fails)
     with pytest.raises(RuntimeError):
@@ -41,7 +41,7 @@
     assert not [one for one in net.trace if "host 1 < b'mg" in one], net.trace
 
 
-def test_with_fewer_sockets_than_hosts_it_serves_and_says_so_once() -> None:
+def test_fewer_sockets_than_hosts_are_logged_once_and_requests_are_served() -> None:
     lines: list[str] = []
     handler = logger.add(lambda text: lines.append(str(text)), format="{level} {message}")
     net = Net(hosts=1, sockets=48)
@@ -57,19 +57,20 @@
     assert sum("VA 3 O" in one for one in net.trace if "client 0 <" in one) >= 55
 
 
-def test_sockets_are_what_the_limits_and_the_memory_bear_and_never_fewer_than_a_thousand() -> None:
-    def whole(sockets: int, memory: int) -> int:
+def test_the_socket_limit_follows_the_settings_and_the_memory_but_is_at_least_1024() -> None:
+    def total(sockets: int, memory: int) -> int:
         found = derive_limits(FACTS, sockets, memory)
         return found.sockets + found.spare + 16
 
-    assert [whole(n, 40) for n in (48, 512, 1024)] == [48, 512, 1024]
-    assert whole(8192, 40) == 1024 and whole(8192, 2048) == 8192
-    assert 1024 < whole(1 << 20, 192) * (16 << 10) < 192 * MIB // 4 + (16 << 10)
+    assert [total(n, 40) for n in (48, 512, 1024)] == [48, 512, 1024]
+    assert total(8192, 40) == 1024 and total(8192, 2048) == 8192
+    assert 1024 < total(1 << 20, 192) * (16 << 10) < 192 * MIB // 4 + (16 << 10)
 
 
-def test_a_process_with_a_thousand_hosts_starts_within_its_memory_and_answers(tmp_path: Path) -> None:
+def test_a_process_with_a_thousand_hosts_starts_within_its_memory_limit(tmp_path: Path) -> None:
     members = [
-        member(n % 250 + 1) | {"id": f"h{n}", "host_port": f"127.8.{n // 250}.{n % 250 + 1}:9"} for n in range(MANY)
+        member(n % 250 + 1) | {"id": f"h{n}", "host_port": f"127.8.{n // 250}.{n % 250 + 1}:9"}
+        for n in range(HOST_COUNT)
     ]
     path = tmp_path / "told.json"
     limits = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
