--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -1,4 +1,4 @@
-"""A small fleet killed at once and started again, with discovery down, silent, slow or turning most calls away."""
+"""A small fleet is killed and restarted at once while discovery is down, silent, slow or rejects most calls."""
 
 import asyncio
 import signal
@@ -12,16 +12,16 @@
 from tests.test_many_processes import READY_WITHIN, Process
 from tests.test_review_links import free_port
 
-MANY = 12
-TURN = 0.4  # seconds that a crowded discovery takes for one call; they are worked through in turn
+BALANCER_COUNT = 12
+SLOW_CALL_SECONDS = 0.4  # an overloaded discovery handles one call at a time
 
 
 class Discovery:
-    """Never answers, answers all in turn, or answers one in four and turns away the rest, as its way says."""
+    """Never answers, answers one call at a time, or answers one in four and rejects the rest, as `way` says."""
 
     def __init__(self, way: str, listed: dict[str, Any]) -> None:
         self.way, self.body, self.calls = way, orjson.dumps(listed), 0
-        self.turn = asyncio.Lock()
+        self.lock = asyncio.Lock()
         self.port = 0
 
     async def begin(self) -> None:
@@ -35,9 +35,9 @@
                 if self.way == "silent":
                     await asyncio.sleep(60)
                 if self.way == "slow":
-                    async with self.turn:
-                        await asyncio.sleep(TURN)
-                if self.way == "turns away" and self.calls % 4:
+                    async with self.lock:
+                        await asyncio.sleep(SLOW_CALL_SECONDS)
+                if self.way == "rejects" and self.calls % 4:
                     writer.write(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n")
                 else:
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(self.body), self.body))
@@ -55,9 +55,9 @@
         "discovery": f"127.0.0.1:{discovery.port if way != 'down' else free_port()}",
         "known": listed,
         "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 64},
-        "settings": FACTS | {"Balancers": MANY, "Discovery": mode},
+        "settings": FACTS | {"Balancers": BALANCER_COUNT, "Discovery": mode},
     }
-    fleet = [Process(number, config, folder) for number in range(MANY)]
+    fleet = [Process(number, config, folder) for number in range(BALANCER_COUNT)]
     try:
         for one in fleet:
             one.start()
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
-@pytest.mark.parametrize("way", ["down", "silent", "slow", "turns away"])
-def test_nine_in_ten_are_ready_in_time_whatever_discovery_does(way: str, mode: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("way", ["down", "silent", "slow", "rejects"])
+def test_nine_in_ten_processes_are_ready_in_time_whatever_discovery_does(way: str, mode: str, tmp_path: Path) -> None:
     took = [one.took for one in asyncio.run(play(way, mode, tmp_path))]
-    assert sum(one > READY_WITHIN for one in took) <= MANY // 10, took
+    assert sum(one > READY_WITHIN for one in took) <= BALANCER_COUNT // 10, took
