--- a/ternquay/facts.py
+++ b/ternquay/facts.py
@@ -27,13 +27,13 @@
 
 
 def parse_number(
-    source: dict[str, Any], name: str, at: str, minimum: float, maximum: float, default: float | None = None
+    source: dict[str, Any], name: str, path: str, minimum: float, maximum: float, default: float | None = None
 ) -> Any:
-    """A number between `minimum` and `maximum`.
+    """A number between `minimum` and `maximum`; `path` is that of `source`, for messages.
 
     Raises KeyError where it is missing and has no default, and ValueError where it is no number or out of range.
     """
-    field = f"{at}.{name}" if at else name
+    field = f"{path}.{name}" if path else name
     value = source.get(name)
     if value is None:
         if default is None:
@@ -45,27 +45,27 @@
     return value
 
 
-def parse_duration(source: dict[str, Any], name: str, at: str, minimum: int = 0, default: int | None = None) -> int:
+def parse_duration(source: dict[str, Any], name: str, path: str, minimum: int = 0, default: int | None = None) -> int:
     """A duration in nanoseconds, given in microseconds. Raises as `parse_number` does."""
-    return int(parse_number(source, name, at, minimum, MAX_DURATION_US, default)) * US
+    return int(parse_number(source, name, path, minimum, MAX_DURATION_US, default)) * US
 
 
 def parse_choice(
-    source: dict[str, Any], name: str, at: str, choices: dict[str, Any], default: str | None = None
+    source: dict[str, Any], name: str, path: str, choices: dict[str, Any], default: str | None = None
 ) -> Any:
     """The choice that a string stands for. Raises ValueError for any other value."""
     value = source.get(name, default)
     if not isinstance(value, str) or value not in choices:
-        field = f"{at}.{name}" if at else name
+        field = f"{path}.{name}" if path else name
         raise ValueError(f"{field}: must be one of {', '.join(choices)}, not {value!r:.40}")
     return choices[value]
 
 
-def parse_flag(source: dict[str, Any], name: str, at: str) -> bool:
+def parse_flag(source: dict[str, Any], name: str, path: str) -> bool:
     """A boolean, false by default. Raises ValueError for anything else, such as a string that Python takes as true."""
     value = source.get(name, False)
     if not isinstance(value, bool):
-        raise ValueError(f"{at}.{name}: must be true or false, not {value!r:.40}")
+        raise ValueError(f"{path}.{name}: must be true or false, not {value!r:.40}")
     return value
 
 
@@ -82,15 +82,15 @@
     return [(f"{path}[{i}]", item) for i, item in enumerate(source)]
 
 
-def parse_profile(at: str, source: dict[str, Any]) -> m.Profile:
+def parse_profile(path: str, source: dict[str, Any]) -> m.Profile:
     """A profile. Raises KeyError or ValueError with the name of the field."""
     return m.Profile(
-        semantics=parse_choice(source, "Semantics", at, SEMANTICS),
-        dedup_scope=parse_choice(source, "DedupScope", at, DEDUP_SCOPES, "cell"),
-        dedup_window=parse_duration(source, "Window", at, default=0),
-        service_goal=parse_duration(source, "ServiceGoal", at, 1),
-        hard_limit=parse_duration(source, "HardLimit", at, 1),
-        overdue_revenue=parse_number(source, "OverdueRevenue", at, -MAX_NUMBER, MAX_NUMBER, 0.0),
+        semantics=parse_choice(source, "Semantics", path, SEMANTICS),
+        dedup_scope=parse_choice(source, "DedupScope", path, DEDUP_SCOPES, "cell"),
+        dedup_window=parse_duration(source, "Window", path, default=0),
+        service_goal=parse_duration(source, "ServiceGoal", path, 1),
+        hard_limit=parse_duration(source, "HardLimit", path, 1),
+        overdue_revenue=parse_number(source, "OverdueRevenue", path, -MAX_NUMBER, MAX_NUMBER, 0.0),
     )
 
 
@@ -99,10 +99,10 @@
     limits, rules, family = facts["Limits"], facts["Invariants"], facts.get("FamilyInfo", {})
     goal = parse_table(facts, "Goal")
     # These are checked but not used: to the decisions, a late response is a loss in any case.
-    for part in ("KeptPromises", "TailSlack"):
-        parse_number(goal, part, "Goal", 0, 1, 0.0)
+    for name in ("KeptPromises", "TailSlack"):
+        parse_number(goal, name, "Goal", 0, 1, 0.0)
     parse_report_fields(facts)
-    profiles = tuple(parse_profile(at, item) for at, item in parse_named_list(facts["Profiles"], "Profiles"))
+    profiles = tuple(parse_profile(path, item) for path, item in parse_named_list(facts["Profiles"], "Profiles"))
     if not profiles:
         raise ValueError("Profiles: must have at least one entry")
     return m.Config(
@@ -111,8 +111,8 @@
         balancer_index=int(parse_number(facts, "MyNumber", "", 0, MAX_NUMBER, 0)),
         profiles=profiles,
         quotas=tuple(
-            parse_number(t, "QuotaPerS", at, 0, MAX_NUMBER)
-            for at, t in parse_named_list(facts.get("Tenants") or [], "Tenants")
+            parse_number(share, "QuotaPerS", path, 0, MAX_NUMBER)
+            for path, share in parse_named_list(facts.get("Tenants") or [], "Tenants")
         ),
         cache_aside=family.get("Mode") == "aside",
         origin_kind=family.get("OriginKind", -1),
--- a/ternquay/model.py
+++ b/ternquay/model.py
@@ -27,14 +27,14 @@
 class HopOutcome(IntEnum):
     """How a hop ended. Values up to and including MISS prove that the transaction did not run on that hop."""
 
-    FULL = 1
-    UNREACHABLE = 2
-    SKIPPED = 3
-    MISS = 4
+    FULL = 1  # the host refused it
+    UNREACHABLE = 2  # no connection, or it broke before the transaction was sent as a whole
+    SKIPPED = 3  # never sent
+    MISS = 4  # the host has no copy and does not fetch it
     DONE = 5
-    ERROR = 6
+    ERROR = 6  # the host returned an error
     TIMED_OUT = 7
-    RESET = 8
+    RESET = 8  # the connection broke after the transaction was sent
     CANCELLED = 9
 
 
