--- a/ternquay/balance.py
+++ b/ternquay/balance.py
@@ -604,7 +604,7 @@
             tx.miss_host = host
             return self._request_fetch(tx)
         # If no cache host can respond in time, the origin may, as long as it has capacity left beside the misses.
-        if host is None and self._origin_has_spare_room(tx):
+        if host is None and self._origin_has_spare_capacity(tx):
             return self._request_fetch(tx)
         origin_paused = tx.is_write and self.now < self.origin_paused_until
         if host is None or origin_paused or not self._send(tx, host):
@@ -646,10 +646,10 @@
         # goes to the origin while half of the origin limit is free, as another cache host would miss.
         last, host = tx.hops[-1], None
         ejected, lost = last.host.ejected_until > self.now, self._response_lost(last)
-        origin_full = last.expects_fetch and not self._origin_has_room()
+        origin_full = last.expects_fetch and not self._origin_has_capacity()
         if not self.config.parallel_hops or tx.hops_in_flight > 1 or self.extra_hop_tokens < 1 or origin_full:
             return
-        if self._origin_has_spare_room(tx) and not last.host.is_origin:
+        if self._origin_has_spare_capacity(tx) and not last.host.is_origin:
             host = self.origin
         elif ejected or lost:
             host = last.host if lost and self._usable(last.host) else self._choose_host(tx)
@@ -708,7 +708,7 @@
         """Send a fetch from the origin, queue it, or refuse the transaction."""
         if self.now < self.origin_paused_until:
             self._refuse(tx)
-        elif self._origin_has_room() and not self.origin_queue:
+        elif self._origin_has_capacity() and not self.origin_queue:
             self._send_fetch(tx)
         else:
             # The age of a fetch in flight shows a slow origin before the fetch ends.
@@ -729,13 +729,13 @@
         if host is None or late or not self._send(tx, host):
             self._refuse(tx)
 
-    def _origin_has_room(self) -> bool:
+    def _origin_has_capacity(self) -> bool:
         # A limit below 1, as with many balancers and a small origin, is kept with a pause after each fetch.
         if self.origin_limit < 1.0:
             return not self.fetches_in_flight and self.now >= self._next_fetch_at()
         return self.fetches_in_flight < self.origin_limit
 
-    def _origin_has_spare_room(self, tx: Tx) -> bool:
+    def _origin_has_spare_capacity(self, tx: Tx) -> bool:
         # Half of the limit is reserved for misses.
         free = not self.origin_queue and self.fetches_in_flight < self.origin_limit / 2
         return self.config.cache_aside and not (tx.is_write or tx.over_share) and free
@@ -744,7 +744,7 @@
         return self.last_fetch_at + int(self.mean_fetch_duration / self.origin_limit)
 
     def _drain_origin_queue(self) -> None:
-        while self.origin_queue and self._origin_has_room():
+        while self.origin_queue and self._origin_has_capacity():
             tx = self.origin_queue.popleft()
             if not tx.ended:
                 self._send_fetch(tx)
@@ -834,9 +834,9 @@
         return self.failing_keys.get(tx.key, 0) > self.now
 
     def _error_follows_key(self, tx: Tx, hop: Hop) -> bool:
-        # A cache host or the origin must not be blamed for a transaction that fails everywhere, such as one for a value
-        # that no cache host can return. An error counts against its host once another host has answered the
-        # transaction, and against none once the key has failed at two hosts. For FAILING_KEY_TTL_NS, a transaction
+        # A host must not be held responsible for a transaction that fails everywhere, such as one for a value that no
+        # cache host can return; nor must the origin. An error counts against its host once another host has answered
+        # the transaction, and against none once the key has failed at two hosts. For FAILING_KEY_TTL_NS, a transaction
         # with such a key then gets one hop only. The cost: a host that returns only errors is ejected one hop later,
         # and with an origin that is down each key counts once.
         if not tx.range:
--- a/ternquay/model.py
+++ b/ternquay/model.py
@@ -246,7 +246,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Set the balancer's only timer to an earlier time, or anew after it expired."""
+    """Set the balancer's only timer to an earlier time, or again after it expired."""
 
     at: int
 
