--- a/tests/test_review_gaps.py
+++ b/tests/test_review_gaps.py
@@ -1,4 +1,4 @@
-"""What small faults put in by hand showed to be tested by nothing (docs/readiness-review.md, tests of the tests)."""
+"""Behaviour that no other test covered, found by mutation testing (docs/readiness-review.md, tests of the tests)."""
 
 import subprocess
 import sys
@@ -19,7 +19,7 @@
 from tests.test_net import mg, va
 
 
-def test_one_connection_has_so_many_waiting_and_what_is_beyond_is_told_to_come_back() -> None:
+def test_requests_beyond_the_pipeline_limit_of_a_connection_are_refused_as_busy() -> None:
     net = Net(limits={"pipelined": 3, "sockets": 9})
     client = net.client()
     client.feed(b"".join(mg(n, key=f"k{n}") for n in range(5)))
@@ -28,11 +28,11 @@
         net.accept()
     for wire in net.wires[1:]:
         wire.feed(va(int(wire.protocol.hops[0].tx.message.id)))
-    told = "".join(one for one in net.trace if "client 0 <" in one)
-    assert told.count("VA 3") == 3 and told.count("SERVER_ERROR busy") == 2
+    replies = "".join(one for one in net.trace if "client 0 <" in one)
+    assert replies.count("VA 3") == 3 and replies.count("SERVER_ERROR busy") == 2
 
 
-def test_bytes_that_the_system_has_taken_are_counted_back() -> None:
+def test_queued_bytes_are_released_when_the_system_has_taken_them() -> None:
     net = Net()
     client = net.client()
     for n in range(3):
@@ -41,15 +41,15 @@
     assert net.frontend.queued == 0 and client.protocol.queued == 0
 
 
-def test_the_wait_of_a_rollback_is_in_microseconds_on_the_wire() -> None:
+def test_the_backoff_of_a_rollback_is_in_microseconds_on_the_wire() -> None:
     one = Instance(7, FACTS)
     one.correlations[0] = "c"
     assert one.encode_action(3, m.RollBack(0, 50 * MS)) == {"msg": "Busy", "Who": 3, "Corr": "c", "Backoff": 50_000}
     assert one.encode_action(3, m.SendHop(0, one.host_index("h"), 7 * MS))["NotPast"] == 7_000
 
 
-def test_a_commit_is_synced_before_it_counts_as_made(tmp_path: Path) -> None:
-    """No kill of a process shows it: what is not synced survives that, and is lost with the machine's power."""
+def test_a_commit_is_synced_to_disk(tmp_path: Path) -> None:
+    """Killing a process can't show this: unsynced data survives the kill, but not a power failure."""
     store = Store(tmp_path / "x.db")
     assert store.db.execute("PRAGMA synchronous").fetchone()[0] == 2
     assert store.db.execute("PRAGMA journal_mode").fetchone()[0] == "wal"
@@ -58,9 +58,9 @@
     store.close()
 
 
-def test_the_judge_ends_the_grace_of_a_drain_where_the_rule_does() -> None:
+def test_the_judge_applies_the_grace_of_a_drain_exactly() -> None:
     day = read_day("calm")
-    grace, told = (day.rules.drain_grace_ms + day.rules.slack_ms) * MS, 10_000 * MS
+    grace, delivered = (day.rules.drain_grace_ms + day.rules.slack_ms) * MS, 10_000 * MS
 
     def convicted(came: int) -> bool:
         hop = records.Hop("t1", "", 0, False, 3, "h-3-1", came, came + MS)
@@ -69,17 +69,17 @@
             slack=day.rules.slack_ms * MS,
             tries=[SimpleNamespace(id="t1", balancer=0)],
             hops={"t1": [hop]},
-            saw=SimpleNamespace(fleet=SimpleNamespace(told=[records.Told(0, told, "h-3-1", "draining")])),
+            saw=SimpleNamespace(fleet=SimpleNamespace(told=[records.Told(0, delivered, "h-3-1", "draining")])),
             known=lambda told: told.at,
             life_at=lambda balancer, at: SimpleNamespace(started=0),
         )
         return bool(list(_drains(case)))
 
-    assert [convicted(told + grace + ms * MS) for ms in (-200, -1, 1, 200)] == [False, False, True, True]
+    assert [convicted(delivered + grace + ms * MS) for ms in (-200, -1, 1, 200)] == [False, False, True, True]
 
 
-class NotThere(BaseHTTPRequestHandler):
-    """An API that has nothing, and keeps its connections."""
+class NotFoundHandler(BaseHTTPRequestHandler):
+    """An API that answers 404 and keeps connections open."""
 
     protocol_version = "HTTP/1.1"
 
@@ -94,9 +94,9 @@
         pass
 
 
-def test_the_client_of_the_api_leaves_no_connection_open_when_a_call_failed() -> None:
-    """Under -X dev the one line for scripts was followed by six of an unclosed socket."""
-    with ThreadingHTTPServer(("127.0.0.1", 0), NotThere) as api:
+def test_the_api_client_closes_its_connection_after_a_failed_call() -> None:
+    """With -X dev, an unclosed socket adds six lines of warnings to the one line of output for scripts."""
+    with ThreadingHTTPServer(("127.0.0.1", 0), NotFoundHandler) as api:
         api.daemon_threads = True
         Thread(target=api.serve_forever, daemon=True).start()
         done = subprocess.run(
