--- a/tests/test_stood_still.py
+++ b/tests/test_stood_still.py
@@ -1,4 +1,4 @@
-"""A process that stood still (SIGSTOP, or a turn that lasts): what came meanwhile goes before what it does next."""
+"""After a pause of the process (SIGSTOP or a long turn), input that arrived meanwhile is handled before new hops."""
 
 import os
 import signal
@@ -19,56 +19,56 @@
 from tests.test_review_links import balancer_config, free_port, wait_until
 
 MS, SECOND = 1_000_000, 1_000_000_000
-GRACE = 0.5  # seconds
-LONG = [one | {"ServiceGoal": 4_000_000, "HardLimit": 5_000_000} for one in FACTS["Profiles"]]
+DRAIN_GRACE_SECONDS = 0.5
+SLOW_PROFILES = [one | {"ServiceGoal": 4_000_000, "HardLimit": 5_000_000} for one in FACTS["Profiles"]]
 
 
-def test_a_poll_that_comes_back_late_tells_of_what_came_while_the_process_stood_still() -> None:
-    turn, now = LoopTiming(60 * MS), SECOND
-    turn.begins(now, now - 50 * MS, 250 * MS)
-    assert not turn.stood_still(now)
-    turn.begins(now + 2 * SECOND, now + MS, 250 * MS)
-    assert turn.stood_still(now + 2 * SECOND)
-    assert turn.unread(now + 2 * SECOND, 0) == 2 * SECOND - MS, "it may have come as soon as the poll was asked"
-    turn.begins(now + 2 * SECOND + 3 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
-    assert not turn.stood_still(now + 2 * SECOND + 3 * MS)
+def test_a_poll_that_returns_late_with_events_reports_a_pause_of_the_process() -> None:
+    timing, now = LoopTiming(60 * MS), SECOND
+    timing.begins(now, now - 50 * MS, 250 * MS)
+    assert not timing.stood_still(now)
+    timing.begins(now + 2 * SECOND, now + MS, 250 * MS)
+    assert timing.stood_still(now + 2 * SECOND)
+    assert timing.unread(now + 2 * SECOND, 0) == 2 * SECOND - MS, "bytes may have arrived as soon as the poll began"
+    timing.begins(now + 2 * SECOND + 3 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
+    assert not timing.stood_still(now + 2 * SECOND + 3 * MS)
 
 
-def test_a_poll_that_comes_back_late_with_nothing_leaves_it_to_the_next_one() -> None:
-    """As one does that a stop has interrupted, and whose time is over by then."""
-    turn, now = LoopTiming(60 * MS), SECOND
-    turn.begins(now, now, 250 * MS)
-    turn.begins(now + 2 * SECOND, now + MS, 250 * MS, False)
-    turn.begins(now + 2 * SECOND + 2 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
-    assert turn.stood_still(now + 2 * SECOND + 2 * MS)
-    assert turn.unread(now + 2 * SECOND + 2 * MS, 0) == 2 * SECOND + MS
-    turn.begins(now + 3 * SECOND, now + 2 * SECOND + 3 * MS, 2 * SECOND)
-    assert not turn.stood_still(now + 3 * SECOND)
+def test_a_poll_that_returns_late_without_events_defers_the_report_to_the_next_one() -> None:
+    """A stopped process causes this if the timeout of its poll passes meanwhile."""
+    timing, now = LoopTiming(60 * MS), SECOND
+    timing.begins(now, now, 250 * MS)
+    timing.begins(now + 2 * SECOND, now + MS, 250 * MS, False)
+    timing.begins(now + 2 * SECOND + 2 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
+    assert timing.stood_still(now + 2 * SECOND + 2 * MS)
+    assert timing.unread(now + 2 * SECOND + 2 * MS, 0) == 2 * SECOND + MS
+    timing.begins(now + 3 * SECOND, now + 2 * SECOND + 3 * MS, 2 * SECOND)
+    assert not timing.stood_still(now + 3 * SECOND)
 
 
-def test_nothing_is_owed_by_a_poll_that_had_to_wait_again() -> None:
-    turn, now = LoopTiming(60 * MS), SECOND
-    turn.begins(now, now, 250 * MS)
-    turn.begins(now + 2 * SECOND, now + MS, 250 * MS, False)
-    turn.begins(now + 2 * SECOND + 50 * MS, now + 2 * SECOND + MS, 250 * MS)
-    assert not turn.stood_still(now + 2 * SECOND + 50 * MS) and turn.unread(now + 2 * SECOND + 50 * MS, 0) == 0
+def test_the_report_is_dropped_if_the_next_poll_has_to_wait() -> None:
+    timing, now = LoopTiming(60 * MS), SECOND
+    timing.begins(now, now, 250 * MS)
+    timing.begins(now + 2 * SECOND, now + MS, 250 * MS, False)
+    timing.begins(now + 2 * SECOND + 50 * MS, now + 2 * SECOND + MS, 250 * MS)
+    assert not timing.stood_still(now + 2 * SECOND + 50 * MS) and timing.unread(now + 2 * SECOND + 50 * MS, 0) == 0
 
 
-def test_a_turn_that_lasts_is_one_in_which_the_process_stood_still_and_so_is_the_next() -> None:
-    turn, now = LoopTiming(60 * MS), SECOND
-    turn.begins(now, now, 250 * MS)
-    assert not turn.stood_still(now + STOOD) and turn.stood_still(now + STOOD + 1)
-    turn.begins(now + STOOD + 2 * MS, now + STOOD + MS, 250 * MS)
-    assert turn.stood_still(now + STOOD + 2 * MS)
+def test_a_long_turn_and_the_turn_after_it_count_as_a_pause() -> None:
+    timing, now = LoopTiming(60 * MS), SECOND
+    timing.begins(now, now, 250 * MS)
+    assert not timing.stood_still(now + STOOD) and timing.stood_still(now + STOOD + 1)
+    timing.begins(now + STOOD + 2 * MS, now + STOOD + MS, 250 * MS)
+    assert timing.stood_still(now + STOOD + 2 * MS)
 
 
-def test_a_poll_that_waits_for_ever_is_never_late() -> None:
-    turn = LoopTiming(60 * MS)
-    turn.begins(100 * SECOND, SECOND, -1)
-    assert not turn.stood_still(100 * SECOND) and turn.unread(100 * SECOND, 0) == 0
+def test_a_poll_without_a_timeout_is_never_late() -> None:
+    timing = LoopTiming(60 * MS)
+    timing.begins(100 * SECOND, SECOND, -1)
+    assert not timing.stood_still(100 * SECOND) and timing.unread(100 * SECOND, 0) == 0
 
 
-def test_a_hop_waits_for_the_next_poll_of_a_process_that_stood_still() -> None:
+def test_after_a_pause_a_hop_waits_for_the_next_poll() -> None:
     net = Net(hosts=2)
     net.dispatcher.stood_still = lambda now: True
     client = net.client()
@@ -82,7 +82,7 @@
     assert len(begun(net)) == 1 and "host 2" in begun(net)[0], net.trace
 
 
-def test_a_hop_whose_dial_came_up_while_the_process_stood_still_is_decided_on_anew() -> None:
+def test_a_hop_whose_connection_was_established_during_a_pause_is_routed_again() -> None:
     net = Net(hosts=2)
     client = net.client()
     client.feed(mg(1))
@@ -98,7 +98,7 @@
     assert len(begun(net)) == 1 and f"host {first[-1]}" not in begun(net)[0], net.trace
 
 
-def test_a_loop_that_is_late_in_each_turn_still_sends() -> None:
+def test_a_loop_that_is_late_in_every_turn_still_sends_hops() -> None:
     net = Net(hosts=2)
     net.dispatcher.stood_still = lambda now: True
     client = net.client()
@@ -113,7 +113,7 @@
         host.feed(b"VA 3 O%d h1\r\nval\r\n" % number)
 
 
-def test_a_hop_that_waits_for_the_next_poll_ends_with_its_client() -> None:
+def test_a_hop_that_waits_for_the_next_poll_is_dropped_if_its_client_leaves() -> None:
     net = Net()
     net.dispatcher.stood_still = lambda now: True
     client = net.client()
@@ -124,7 +124,7 @@
 
 
 class Discovery(ThreadedServer):
-    """Answers the first call at once, and holds each watch until it is told what to say."""
+    """Answers the first call at once and holds each watch until the test responds to it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -138,18 +138,21 @@
                 if line.startswith(b"GET") and b"index=" in line:
                     self.watches.append(client)
                 elif line.startswith(b"GET"):
-                    say(client, self.listed)
+                    respond(client, self.listed)
 
 
-def say(client: socket.socket, body: bytes) -> None:
+def respond(client: socket.socket, body: bytes) -> None:
     client.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
-def test_on_loopback_nothing_goes_to_a_host_whose_drain_was_told_while_the_process_was_stopped(tmp_path: Path) -> None:
+def test_no_hop_reaches_a_host_whose_drain_was_announced_while_the_process_was_stopped(tmp_path: Path) -> None:
     hosts, discovery, listen = (TurnsAway(), TurnsAway()), Discovery(), free_port()
     members = [member(n) | {"host_port": f"127.0.0.1:{one.port}"} for n, one in enumerate(hosts, 1)]
     discovery.listed = orjson.dumps({"revision": 1, "complete": True, "members": members})
-    settings = FACTS | {"Profiles": LONG, "Invariants": FACTS["Invariants"] | {"DrainGrace": int(GRACE * 1e6)}}
+    settings = FACTS | {
+        "Profiles": SLOW_PROFILES,
+        "Invariants": FACTS["Invariants"] | {"DrainGrace": int(DRAIN_GRACE_SECONDS * 1e6)},
+    }
     path = tmp_path / "told.json"
     known = orjson.loads(discovery.listed)
     path.write_bytes(orjson.dumps(balancer_config(listen, discovery.port, settings=settings, known=known)))
@@ -161,7 +164,7 @@
         wait_until(lambda: b"serves on" in (tmp_path / "log").read_bytes())
         with socket.create_connection(("127.0.0.1", listen), timeout=5) as client:
             key = ""
-            for number in range(100):  # a key that lives at the first host
+            for number in range(100):  # finds a key that is served by the first host
                 before = len(hosts[0].came)
                 client.sendall(mg(number, f"k{number}", ttl=4500))
                 assert client.recv(200).startswith(b"VA 1")
@@ -176,12 +179,12 @@
             before, watches = len(hosts[0].came), len(discovery.watches)
             client.sendall(mg(1000, key, ttl=4500))
             time.sleep(0.05)
-            say(discovery.watches[-1], drain)
-            time.sleep(GRACE + 0.3)
+            respond(discovery.watches[-1], drain)
+            time.sleep(DRAIN_GRACE_SECONDS + 0.3)
             process.send_signal(signal.SIGCONT)
             assert client.recv(200).startswith((b"VA 1", b"SERVER_ERROR busy"))
             wait_until(lambda: len(discovery.watches) > watches)
-            assert len(hosts[0].came) == before, "told 0.75 s ago that it drains"
+            assert len(hosts[0].came) == before, "the drain was announced while the process was stopped"
     finally:
         process.send_signal(signal.SIGCONT)
         process.kill()
