--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A process beside another: the listening socket that the platform holds, and what the two do to each other."""
+"""Two processes beside each other on an inherited listening socket, and errors of that socket."""
 
 import json
 import os
@@ -21,12 +21,12 @@
 
 
 class Platform:
-    """Holds the clients' listening socket and a common folder, and starts processes beside each other."""
+    """Holds the listening socket for clients and a shared folder, and starts processes that use them."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.started = folder, 0
-        self.common = folder / "common"
-        self.common.mkdir()
+        self.shared_folder = folder / "common"
+        self.shared_folder.mkdir()
         self.held = socket.create_server(("127.0.0.1", 0), backlog=256)
         self.held.set_inheritable(True)
         self.listen = self.held.getsockname()[1]
@@ -36,7 +36,7 @@
         self.started += 1
         return Process(self, self.started, **more)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         for process in self.processes:
             process.kill()
             process.wait()
@@ -44,6 +44,8 @@
 
 
 class Process:
+    """A balancer on the platform's socket, with a management address."""
+
     def __init__(self, platform: Platform, number: int, **more: Any) -> None:
         self.at, self.log = free_port(), platform.folder / f"log{number}"
         path = platform.folder / f"told{number}.json"
@@ -52,7 +54,7 @@
         )
         env = os.environ | {
             "EDGE_SOCKET_FD": str(platform.held.fileno()),
-            "TMPDIR": str(platform.common),
+            "TMPDIR": str(platform.shared_folder),
             "EDGE_CONFIG": str(path),
         }
         with open(self.log, "wb") as log:
@@ -76,10 +78,10 @@
     try:
         yield one
     finally:
-        one.end()
+        one.stop()
 
 
-def test_a_second_process_takes_over_and_no_connection_is_refused(tmp_path: Path) -> None:
+def test_a_second_process_takes_over_without_refusing_a_connection(tmp_path: Path) -> None:
     with platform(tmp_path) as held:
         old = held.start()
         wait_until(old.ready)
@@ -87,17 +89,17 @@
         wait_until(new.ready)
         assert hello_reply(held.listen) == b"MN\r\n"
         old.process.terminate()
-        # Whoever comes while the old one goes is taken by the new one, or by the old one and served.
+        # Clients that connect while the old process ends are served by either process.
         while old.process.poll() is None:
             assert hello_reply(held.listen) == b"MN\r\n"
         assert old.process.wait() == 0 and new.process.poll() is None
         for _ in range(20):
             assert hello_reply(held.listen) == b"MN\r\n"
-        # Two of them beside each other: what neither needs is not loaded, though it is installed here.
+        # Two processes share one memory limit: a package that neither needs is not loaded, though it is installed.
         assert "cryptography" not in Path(f"/proc/{new.process.pid}/maps").read_text()
         new.process.terminate()
         assert new.process.wait(10) == 0
-        # What none of them accepted waits in the platform's socket: no process has shut it down.
+        # Connections that no process accepts wait in the platform's socket, which no process has shut down.
         with closing(socket.create_connection(("127.0.0.1", held.listen), timeout=5)) as waits:
             waits.sendall(b"mn\r\n")
             third = held.start()
@@ -105,16 +107,16 @@
             assert waits.recv(10) == b"MN\r\n"
 
 
-def test_a_descriptor_that_is_no_listening_socket_at_the_address_is_named(tmp_path: Path) -> None:
-    where = Address("127.0.0.1", 9)
-    assert inherited_socket(where, {}) is None and inherited_socket(where, {"EDGE_SOCKET_FD": ""}) is None
+def test_a_descriptor_that_is_no_listening_socket_at_the_address_is_rejected(tmp_path: Path) -> None:
+    address = Address("127.0.0.1", 9)
+    assert inherited_socket(address, {}) is None and inherited_socket(address, {"EDGE_SOCKET_FD": ""}) is None
     with (
         open(tmp_path / "x", "w") as file,
         socket.socket() as plain,
         socket.create_server(("127.0.0.1", 0)) as listens,
         socket.socket(type=socket.SOCK_DGRAM) as datagrams,
     ):
-        for number, why in (
+        for number, message in (
             ("five", "a descriptor is wanted"),
             ("-1", "a descriptor is wanted"),
             ("9999", "can't be used"),
@@ -123,15 +125,15 @@
             (str(datagrams.fileno()), "no listening TCP socket"),
             (str(listens.fileno()), "and listen says 127.0.0.1:9"),
         ):
-            with pytest.raises(ConfigError, match=f"^EDGE_SOCKET_FD: .*{why}"):
-                inherited_socket(where, {"EDGE_SOCKET_FD": number})
+            with pytest.raises(ConfigError, match=f"^EDGE_SOCKET_FD: .*{message}"):
+                inherited_socket(address, {"EDGE_SOCKET_FD": number})
         right = Address("127.0.0.1", listens.getsockname()[1])
-        # What could not be used was not closed either.
+        # Rejected descriptors are not closed.
         found = inherited_socket(right, {"EDGE_SOCKET_FD": str(listens.fileno())})
         assert found is not None and found.detach() == listens.fileno()
 
 
-def test_it_starts_under_the_smallest_limits_and_keeps_to_them(tmp_path: Path) -> None:
+def test_a_process_starts_under_the_smallest_limits_and_keeps_to_them(tmp_path: Path) -> None:
     with platform(tmp_path) as held:
         small = held.start(limits={"cores": 0.5, "memory_mb": 72, "sockets": 96})
         wait_until(small.ready)
@@ -144,7 +146,7 @@
         wait_until(lambda: hello_reply(held.listen) == b"MN\r\n")
 
 
-def test_a_wrong_descriptor_ends_the_start_with_one_line(tmp_path: Path) -> None:
+def test_an_invalid_descriptor_ends_the_start_with_one_line(tmp_path: Path) -> None:
     path = tmp_path / "told.json"
     path.write_text(json.dumps(balancer_config(free_port(), free_port())))
     done = subprocess.run(
