--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one balancer: notes, slots, the split of limits, and an end at every step."""
+"""Two processes of one balancer during an upgrade: notes, slots, shared limits, and a kill at every step."""
 
 import errno
 import fcntl
@@ -40,7 +40,7 @@
 NOTE = Note(5, 100, True, "127.0.0.1:8500", 41, (LISTED,), {"usual": 1.5, "hosts": {}})
 
 
-def test_a_note_is_read_as_it_was_written_or_not_at_all() -> None:
+def test_a_note_is_decoded_as_encoded_or_rejected() -> None:
     data = encode_note(NOTE)
     assert decode_note(data) == NOTE
     for cut in range(len(data)):
@@ -48,10 +48,10 @@
             decode_note(data[:cut])
     random = Random(3)
     for _ in range(300):
-        spoilt = bytearray(data)
-        spoilt[random.randrange(len(data))] ^= 1 << random.randrange(8)
+        corrupt = bytearray(data)
+        corrupt[random.randrange(len(data))] ^= 1 << random.randrange(8)
         with pytest.raises(InvalidNoteError):
-            decode_note(bytes(spoilt))
+            decode_note(bytes(corrupt))
     with pytest.raises(InvalidNoteError, match="version"):
         decode_note(data.replace(b"handover 1", b"handover 2"))
     with pytest.raises(InvalidNoteError, match="mismatch"):
@@ -62,28 +62,28 @@
         encode_note(replace(NOTE, learned={"x": "y" * (1 << 20)}))
 
 
-def test_what_lies_in_the_folder_never_ends_a_start(tmp_path: Path) -> None:
+def test_unusable_files_in_the_folder_do_not_prevent_a_start(tmp_path: Path) -> None:
     first, second, third = Slots(tmp_path), Slots(tmp_path), Slots(tmp_path)
     assert first.acquire() and not first.other_held()
     assert second.acquire() and first.other_held() and second.other_held() and not third.acquire()
     assert second.read(0) is None
     first.write(NOTE)
-    assert second.read(5) == NOTE and second.read(6) is None  # not one from before
+    assert second.read(5) == NOTE and second.read(6) is None  # not an older one
     (tmp_path / f"{SLOT_NAMES[0]}.note").write_bytes(encode_note(NOTE)[:-3])
     assert second.read(0) is None
     (tmp_path / f"{SLOT_NAMES[0]}.note").unlink()
     (tmp_path / f"{SLOT_NAMES[0]}.note").mkdir()
     assert second.read(0) is None
-    first.write(NOTE)  # can't be renamed onto a folder: passed over, and nothing is left beside
+    first.write(NOTE)  # the rename onto a folder fails: ignored, and no temporary file is left
     assert not list(tmp_path.glob("*.new"))
     (tmp_path / f"{SLOT_NAMES[0]}.note").rmdir()
     first.write(NOTE)
     first.release()
     assert not second.other_held() and third.acquire() and second.other_held()
-    assert second.read(0) is None  # the note of who had that slot before is gone
+    assert second.read(0) is None  # the note of the slot's former process is gone
 
 
-def test_a_lock_ends_with_its_process_whatever_ends_it(tmp_path: Path) -> None:
+def test_a_lock_ends_with_its_process_even_if_that_is_killed(tmp_path: Path) -> None:
     code = (
         "import sys; sys.path.insert(0, '.'); from pathlib import Path; import time\n"
         "from ternquay.handover.slots import Slots\n"
@@ -98,25 +98,25 @@
         assert not mine.other_held()
 
 
-def test_the_two_ceilings_never_add_up_to_more_than_the_whole() -> None:
-    """Each acts on what it read of the other at its last look, in any order of looks."""
+def test_the_two_ceilings_never_add_up_to_more_than_the_total() -> None:
+    """Each process acts on what it last read of the other one, and they read in any order."""
     random = Random(7)
     for _ in range(300):
-        split = SocketCeilings(random.randrange(60, 900), 24)
-        first, second, told = split.alone(), split.successor(None), None
-        used, ending = random.randrange(split.alone()), False
+        ceilings = SocketCeilings(random.randrange(60, 900), 24)
+        first, second, written = ceilings.alone(), ceilings.successor(None), None
+        used, ending = random.randrange(ceilings.alone()), False
         for _ in range(40):
             if random.random() < 0.5:
-                first = split.predecessor(first, used, ending)
-                told = first  # only then is it told
+                first = ceilings.predecessor(first, used, ending)
+                written = first  # only now can the successor read it
             elif random.random() < 0.7:
-                second = split.successor(told)
+                second = ceilings.successor(written)
             used = min(first, max(0, used + random.randrange(-30, 10)))
             ending = ending or random.random() < 0.05
-            assert first + second <= split.total
+            assert first + second <= ceilings.total
 
 
-def test_what_was_learned_goes_over_by_names_and_half_of_what_is_borne_together() -> None:
+def test_measurements_are_handed_over_by_host_name_and_shared_rates_by_half() -> None:
     net = Net(hosts=2)
     client = net.client()
     for number in range(30):
@@ -130,8 +130,10 @@
         host.feed(va(number))
     old = net.dispatcher.balancer
     names = {index: name for name, index in net.dispatcher.hosts.items()}
-    told = encode_learned(old.learned(), names)
-    learned = decode_learned(told | {"hosts": told["hosts"] | {"unheard": told["hosts"]["h1"]}}, {"h1": 7, "h2": 3})
+    encoded = encode_learned(old.learned(), names)
+    learned = decode_learned(
+        encoded | {"hosts": encoded["hosts"] | {"unknown": encoded["hosts"]["h1"]}}, {"h1": 7, "h2": 3}
+    )
     assert learned is not None and {h.host for h in learned.hosts} == {7, 3}
     new = Balancer(replace(CONFIG, balancer_count=2))
     new.decide(T0, m.ListChanged(True, (listed_host(7), listed_host(3))))
@@ -143,10 +145,10 @@
     )
     assert new.origin_limit == max(new.min_origin_limit, old.origin_limit / 2)
     assert {h.mean_duration for h in new.hosts.values()} == {h.mean_duration for h in old.hosts.values()}
-    assert decode_learned({"hosts": 3}, {}) is None and decode_learned(told | {"more": 1}, {}) is None
+    assert decode_learned({"hosts": 3}, {}) is None and decode_learned(encoded | {"more": 1}, {}) is None
 
 
-def test_a_host_that_is_out_stays_out_for_what_was_left_of_it() -> None:
+def test_an_ejected_host_stays_ejected_for_the_remaining_time() -> None:
     new = Balancer(CONFIG)
     new.decide(T0, m.ListChanged(True, (listed_host(1), listed_host(2))))
     out = m.LearnedHost(1, 5e6, 0.0, 0, SECOND, SECOND // 2, True)
@@ -155,7 +157,7 @@
     assert not new._usable(new.hosts[1]) and new._usable(new.hosts[2])
 
 
-def test_a_cold_host_takes_half_from_each_while_there_are_two() -> None:
+def test_a_cold_host_takes_half_its_load_from_each_of_two_processes() -> None:
     net = Net(hosts=1)
     net.list(member(2, since=1_000_000))
     net.dispatcher.beside(0.5)
@@ -171,11 +173,11 @@
     }
 
 
-def test_the_second_takes_the_list_of_the_first_and_a_third_waits(tmp_path: Path) -> None:
+def test_the_successor_takes_over_the_host_list_and_a_third_process_waits(tmp_path: Path) -> None:
     with platform(tmp_path) as held:
         first = held.start(known={"revision": 9, "complete": True, "members": [member(1), member(2, "draining")]})
         wait_until(first.ready)
-        # An older list, without one host at all: what the first knows goes before it.
+        # Its configured list is older and has no hosts: the predecessor's list takes precedence.
         second = held.start(known={"revision": 3, "complete": True, "members": []})
         wait_until(second.ready)
         assert "another process of this balancer is running" in second.text() and "wrote no note" not in second.text()
@@ -189,14 +191,14 @@
         first.process.terminate()
         assert first.process.wait(10) == 0
         wait_until(third.ready)
-        # Two upgrades in a row: the second is now the older one.
+        # Two upgrades in a row: the second process is now the predecessor.
         second.process.terminate()
         assert second.process.wait(10) == 0 and hello_reply(held.listen) == b"MN\r\n"
         third.process.terminate()
         assert third.process.wait(10) == 0
 
 
-def test_either_may_be_killed_at_any_time(tmp_path: Path) -> None:
+def test_either_process_may_be_killed_at_any_time(tmp_path: Path) -> None:
     with platform(tmp_path) as held:
         old = held.start()
         wait_until(old.ready)
@@ -216,7 +218,7 @@
             old = new
 
 
-def test_of_a_drained_one_beside_a_new_one_no_question_gets_a_no(tmp_path: Path) -> None:
+def test_a_draining_process_answers_no_health_checks_while_another_one_serves(tmp_path: Path) -> None:
     with platform(tmp_path) as held:
         old = held.start()
         wait_until(old.ready)
@@ -225,14 +227,14 @@
         wait_until(new.ready)
         wait_until(lambda: all(hello_reply(held.listen) == b"MN\r\n" for _ in range(10)))
         assert http_status(old.at, READY) == 503
-        # The new one goes again: the drained one is asked again, and says no.
+        # The new process ends: the draining one answers again, with a refusal.
         new.process.kill()
         new.process.wait()
         wait_until(lambda: hello_reply(held.listen).startswith(b"SERVER_ERROR"))
 
 
 def test_an_upgrade_under_load_loses_nothing(tmp_path: Path) -> None:
-    """Clients that keep connections and clients with a new one for each: every one gets its answer, once."""
+    """Clients with persistent connections and with one connection per request get each response exactly once."""
     store = Store(5)
     where = member(1) | {"host_port": f"127.0.0.1:{store.port}"}
     known = {"revision": 1, "complete": True, "members": [where]}
@@ -240,12 +242,12 @@
     stop = threading.Event()
     with platform(tmp_path) as held:
 
-        def keeps(number: int) -> None:
+        def use_persistent_connection(number: int) -> None:
             client, count = socket.create_connection(("127.0.0.1", held.listen), timeout=10), 0
             while not stop.is_set():
                 count += 1
                 text = b"mg k9 v O%d.%d Pc=read,d=800\r\n" % (number, count)
-                for _ in range(2):  # a connection closed between two transactions: once more on a new one
+                for _ in range(2):  # if the connection was closed between two transactions, a retry on a new one
                     try:
                         client.sendall(text)
                         found = client.recv(1000)
@@ -262,7 +264,7 @@
                 time.sleep(0.01)
             client.close()
 
-        def comes(number: int) -> None:
+        def use_new_connections(number: int) -> None:
             count = 0
             while not stop.is_set():
                 count += 1
@@ -278,30 +280,32 @@
 
         one = held.start(known=known)
         wait_until(one.ready)
-        people = [threading.Thread(target=keeps, args=(n,)) for n in range(8)]
-        people += [threading.Thread(target=comes, args=(n,)) for n in range(8, 12)]
-        for each in people:
+        clients = [threading.Thread(target=use_persistent_connection, args=(n,)) for n in range(8)]
+        clients += [threading.Thread(target=use_new_connections, args=(n,)) for n in range(8, 12)]
+        for each in clients:
             each.start()
-        most = 0
+        max_descriptors = 0
         for _ in range(2):
             other = held.start(known=known)
             wait_until(other.ready)
             one.process.terminate()
             while one.process.poll() is None:
                 with suppress(OSError):
-                    most = max(most, sum(len(os.listdir(f"/proc/{x.process.pid}/fd")) for x in (one, other)))
+                    max_descriptors = max(
+                        max_descriptors, sum(len(os.listdir(f"/proc/{x.process.pid}/fd")) for x in (one, other))
+                    )
                 time.sleep(0.02)
             assert one.process.returncode == 0
             one = other
         time.sleep(0.3)
         stop.set()
-        for each in people:
+        for each in clients:
             each.join()
     assert not wrong, wrong[:3]
-    assert most <= 128  # what one balancer may have, for both
+    assert max_descriptors <= 128  # the limit of one balancer, for both processes
 
 
-def test_a_lock_is_not_taken_by_who_only_looks(tmp_path: Path) -> None:
+def test_checking_a_lock_does_not_acquire_it(tmp_path: Path) -> None:
     mine, other = Slots(tmp_path), Slots(tmp_path)
     assert mine.acquire()
     assert not mine.other_held() and not mine.other_held()
@@ -312,9 +316,7 @@
     os.close(handle)
 
 
-def test_locks_that_the_system_refuses_for_a_while_change_nothing_that_is_known(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_failing_lock_calls_do_not_change_the_known_state(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     first, second = Slots(tmp_path), Slots(tmp_path)
     assert first.acquire() and second.acquire() and first.other_held()
 
