--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""The operators' address: its calls, its bounds under callers that say nothing, a drain and the way back."""
+"""The management address: its requests, limits on silent callers, and a drain and its end."""
 
 import socket
 import time
@@ -19,12 +19,12 @@
 READY, OUT, BACK = "GET /control/ready", "POST /control/out-of-service", "POST /control/in-service"
 
 
-class Steps:
-    def __init__(self, why: str = "") -> None:
-        self.why, self.done = why, [""]
+class FakeService:
+    def __init__(self, reason: str = "") -> None:
+        self.reason, self.done = reason, [""]
 
     def not_ready_reason(self) -> str:
-        return self.why
+        return self.reason
 
     def out_of_service(self) -> str:
         self.done.append("out")
@@ -32,7 +32,7 @@
 
     def in_service(self) -> str:
         self.done.append("in")
-        return self.why
+        return self.reason
 
     def metrics(self) -> str:
         return "x 1"
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("call", "why", "status", "step"),
+    ("call", "reason", "status", "step"),
     [
         (READY, "", 200, ""),
         (READY, "ending", 503, ""),
@@ -60,13 +60,13 @@
         ("GET " + "/" * 600, "", 414, ""),
     ],
 )
-def test_each_call_has_one_answer(call: str, why: str, status: int, step: str) -> None:
-    steps = Steps(why)
-    assert respond(steps, *call.split(" "))[0] == status and steps.done[-1] == step
+def test_each_request_has_one_response(call: str, reason: str, status: int, step: str) -> None:
+    service = FakeService(reason)
+    assert respond(service, *call.split(" "))[0] == status and service.done[-1] == step
 
 
 def exchange(port: int, text: bytes) -> bytes:
-    """All that comes back until the connection ends, b"" for nothing."""
+    """Sends bytes and returns all bytes received until the connection ends."""
     with closing(socket.create_connection(("127.0.0.1", port), timeout=10)) as caller:
         caller.sendall(text)
         found = b""
@@ -77,17 +77,18 @@
 
 
 def http_status(port: int, text: str) -> int:
-    """The status of one call."""
+    """Sends one request and returns the status of the response."""
     return int(exchange(port, f"{text} HTTP/1.1\r\nHost: x\r\n\r\n".encode()).split(b" ")[1])
 
 
 def hello_reply(port: int) -> bytes:
+    """Returns the reply to an `mn` command."""
     with closing(socket.create_connection(("127.0.0.1", port), timeout=10)) as client:
         client.sendall(b"mn\r\n")
         return client.recv(100)
 
 
-def test_what_is_no_call_gets_an_answer_and_a_close(tmp_path: Path) -> None:
+def test_invalid_requests_get_an_error_response_and_are_closed(tmp_path: Path) -> None:
     at = free_port()
     with serving(balancer_config(free_port(), free_port(), management=f"127.0.0.1:{at}"), tmp_path) as process:
         for text, status in (
@@ -106,23 +107,23 @@
             ),
         ):
             assert exchange(at, text).startswith(b"HTTP/1.1 " + status), text[:60]
-        # A second call behind the first is not read.
+        # A pipelined second request is not read.
         assert exchange(at, b"GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n" * 2).count(b"HTTP/1.1") == 1
         assert http_status(at, READY) == 200 and process.poll() is None
         assert "Traceback" not in (tmp_path / "log").read_text()
 
 
-def test_callers_that_say_nothing_and_a_flood_of_clients_hold_up_no_call(tmp_path: Path) -> None:
+def test_silent_callers_and_a_flood_of_clients_do_not_delay_requests(tmp_path: Path) -> None:
     at, listen = free_port(), free_port()
     with serving(balancer_config(listen, free_port(), management=f"127.0.0.1:{at}"), tmp_path) as process:
         silent = [socket.create_connection(("127.0.0.1", at), timeout=10) for _ in range(30)]
         for one in silent[::2]:
-            with suppress(ConnectionResetError):  # the oldest have gone for the last
+            with suppress(ConnectionResetError):  # the oldest connections were closed for the latest ones
                 one.sendall(b"GET /control/re")
         crowd = [socket.create_connection(("127.0.0.1", listen), timeout=10) for _ in range(150)]
         for _ in range(5):
             assert http_status(at, READY) == 200
-        # The half calls end by themselves, and the descriptors stay under what was told.
+        # Incomplete requests are closed, and the number of descriptors stays below the limit.
         for one in silent:
             one.settimeout(10)
             with suppress(ConnectionResetError):
@@ -135,7 +136,7 @@
         assert http_status(at, READY) == 200
 
 
-def test_a_drain_says_no_at_once_closes_what_rests_and_goes_back(tmp_path: Path) -> None:
+def test_a_drain_refuses_at_once_closes_idle_clients_and_can_be_ended(tmp_path: Path) -> None:
     at, listen = free_port(), free_port()
     with serving(balancer_config(listen, free_port(), management=f"127.0.0.1:{at}"), tmp_path) as process:
         resting = socket.create_connection(("127.0.0.1", listen), timeout=10)
@@ -147,15 +148,15 @@
         assert hello_reply(listen) == meta.OUT_OF_SERVICE
         assert resting.recv(100) == b""
         time.sleep(0.1)
-        assert hello_reply(listen) == meta.OUT_OF_SERVICE  # it goes on saying no
-        assert half.recv(100) == OVERDUE + b"\r\n" and half.recv(100) == b""  # its request was not whole in time
+        assert hello_reply(listen) == meta.OUT_OF_SERVICE  # it still refuses
+        assert half.recv(100) == OVERDUE + b"\r\n" and half.recv(100) == b""  # its request was not complete in time
         assert process.poll() is None
         assert (
             http_status(at, BACK) == http_status(at, BACK) == 200
             and http_status(at, READY) == 200
             and hello_reply(listen) == meta.HELLO
         )
-        # Out, in and out again: the steps of the first drain are not those of the last.
+        # Out, in, out and in again: the timers of the first drain do not act on a later state.
         for text in (OUT, BACK, OUT, BACK):
             assert http_status(at, text) == 200
         stays = socket.create_connection(("127.0.0.1", listen), timeout=10)
@@ -164,7 +165,7 @@
         time.sleep(3.5)
         stays.sendall(b"mn\r\n")
         assert stays.recv(100) == meta.HELLO
-        # The end during a drain.
+        # A shutdown during a drain.
         assert http_status(at, OUT) == 200
         process.terminate()
         wait_until(lambda: b"shutdown requested" in (tmp_path / "log").read_bytes())
@@ -172,14 +173,14 @@
         assert process.wait(10) == 0
 
 
-def test_what_is_open_at_a_drain_is_finished_and_what_comes_late_is_served_and_closed() -> None:
+def test_a_drain_finishes_open_requests_and_closes_late_clients_after_their_response() -> None:
     net = Net()
     busy, idle, written = net.client(), net.client(), net.client()
     busy.feed(mg(1) + mg(2))
     idle.feed(b"mn\r\n")
     written.feed(b"mn\r\n")
     first, second = net.accept(), net.accept()
-    written.unread = b"m"  # it has written, and that was not read yet
+    written.unread = b"m"  # bytes have arrived but were not read yet
     net.frontend.hello = meta.OUT_OF_SERVICE
     net.frontend.leave(net.limits.new_client_grace)
     net.take()
@@ -193,7 +194,7 @@
     assert busy.lost
     late, silent = net.client(), net.client()
     net.run(300)
-    assert not late.lost  # it has just come and is about to write
+    assert not late.lost  # it has just connected and may be about to send
     late.feed(mg(3))
     [w for w in net.wires if w.name.startswith("host") and not w.lost][-1].feed(va(3))
     assert late.lost
@@ -202,7 +203,7 @@
     net.matches("net_out_of_service")
 
 
-def test_at_the_end_of_a_drain_half_a_command_is_cut_off_and_an_open_one_is_not() -> None:
+def test_the_end_of_a_drain_closes_incomplete_commands_but_not_open_transactions() -> None:
     net = Net(limits={"new_client_grace": 100_000_000})
     half, busy = net.client(), net.client()
     half.feed(b"mg k v")
@@ -217,26 +218,26 @@
     assert half.lost and not busy.lost and not moving.lost
 
 
-def test_the_address_comes_from_the_file_or_else_the_environment(tmp_path: Path) -> None:
+def test_the_management_address_comes_from_the_file_or_else_the_environment(tmp_path: Path) -> None:
     import json
 
     path = tmp_path / "x.json"
 
-    def launched(env: dict[str, str], **more: Any) -> Any:
+    def read(env: dict[str, str], **more: Any) -> Any:
         path.write_text(json.dumps(balancer_config(1, 2) | more))
         return read_config(str(path), env)
 
-    assert launched({}).management is None
-    assert str(launched({"EDGE_MANAGEMENT": "127.0.0.1:9"}).management) == "127.0.0.1:9"
-    both = launched({"EDGE_MANAGEMENT": "127.0.0.1:9"}, management="127.0.0.1:8")
+    assert read({}).management is None
+    assert str(read({"EDGE_MANAGEMENT": "127.0.0.1:9"}).management) == "127.0.0.1:9"
+    both = read({"EDGE_MANAGEMENT": "127.0.0.1:9"}, management="127.0.0.1:8")
     assert str(both.management) == "127.0.0.1:8"
-    # What is set aside for operators is not the clients' nor the cache hosts'.
+    # Sockets reserved for management are not available to clients or cache hosts.
     assert both.limits.sockets + both.limits.spare + both.limits.management_connections + 3 + 16 == 128
     with pytest.raises(ConfigError, match="^management: an address and a port are wanted"):
-        launched({}, management="here:80")
+        read({}, management="here:80")
 
 
-def test_no_cache_host_is_known_is_not_ready(tmp_path: Path) -> None:
+def test_a_process_without_cache_hosts_is_not_ready(tmp_path: Path) -> None:
     at = free_port()
     empty = {"revision": 1, "complete": True, "members": []}
     with serving(balancer_config(free_port(), free_port(), management=f"127.0.0.1:{at}", known=empty), tmp_path):
