--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail, in the program as it is started: rig/system_calls.py makes them."""
+"""Failing system calls in a running process, injected by rig/system_calls.py."""
 
 import errno
 import os
@@ -26,11 +26,11 @@
 from tests.test_net import mg
 from tests.test_review_links import balancer_config, free_port, wait_until
 
-LASTS = 1.0  # seconds in which calls fail, from the first attempt on
-# For one that fails all the time: with a pause after each some 20 a second, without one many thousands.
-OFTEN = 200
-FOR_WANT_OF_ROOM = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM")
-OF_ONE_CONNECTION = (
+FAILURE_SECONDS = 1.0  # how long calls fail, from the first attempt on
+# For calls that always fail: with a pause after each there are some 20 per second, without one many thousands.
+MAX_FAILURES = 200
+RESOURCE_ERRORS = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM")
+CONNECTION_ERRORS = (
     "ECONNABORTED",
     "EPROTO",
     "EHOSTUNREACH",
@@ -48,7 +48,7 @@
 
 @dataclass
 class Running:
-    """The program under a plan of failing calls."""
+    """A balancer's process under a plan of failing calls."""
 
     process: "subprocess.Popen[bytes]"
     port: int
@@ -64,7 +64,7 @@
 
 @contextmanager
 def running(folder: Path, *faults: CallFault) -> Iterator[Running]:
-    """Started as deploy/balancer.toml does it, with one cache host."""
+    """Runs a process as deploy/balancer.toml does, with one cache host."""
     store, listen, path = Store(3), free_port(), folder / "told.json"
     known = {"revision": 1, "complete": True, "members": [member(1) | {"host_port": f"127.0.0.1:{store.port}"}]}
     path.write_bytes(orjson.dumps(balancer_config(listen, free_port(), known=known)))
@@ -81,8 +81,8 @@
         process.wait()
 
 
-def asked(port: int, number: int = 1) -> bytes:
-    """One read on a connection of its own; b"" if that ends without an answer."""
+def request(port: int, number: int = 1) -> bytes:
+    """Sends one read on a new connection and returns the response, b"" if the connection ends without one."""
     with socket.create_connection(("127.0.0.1", port), timeout=10) as client:
         try:
             client.sendall(mg(number, key="k9"))
@@ -91,19 +91,19 @@
             return b""
 
 
-@pytest.mark.parametrize("error", FOR_WANT_OF_ROOM)
-def test_a_listener_pauses_while_there_is_no_room_and_then_serves_who_waited(tmp_path: Path, error: str) -> None:
-    with running(tmp_path, CallFault("accept", error, end=LASTS + 1.5)) as one:
+@pytest.mark.parametrize("error", RESOURCE_ERRORS)
+def test_accepting_pauses_for_want_of_resources_and_then_serves_waiting_clients(tmp_path: Path, error: str) -> None:
+    with running(tmp_path, CallFault("accept", error, end=FAILURE_SECONDS + 1.5)) as one:
         time.sleep(1.5)
         before = one.cpu()
-        assert asked(one.port).startswith((b"VA 9 O1", b"SERVER_ERROR busy"))  # it waited, and was not closed unread
-        assert 0 < struck(tmp_path)[f"accept {error}"] < OFTEN and one.cpu() - before < 0.5
+        assert request(one.port).startswith((b"VA 9 O1", b"SERVER_ERROR busy"))  # the client waited and was not closed
+        assert 0 < struck(tmp_path)[f"accept {error}"] < MAX_FAILURES and one.cpu() - before < 0.5
         assert one.log().count(f"accept failed: {error}") == 1 and "Traceback" not in one.log()
         assert one.process.poll() is None
 
 
-def test_a_call_that_fails_for_want_of_room_now_and_then_holds_nobody_up(tmp_path: Path) -> None:
-    """A pause begins short, and grows only while nothing is accepted in between."""
+def test_occasional_resource_errors_do_not_delay_clients(tmp_path: Path) -> None:
+    """The pause is short at first and grows only while no connection is accepted."""
     with running(tmp_path, CallFault("accept", "ENFILE", rate=0.2)) as one:
         began = time.monotonic()
         with ExitStack() as waiting:
@@ -116,22 +116,22 @@
         assert time.monotonic() - began < 0.8 and struck(tmp_path)["accept ENFILE"] > 10
 
 
-def test_connections_that_fail_one_after_the_other_do_not_spin_the_loop(tmp_path: Path) -> None:
+def test_consecutive_failed_connections_do_not_spin_the_loop(tmp_path: Path) -> None:
     with running(tmp_path, CallFault("accept", "EPROTO", end=2.5)) as one:
         began = time.monotonic()
-        assert asked(one.port).startswith((b"VA 9", b"SERVER_ERROR busy"))
+        assert request(one.port).startswith((b"VA 9", b"SERVER_ERROR busy"))
         assert time.monotonic() - began > 0.2  # it failed until then
-        assert struck(tmp_path)["accept EPROTO"] < OFTEN and one.cpu() < 2.0
+        assert struck(tmp_path)["accept EPROTO"] < MAX_FAILURES and one.cpu() < 2.0
 
 
-def test_bytes_that_the_system_refuses_for_a_while_do_not_spin_the_loop(tmp_path: Path) -> None:
+def test_refused_writes_do_not_spin_the_loop(tmp_path: Path) -> None:
     with running(tmp_path, CallFault("send", "ENOBUFS", start=1.0, end=2.5)) as one:
         time.sleep(1.0)
         before = one.cpu()
-        asked(one.port)
+        request(one.port)
         time.sleep(1.0)
-        assert 0 < struck(tmp_path)["send ENOBUFS"] < 3 * OFTEN and one.cpu() - before < 0.5
-        assert asked(one.port, 2).startswith((b"VA 9 O2", b"SERVER_ERROR busy"))
+        assert 0 < struck(tmp_path)["send ENOBUFS"] < 3 * MAX_FAILURES and one.cpu() - before < 0.5
+        assert request(one.port, 2).startswith((b"VA 9 O2", b"SERVER_ERROR busy"))
 
 
 @pytest.mark.parametrize(
@@ -144,63 +144,61 @@
         ("socket", "EMFILE"),
     ],
 )
-def test_a_listening_socket_that_can_not_be_made_for_a_moment_is_made_later(
-    tmp_path: Path, call: str, error: str
-) -> None:
+def test_a_listening_socket_that_can_not_be_created_is_retried(tmp_path: Path, call: str, error: str) -> None:
     with running(tmp_path, CallFault(call, error, end=1.5)) as one:  # type: ignore[arg-type]
-        assert asked(one.port).startswith((b"VA 9", b"SERVER_ERROR busy"))
+        assert request(one.port).startswith((b"VA 9", b"SERVER_ERROR busy"))
         assert "can't listen yet" in one.log() and "Traceback" not in one.log()
 
 
-class Refusing:
-    """An epoll object that takes nothing while it is full."""
+class FullEpoll:
+    """An epoll object that refuses registrations while it is full."""
 
     def __init__(self) -> None:
-        self.full, self.known, self.waited = True, dict[int, int](), 0.0
+        self.full, self.registered, self.timeout = True, dict[int, int](), 0.0
 
     def register(self, descriptor: int, events: int) -> None:
         if self.full:
             raise OSError(errno.ENOSPC, "full")
-        self.known[descriptor] = events
+        self.registered[descriptor] = events
 
     modify = register
 
     def unregister(self, descriptor: int) -> None:
-        del self.known[descriptor]
+        del self.registered[descriptor]
 
     def poll(self, timeout: float, most: int = -1) -> list[tuple[int, int]]:
-        self.waited = timeout
+        self.timeout = timeout
         return []
 
     def close(self) -> None:
         pass
 
 
-def test_what_the_system_does_not_register_is_registered_once_it_can() -> None:
-    real = Refusing()
+def test_refused_registrations_are_retried() -> None:
+    real = FullEpoll()
     poller = RetryingPoller(real)
     poller.register(3, 1)
     poller.modify(3, 5)
     poller.register(4, 1)
-    poller.unregister(4)  # closed before the system ever knew it
+    poller.unregister(4)  # closed before it was registered
     poller.poll(-1.0)
-    assert real.known == {} and 0 < real.waited < 0.1
+    assert real.registered == {} and 0 < real.timeout < 0.1
     real.full = False
     poller.poll(-1.0)
-    assert real.known == {3: 5}
+    assert real.registered == {3: 5}
     real.full = True
     poller.modify(3, 7)
     poller.poll(0.001)
-    assert real.known == {3: 5} and real.waited == 0.001
+    assert real.registered == {3: 5} and real.timeout == 0.001
     real.full = False
     poller.poll(2.0)
     poller.poll(2.0)
-    assert real.known == {3: 7} and real.waited == 2.0
+    assert real.registered == {3: 7} and real.timeout == 2.0
     poller.unregister(3)
-    assert real.known == {}
+    assert real.registered == {}
 
 
-def test_an_error_that_the_library_has_dealt_with_is_one_warning(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_error_that_twisted_has_handled_is_logged_once_as_a_warning(capsys: pytest.CaptureFixture[str]) -> None:
     logger.remove()
     logger.add(sys.stderr, format="{level} {message}")
     observer = TwistedLogObserver()
@@ -215,10 +213,10 @@
     assert lines[1].startswith("ERROR uncaught: ") and sum("TCP_NODELAY" in line for line in lines) == 1
 
 
-@pytest.mark.parametrize("error", OF_ONE_CONNECTION)
-def test_an_error_of_one_connection_costs_no_other(tmp_path: Path, error: str) -> None:
+@pytest.mark.parametrize("error", CONNECTION_ERRORS)
+def test_an_accept_error_of_one_connection_affects_no_other(tmp_path: Path, error: str) -> None:
     with running(tmp_path, CallFault("accept", error, rate=0.5)) as one:
-        answers = [asked(one.port, number) for number in range(12)]
+        answers = [request(one.port, number) for number in range(12)]
         assert all(text.startswith((b"VA 9", b"SERVER_ERROR busy")) for text in answers), answers
         assert struck(tmp_path)[f"accept {error}"] > 0
         assert one.log().count(f"accept failed: {error}") == 1 and "Traceback" not in one.log()
@@ -246,14 +244,14 @@
         ("epoll_ctl", "ENOSPC"),
     ],
 )
-def test_calls_on_a_connection_that_fail_for_a_while_end_nothing_else(tmp_path: Path, call: str, error: str) -> None:
+def test_failing_calls_on_connections_affect_nothing_else(tmp_path: Path, call: str, error: str) -> None:
     with running(tmp_path, CallFault(call, error, end=2.0, rate=0.3)) as one:  # type: ignore[arg-type]
-        over = time.monotonic() + 2.0
+        failures_end = time.monotonic() + 2.0
         for number in range(40):
-            asked(one.port, number)
+            request(one.port, number)
         assert struck(tmp_path)[f"{call} {error}"] > 0
-        time.sleep(max(0.0, over - time.monotonic()))  # no call fails any more
-        assert asked(one.port, 100).startswith((b"VA 9 O100", b"SERVER_ERROR busy"))
+        time.sleep(max(0.0, failures_end - time.monotonic()))  # from here on no call fails
+        assert request(one.port, 100).startswith((b"VA 9 O100", b"SERVER_ERROR busy"))
         assert "Traceback" not in one.log() and "k9" not in one.log() and one.process.poll() is None, one.log()
 
 
@@ -268,7 +266,7 @@
         ("x=", "plan.toml"),
     ],
 )
-def test_a_plan_that_can_not_be_used_is_named(tmp_path: Path, text: str, named: str) -> None:
+def test_an_invalid_plan_is_rejected_with_the_field(tmp_path: Path, text: str, named: str) -> None:
     path = tmp_path / "plan.toml"
     path.write_text(text + "\n")
     with pytest.raises(DayError) as found:
