--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -1,4 +1,4 @@
-"""Bad input at a start and while it serves: one line names it, what is in force stays, each open tx is answered."""
+"""Invalid input at a start and while serving: one line names the field, and the state in force is unchanged."""
 
 import json
 import subprocess
@@ -37,7 +37,7 @@
     return {"known": {"revision": 1, "complete": True, "members": list(members)} | changed}
 
 
-ODD_FACTS: list[tuple[dict[str, Any], str]] = [
+INVALID_SETTINGS: list[tuple[dict[str, Any], str]] = [
     (settings(Balancers=0), "settings: Balancers"),
     (settings(Balancers=-2), "settings: Balancers"),
     (settings(Balancers="2"), "settings: Balancers"),
@@ -68,7 +68,7 @@
     ({"discovery": "somewhere.test:80"}, "discovery"),
     ({"limits": {"memory_mb": 96, "sockets": 10**400}}, "EDGE_CONFIG"),
 ]
-ODD_LISTS: list[tuple[dict[str, Any], str]] = [
+INVALID_LISTS: list[tuple[dict[str, Any], str]] = [
     (known(member(1), member(2) | {"id": "h1"}), "known.members[1].id"),
     (known(member(1) | {"id": ""}), "known.members[0].id"),
     (known(member(1) | {"id": None}), "known.members[0].id"),
@@ -90,8 +90,8 @@
 ]
 
 
-@pytest.mark.parametrize(("change", "named"), ODD_FACTS + ODD_LISTS)
-def test_at_a_start_one_line_names_the_field(tmp_path: Path, change: dict[str, Any], named: str) -> None:
+@pytest.mark.parametrize(("change", "named"), INVALID_SETTINGS + INVALID_LISTS)
+def test_a_start_with_an_invalid_field_names_it_in_one_line(tmp_path: Path, change: dict[str, Any], named: str) -> None:
     path = tmp_path / "told.json"
     path.write_text(json.dumps(TOLD | change))
     result = CliRunner().invoke(app, ["check", "--config", str(path)])
@@ -99,7 +99,7 @@
     assert named in result.output and len(result.output) < 400
 
 
-def test_a_start_with_a_file_cut_off_ends_with_status_2(tmp_path: Path) -> None:
+def test_a_start_with_a_truncated_file_ends_with_status_2(tmp_path: Path) -> None:
     path, whole = tmp_path / "told.json", orjson.dumps(TOLD)
     for cut in range(len(whole)):
         path.write_bytes(whole[:cut])
@@ -119,7 +119,7 @@
 
 
 def started(net: Net, path: Path, monkeypatch: pytest.MonkeyPatch) -> tuple[Service, Agent]:
-    """A service over the net's reactor, whose discovery answers by hand."""
+    """Starts a service on the reactor of `net`. The test answers the calls to discovery."""
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     path.write_bytes(orjson.dumps(TOLD))
@@ -129,7 +129,7 @@
     return service, agent
 
 
-def test_while_it_serves_a_bad_file_changes_nothing_and_open_ones_are_answered(
+def test_a_reload_of_an_invalid_file_changes_nothing_and_open_requests_are_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     net, path, lines = Net(), tmp_path / "told.json", []
@@ -137,8 +137,8 @@
     handler = logger.add(lambda text: lines.append(str(text)), format="{level} {message}")
     client, whole = net.client(), orjson.dumps(TOLD | {"discovery": "127.0.0.1:8600"})
     bad = [whole[:cut] for cut in range(0, len(whole), 7)]
-    bad += [json.dumps(TOLD | change).encode() for change, _ in ODD_FACTS]
-    # The net's clock stands still between; each reload falls into a transaction that is out.
+    bad += [json.dumps(TOLD | change).encode() for change, _ in INVALID_SETTINGS]
+    # The clock stands still, so each reload takes place while a transaction is open.
     for n, told in enumerate(bad):
         client.feed(mg(n))
         host = net.wires[-1] if not net.reactor.tcpClients else net.accept()
@@ -153,7 +153,7 @@
     assert len(answers) == len(bad) and not service.dispatcher.txs
 
 
-def test_two_reloads_at_once_and_a_discovery_that_never_answers_leave_what_is_in_force(
+def test_reloads_with_a_discovery_that_never_answers_keep_the_host_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     net, path = Net(), tmp_path / "told.json"
@@ -167,14 +167,14 @@
     net.accept().feed(va(1))
     net.run(30_000)
     assert "client 0 < b'VA 3 O1" in "".join(net.trace) and len(service.pool.hosts) == 1
-    assert 4 <= len(agent.calls) <= 12  # it goes on asking the new one, more and more rarely
+    assert 4 <= len(agent.calls) <= 12  # it keeps calling the new address at growing intervals
     service.end()
     path.write_bytes(orjson.dumps(TOLD))
     service.reload()
     assert service.config.discovery.port == 8600
 
 
-# ---- lists while it serves ----
+# ---- lists while serving ----
 
 
 def followed(net: Net, monkeypatch: pytest.MonkeyPatch) -> tuple[Discovery, Agent]:
@@ -186,26 +186,26 @@
     return watch, agent
 
 
-def told(revision: int, *members: Any, complete: Any = True) -> Response:
+def list_response(revision: int, *members: Any, complete: Any = True) -> Response:
     return Response(200, json.dumps({"revision": revision, "complete": complete, "members": list(members)}).encode())
 
 
-def until_asked(net: Net, agent: Agent, many: int) -> None:
+def run_until_called(net: Net, agent: Agent, many: int) -> None:
     for _ in range(200):
         if len(agent.calls) >= many:
             return
         net.run(50)
-    raise AssertionError(f"asked {len(agent.calls)} times")
+    raise AssertionError(f"called {len(agent.calls)} times")
 
 
-@pytest.mark.parametrize(("change", "named"), ODD_LISTS)
-def test_a_bad_list_is_named_changes_nothing_and_the_next_one_mends_it(
+@pytest.mark.parametrize(("change", "named"), INVALID_LISTS)
+def test_an_invalid_list_is_logged_changes_nothing_and_is_superseded_by_the_next(
     monkeypatch: pytest.MonkeyPatch, change: dict[str, Any], named: str
 ) -> None:
     net, lines = Net(), []
     handler = logger.add(lambda text: lines.append(str(text)), format="{level} {message}")
     _, agent = followed(net, monkeypatch)
-    agent.calls[0].callback(told(5, member(1), member(2)))
+    agent.calls[0].callback(list_response(5, member(1), member(2)))
     client = net.client()
     client.feed(mg(1))
     before = dict(net.dispatcher.hosts)
@@ -214,46 +214,46 @@
     logger.remove(handler)
     assert net.dispatcher.hosts == before and "client 0 < b'VA 3 O1" in "".join(net.trace)
     assert sum(named.replace("known.", "") in text for text in lines) == 1, lines
-    until_asked(net, agent, 3)
+    run_until_called(net, agent, 3)
     asked = [one for one in net.trace if " GET " in one]
-    assert asked[-1].endswith("/api/targets")  # the whole list, as what changed may be lost
-    agent.calls[2].callback(told(7, member(3)))
+    assert asked[-1].endswith("/api/targets")  # a request for the complete list, as changes may be lost
+    agent.calls[2].callback(list_response(7, member(3)))
     assert set(net.dispatcher.hosts) == {"h3"}
 
 
-def test_an_older_revision_changes_nothing_and_a_discovery_that_went_back_is_believed_when_asked_anew(
+def test_an_older_revision_is_rejected_but_accepted_in_a_new_complete_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     net = Net()
     watch, agent = followed(net, monkeypatch)
-    agent.calls[0].callback(told(9, member(1), member(2)))
-    agent.calls[1].callback(told(4, member(1, "draining"), complete=False))
+    agent.calls[0].callback(list_response(9, member(1), member(2)))
+    agent.calls[1].callback(list_response(4, member(1, "draining"), complete=False))
     assert (
         watch.revision == -1 and net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].status is m.HostStatus.READY
     )
-    until_asked(net, agent, 3)
-    agent.calls[2].callback(told(4, member(1, "draining"), member(2)))
+    run_until_called(net, agent, 3)
+    agent.calls[2].callback(list_response(4, member(1, "draining"), member(2)))
     assert watch.revision == 4
     assert net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].status is m.HostStatus.DRAINING
 
 
 @pytest.mark.parametrize("stays", [True, False])
-def test_a_list_that_could_not_be_taken_is_told_again(monkeypatch: pytest.MonkeyPatch, stays: bool) -> None:
+def test_a_list_that_could_not_be_applied_is_requested_again(monkeypatch: pytest.MonkeyPatch, stays: bool) -> None:
     net = Net()
     watch, agent = followed(net, monkeypatch)
-    agent.calls[0].callback(told(5, member(1)))
+    agent.calls[0].callback(list_response(5, member(1)))
     with monkeypatch.context() as broken:
         broken.setattr(net.pool, "listed", lambda *_: 1 / 0)
-        agent.calls[1].callback(told(6, member(2), complete=False))
-    until_asked(net, agent, 3)
+        agent.calls[1].callback(list_response(6, member(2), complete=False))
+    run_until_called(net, agent, 3)
     assert not any("index=6" in one for one in net.trace)
-    agent.calls[2].callback(told(6, member(1), *([member(2)] if stays else [])))
+    agent.calls[2].callback(list_response(6, member(1), *([member(2)] if stays else [])))
     assert watch.revision == 6
     left = {"h1", "h2"} if stays else {"h1"}
     assert set(net.dispatcher.hosts) == left and len(net.dispatcher.balancer.hosts) == len(net.pool.hosts) == len(left)
 
 
-def test_a_whole_list_that_is_empty_counts_as_told_and_the_next_one_mends_it() -> None:
+def test_an_empty_complete_list_is_applied_and_superseded_by_the_next() -> None:
     net = Net(hosts=2)
     first, client = net.client(), net.client()
     first.feed(mg(1))
@@ -272,8 +272,8 @@
     assert "VA 3 O4" in net.trace[-1] and not net.dispatcher.txs
 
 
-def test_a_host_that_was_gone_and_is_told_again_gets_its_keys_back() -> None:
-    """Under the same index, as a caller may keep it: the record is a new one, the order of a group held the old."""
+def test_a_host_that_was_gone_and_is_listed_again_gets_its_keys_back() -> None:
+    """The host returns under the same index. Its record is new, while the order of a group referred to the old one."""
     play = Scenario(hosts=3)
     tx = play.arrive("a")
     home = play.hops[tx][0]
@@ -283,7 +283,7 @@
     assert play.hops[play.arrive("a")] == [home]
 
 
-def test_weights_that_change_give_the_orders_of_a_fresh_start() -> None:
+def test_changed_weights_give_the_same_host_orders_as_a_fresh_start() -> None:
     def weighed(*hints: float) -> tuple[m.ListedHost, ...]:
         return tuple(m.ListedHost(n, f"h{n}", 0, 0, 0, m.HostStatus.READY, hint, 0) for n, hint in enumerate(hints))
 
@@ -297,7 +297,7 @@
         assert [h.index for h in old.balancer._host_order(group)] == [h.index for h in new.balancer._host_order(group)]
 
 
-def test_ranges_are_replaced_and_the_list_changes_while_hops_are_out() -> None:
+def test_counters_stay_consistent_while_ranges_are_replaced_and_the_list_changes() -> None:
     play, out = Scenario(hosts=4), []
     for n in range(1200):
         out.append(play.arrive(f"k{n % 90}"))
@@ -317,16 +317,16 @@
     assert counts == len(balancer.window) == sum(balancer.group_loads)
 
 
-def test_where_a_copy_lies_is_not_kept_for_hosts_that_are_gone() -> None:
+def test_known_copies_are_forgotten_for_hosts_that_are_gone() -> None:
     play = Scenario(hosts=2)
     for n in range(300):
         play.list(listed_host(n), listed_host(n + 1), complete=True)
         play.end_hop(play.arrive("hot"), m.HopOutcome.DONE)
-    for _ in range(600):  # past the next time that ranges are placed
+    for _ in range(600):  # past the next placement of ranges
         play.end_hop(play.arrive("hot"), m.HopOutcome.DONE)
     assert all(len(hosts) <= 2 for hosts in play.balancer.known_copies.values())
 
 
-def test_read_list_names_what_it_can_not_use() -> None:
+def test_parse_list_names_an_invalid_field() -> None:
     with pytest.raises(FieldError, match=r"members\[1\]\.host_port"):
         parse_list({"revision": 1, "complete": True, "members": [member(1), member(2) | {"host_port": 3}]}, 0)
