--- a/tests/test_review_links.py
+++ b/tests/test_review_links.py
@@ -1,4 +1,4 @@
-"""Connections that are half open, idle for long, closed on the way or left over; what they hold and carry."""
+"""Connections that are half open, idle for long, closed early or left over, and the hops on them."""
 
 import json
 import os
@@ -26,28 +26,29 @@
 ROOT = Path(__file__).parents[1]
 
 
-def answers(net: Net, number: int = 0) -> list[str]:
+def replies(net: Net, number: int = 0) -> list[str]:
+    """Returns what was written to one client."""
     return [one.partition(" < ")[2] for one in net.trace if f"client {number} <" in one]
 
 
-# ---- an address that another host took over ----
+# ---- a host whose address changes ----
 
 
 def moved(host: int, to: int, phase: str = "up") -> dict[str, Any]:
     return member(host, phase) | {"host_port": f"127.0.0.{to}:11211"}
 
 
-def test_what_was_dialled_to_the_old_address_gets_nothing_new_once_the_host_has_another() -> None:
+def test_connections_to_the_old_address_of_a_host_get_no_new_hops() -> None:
     net = Net()
     client = net.client()
     client.feed(mg(1) + mg(2))
     up, dialling = net.accept(), net.reactor.tcpClients[0]
     net.list(moved(1, 9))
     up.feed(va(1))
-    assert up.lost  # it was idle then, and to the old address
+    assert up.lost  # it was idle by then, and is connected to the old address
     client.feed(mg(3))
     assert [host for host, *_ in net.reactor.tcpClients[-1:]] == ["127.0.0.9"]
-    # What had not been written whole yet never ran, and goes where the host is now.
+    # The hop that was not completely written never ran, so it is sent to the new address.
     assert dialling[2] is not net.reactor.tcpClients[-1][2]
     while net.reactor.tcpClients:
         host, _, factory, *_ = net.reactor.tcpClients.pop(0)
@@ -57,13 +58,13 @@
     assert not any("host at 127.0.0.1 <" in one for one in net.trace), net.trace
 
 
-def test_shared_connections_to_the_old_address_get_nothing_new() -> None:
+def test_shared_connections_to_the_old_address_get_no_new_hops() -> None:
     net = Net(limits={"sockets": 3})
     first, second = net.client(), net.client()
     first.feed(mg(1))
     host = net.accept()
     net.list(moved(1, 9))
-    second.feed(mg(2))  # no socket is left: it would go behind the first
+    second.feed(mg(2))  # no socket is left, so the hop would share the first connection
     assert "O2" not in "".join(one for one in net.trace if one.startswith("     0 ms  host"))
     host.feed(va(1))
     assert host.lost
@@ -72,21 +73,21 @@
 # ---- a drain while a command waits to be written ----
 
 
-def test_what_waits_behind_a_half_written_command_does_not_go_out_after_a_drain() -> None:
+def test_a_command_queued_behind_a_partly_written_one_is_not_sent_after_a_drain() -> None:
     net = Net(hosts=1, limits={"sockets": 3, "per_host_connection": 4})
     first, second = net.client(), net.client()
     first.feed(mg(1))
     host, _, factory, *_ = net.reactor.tcpClients.pop(0)
-    half = Wire(net, "host 1", factory.buildProtocol(None))  # the system takes nothing for now
+    half = Wire(net, "host 1", factory.buildProtocol(None))  # the operating system takes no bytes for now
     second.feed(ms(2))
     net.list(member(1, "draining"))
-    net.run(100)  # its own time to wait, 500 ms and more with other profiles, may be past the grace
+    net.run(100)  # a command may wait for 500 ms and more, which can exceed the drain grace
     half.take()
     assert "O1" in "".join(net.trace) and not any("host 1 <" in one and "O2" in one for one in net.trace)
-    assert len(answers(net, 1)) == 1 and "SERVER_ERROR busy" in answers(net, 1)[0]  # it never ran
+    assert len(replies(net, 1)) == 1 and "SERVER_ERROR busy" in replies(net, 1)[0]  # it never ran
 
 
-def test_a_dial_that_comes_up_after_a_drain_carries_nothing() -> None:
+def test_a_connection_established_after_a_drain_carries_no_hop() -> None:
     net = Net(hosts=2)
     client = net.client()
     client.feed(ms(1))
@@ -96,22 +97,22 @@
     assert wire.lost and not any(f"{wire.name} <" in one for one in net.trace)
     other = net.accept()
     other.feed(b"HD O1 cabc\r\n")
-    assert other.name != wire.name and answers(net) == ["b'HD O1 cabc\\r\\n'"]
+    assert other.name != wire.name and replies(net) == ["b'HD O1 cabc\\r\\n'"]
 
 
-def test_decisions_that_failed_on_a_list_send_nothing_to_a_host_that_drains(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_hop_reaches_a_draining_host_if_the_balancer_failed_on_the_list(monkeypatch: pytest.MonkeyPatch) -> None:
     net = Net(hosts=1)
     with monkeypatch.context() as broken:
         broken.setattr(net.dispatcher.balancer, "_list_changed", lambda event: 1 / 0)
         net.list(member(1, "draining"))
     net.client().feed(mg(1))
-    assert not net.reactor.tcpClients and "busy" in answers(net)[0]
+    assert not net.reactor.tcpClients and "busy" in replies(net)[0]
 
 
-# ---- an event that raises takes no others with it ----
+# ---- an exception in one event or action does not affect others ----
 
 
-def test_a_fault_in_one_action_leaves_the_others_and_the_timer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_one_action_leaves_the_others_and_the_timer(monkeypatch: pytest.MonkeyPatch) -> None:
     net = Net(hosts=2)
     first, second = net.client(), net.client()
 
@@ -122,15 +123,17 @@
 
     monkeypatch.setattr(net.dispatcher.balancer, "decide", both)
     first.feed(mg(1))
-    asker = net.dispatcher.txs[0].requester
-    monkeypatch.setattr(type(asker), "roll_back", lambda self, wait: 1 / 0 if self is asker else self.put(b"x\r\n"))
+    requester = net.dispatcher.txs[0].requester
+    monkeypatch.setattr(
+        type(requester), "roll_back", lambda self, wait: 1 / 0 if self is requester else self.put(b"x\r\n")
+    )
     second.feed(mg(2))
-    assert answers(net, 1) == ["b'x\\r\\n'"]
+    assert replies(net, 1) == ["b'x\\r\\n'"]
     net.run(60)
     assert "the list is asked for" in net.trace[-1]
 
 
-def test_a_hop_that_was_decided_before_a_fault_is_not_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_hop_that_was_decided_before_an_exception_is_completed(monkeypatch: pytest.MonkeyPatch) -> None:
     net = Net(hosts=1)
     balancer, real = net.dispatcher.balancer, Balancer._route
 
@@ -144,16 +147,16 @@
     net.run(1000)
     assert not balancer.txs and not net.dispatcher.txs and balancer.in_flight == 0
     assert all(host.in_flight == 0 for host in balancer.hosts.values())
-    assert len(answers(net)) == 1
+    assert len(replies(net)) == 1
 
 
-# ---- one timer of the decisions, none left behind ----
+# ---- the single timer of the balancer ----
 
 
-def test_of_the_decisions_timers_there_is_one() -> None:
+def test_the_balancer_has_one_timer() -> None:
     net = Net()
     client = net.client()
-    for n in range(200):  # each is to be looked at again a little sooner than the one before, and than the next tick
+    for n in range(200):  # each sets the timer a little earlier than the one before, and before the next tick
         client.feed(mg(n, key=f"k{n}", ttl=240 - n))
     assert len(net.dispatcher.txs) > 100
     left = [call for call in net.reactor.getDelayedCalls() if call.func == net.dispatcher.happened]
@@ -163,8 +166,8 @@
 # ---- clients ----
 
 
-def test_a_client_that_half_closes_after_its_command_is_gone_and_its_hops_end() -> None:
-    """By the protocol it has gone away; nothing of it is left, and nothing is sent for it after that."""
+def test_a_client_that_half_closes_after_its_command_counts_as_gone() -> None:
+    """By the protocol, a half-close means that the client has gone. Its hops end and nothing more is sent for it."""
     net = Net()
     client = net.client()
     client.feed(ms(1))
@@ -173,7 +176,7 @@
     assert host.lost and not net.dispatcher.txs and net.sockets.hosts == net.sockets.clients == 0
 
 
-def test_a_client_that_is_gone_silently_holds_one_socket_until_that_is_wanted() -> None:
+def test_a_client_that_vanished_keeps_its_socket_until_another_client_needs_it() -> None:
     net = Net(limits={"clients": 3, "spare": 1})
     silent = [net.client() for _ in range(3)]
     for n, one in enumerate(silent):
@@ -192,7 +195,7 @@
 
 
 @pytest.mark.parametrize(("cut", "end"), [(0, "failed"), (3, "failed"), (17, "failed")])
-def test_a_host_that_closes_within_its_answer_may_have_run_it(cut: int, end: str) -> None:
+def test_a_host_that_closes_within_its_response_may_have_run_the_hop(cut: int, end: str) -> None:
     net = Net()
     net.client().feed(ms(1))
     host = net.accept()
@@ -200,22 +203,22 @@
         host.feed(b"HD O1 cabcdefgh12\r\n"[:cut])
     host.end()
     net.take()
-    assert answers(net) == [f"b'SERVER_ERROR {end}\\r\\n'"] and net.sockets.hosts == 0
+    assert replies(net) == [f"b'SERVER_ERROR {end}\\r\\n'"] and net.sockets.hosts == 0
 
 
-def test_a_dial_that_never_comes_up_ends_with_its_hop_and_leaves_no_socket_counted() -> None:
+def test_a_connection_that_is_never_established_releases_its_hop_and_its_socket() -> None:
     net = Net(hosts=2)
     client = net.client()
     client.feed(mg(1))
-    net.run(600)  # the reactor of this test never gives up a dial: the hop's own time does
-    assert not net.dispatcher.txs and "busy" in answers(net)[0]
+    net.run(600)  # the test's reactor has no connect timeout, so the deadline of the hop applies
+    assert not net.dispatcher.txs and "busy" in replies(net)[0]
     while net.reactor.tcpClients:
         *_, factory, _, _ = net.reactor.tcpClients.pop(0)
         factory.clientConnectionFailed(None, connectionDone)
-    assert net.sockets.hosts == 0 and not any(place.connections for place in net.pool.hosts.values())
+    assert net.sockets.hosts == 0 and not any(host.connections for host in net.pool.hosts.values())
 
 
-def test_a_host_that_goes_silent_loses_its_connections_with_their_hops_and_no_write_is_kept_for_it() -> None:
+def test_a_silent_host_loses_its_connections_and_their_hops() -> None:
     net = Net(hosts=1)
     client = net.client()
     for n in range(4):
@@ -224,10 +227,10 @@
             net.accept()
     net.run(1000)
     assert net.sockets.hosts == 0 and not net.dispatcher.txs and not net.pool.buffered_bytes
-    assert "".join(answers(net)).count("SERVER_ERROR failed") + "".join(answers(net)).count("busy") == 4
+    assert "".join(replies(net)).count("SERVER_ERROR failed") + "".join(replies(net)).count("busy") == 4
 
 
-def test_when_all_hosts_restart_at_once_idle_connections_cost_no_transaction_and_rest_again_soon() -> None:
+def test_a_restart_of_all_hosts_does_not_prevent_the_use_of_idle_connections() -> None:
     net = Net(hosts=4)
     client = net.client()
     for n in range(40):
@@ -244,10 +247,11 @@
     assert all(net.pool.idle_loss.holds(rested * MS, net.dispatcher.now()) for rested in (1, 50, 1000, 2900))
 
 
-# ---- the real process: discovery that does not end its answers, a limit on descriptors ----
+# ---- a real process: endless responses of discovery, a limit on descriptors ----
 
 
 def balancer_config(listen: int, discovery: int, **more: Any) -> dict[str, Any]:
+    """Returns the configuration of a process on 127.0.0.1 with these ports."""
     return {
         "name": "n1",
         "listen": f"127.0.0.1:{listen}",
@@ -259,8 +263,8 @@
     } | more
 
 
-class Endless(threading.Thread):
-    """A discovery that answers 503, or a list far too long, and goes on for ever; open: connections that it has."""
+class EndlessDiscovery(threading.Thread):
+    """A discovery whose responses never end: status 503, or a list that is far too long."""
 
     def __init__(self, head: bytes) -> None:
         super().__init__(daemon=True)
@@ -283,13 +287,14 @@
         self.open -= 1
 
     def end(self) -> None:
-        self.listener.shutdown(socket.SHUT_RDWR)  # wakes who waits in accept()
+        self.listener.shutdown(socket.SHUT_RDWR)  # wakes the thread in accept()
         self.join()
         self.listener.close()
 
 
 @contextmanager
 def serving(config: dict[str, Any], folder: Path, files: int = 0) -> Iterator["subprocess.Popen[bytes]"]:
+    """Runs a process with this configuration, and a limit of `files` descriptors unless that is 0."""
     path = folder / "told.json"
     path.write_text(json.dumps(config))
     with open(folder / "log", "wb") as log:
@@ -308,6 +313,7 @@
 
 
 def wait_until(holds: Any, seconds: float = 20.0) -> None:
+    """Waits until the condition holds. Fails after the time limit."""
     end = time.monotonic() + seconds
     while not holds():
         assert time.monotonic() < end
@@ -315,6 +321,7 @@
 
 
 def free_port() -> int:
+    """Returns a free port of 127.0.0.1."""
     return int(free_place("127.0.0.1").rpartition(":")[2])
 
 
@@ -325,17 +332,17 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 90000000\r\n\r\n" + b" " * (9 << 20),
     ],
 )
-def test_a_discovery_that_never_ends_its_answer_costs_no_socket_a_call(tmp_path: Path, head: bytes) -> None:
-    discovery = Endless(head)
+def test_endless_responses_of_discovery_do_not_accumulate_connections(tmp_path: Path, head: bytes) -> None:
+    discovery = EndlessDiscovery(head)
     with serving(balancer_config(free_port(), discovery.port), tmp_path) as process:
         wait_until(lambda: discovery.calls >= 4)
-        assert discovery.open <= 1, f"{discovery.open} connections are left of {discovery.calls} calls"
-        # One thread: to look an address up the library would start one, for a name that is none.
+        assert discovery.open <= 1, f"{discovery.open} connections are open after {discovery.calls} calls"
+        # One thread: Twisted would start another one to resolve an address as a name.
         assert len(os.listdir(f"/proc/{process.pid}/task")) == 1
     discovery.end()
 
 
-def test_a_limit_on_descriptors_below_what_was_told_is_kept_to(tmp_path: Path) -> None:
+def test_a_descriptor_limit_below_the_configured_one_is_kept_to(tmp_path: Path) -> None:
     listen = free_port()
     with serving(
         balancer_config(listen, free_port(), limits={"memory_mb": 96, "sockets": 1024}), tmp_path, files=64
@@ -357,13 +364,13 @@
             assert client.recv(10) == b"MN\r\n"
 
 
-def test_an_address_is_one_and_not_a_name() -> None:
+def test_a_host_name_is_no_valid_address() -> None:
     with pytest.raises(ValueError, match="listen"):
         parse_address("localhost:80", "listen")
     assert str(Address("127.0.0.1", 80)) == "127.0.0.1:80"
 
 
-def test_a_host_that_is_gone_with_idle_connections_alone_leaves_no_place() -> None:
+def test_a_host_that_is_gone_is_removed_from_the_pool_with_its_idle_connections() -> None:
     net = Net(hosts=2)
     client = net.client()
     for n in range(8):
@@ -373,7 +380,7 @@
         for wire in net.wires[1:]:
             if not wire.lost and wire.protocol.hops:
                 wire.feed(va(n))
-    assert all(place.idle for place in net.pool.hosts.values())
+    assert all(host.idle for host in net.pool.hosts.values())
     net.list(member(1), complete=True)
     net.take()
     assert list(net.pool.hosts) == [0] and net.sockets.hosts == sum(len(p.connections) for p in net.pool.hosts.values())
