--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -1,4 +1,4 @@
-"""Stopped at every point and started again: what was promised is still true, and no more is owed than the rules say."""
+"""Stops and restarts at every point: committed changes persist, and restarted processes repeat nothing."""
 
 import json
 import os
@@ -34,11 +34,11 @@
 from tests.test_review_links import balancer_config, free_port, serving, wait_until
 from tests.test_store import CALLS, UNLIMITED, answer, call, keeper, whole
 
-# ---- COMMIT that raises ----
+# ---- a COMMIT that raises ----
 
 
-class Spoilt:
-    """The store's connection, whose COMMIT raises once, with the change on disk or not."""
+class FailingCommit:
+    """Wraps the store's connection. COMMIT raises once, with the change on disk or not."""
 
     def __init__(self, db: Any, first: bool) -> None:
         self.db, self.first, self.left = db, first, 1
@@ -56,14 +56,14 @@
 
 
 @pytest.mark.parametrize("on_disk", [True, False])
-def test_after_a_commit_that_raised_the_answer_says_what_is_on_disk(tmp_path: Path, on_disk: bool) -> None:
+def test_after_a_commit_that_raised_the_response_says_what_is_on_disk(tmp_path: Path, on_disk: bool) -> None:
     one = keeper(tmp_path / "x.db")
     assert answer(one, CALLS[0]).status == 201
-    one.stored.store.db = Spoilt(one.stored.store.db, on_disk)  # type: ignore[assignment]
+    one.stored.store.db = FailingCommit(one.stored.store.db, on_disk)  # type: ignore[assignment]
     found = answer(one, CALLS[1])
     assert found.status == (201 if on_disk else 507)
     assert whole(one.applier.registry) == whole(one.stored.store.registry())
-    # And it goes on: the versions of both are the same.
+    # Further changes are accepted, as the versions of the store and of memory agree.
     assert answer(one, CALLS[1]).status == 201 and answer(one, CALLS[2]).status == 200
     one.stored.store.close()
     again = Store(tmp_path / "x.db")
@@ -71,28 +71,28 @@
     again.close()
 
 
-def test_a_commit_of_which_nothing_can_be_learnt_is_not_called_not_made(tmp_path: Path) -> None:
+def test_a_commit_with_an_unknown_outcome_is_not_reported_as_not_made(tmp_path: Path) -> None:
     one = keeper(tmp_path / "x.db")
     store = one.stored.store
-    store.db = Spoilt(store.db, True)  # type: ignore[assignment]
-    real = store._initialize  # the disk is away for as long as it takes to look
+    store.db = FailingCommit(store.db, True)  # type: ignore[assignment]
+    real = store._initialize  # the disk is unavailable while the outcome is checked
 
-    def away(db: sqlite3.Connection) -> None:
+    def unavailable(db: sqlite3.Connection) -> None:
         raise sqlite3.OperationalError("unable to open")
 
-    store._initialize = away  # type: ignore[method-assign]
+    store._initialize = unavailable  # type: ignore[method-assign]
     found = answer(one, CALLS[0])
     assert found.status == 507 and "not made" not in found.body["detail"]
     assert answer(one, CALLS[1]).status == 507
     store._initialize = real  # type: ignore[method-assign]
-    # As soon as it can be had again both agree on what there is.
+    # As soon as the disk is available again, the store and memory agree.
     assert answer(one, CALLS[1]).status == 201
     assert answer(one, CALLS[0]).status == 201
     assert whole(one.applier.registry) == whole(store.registry())
     store.close()
 
 
-def test_a_file_that_may_not_grow_turns_changes_away_and_a_kill_shows_none_of_them(tmp_path: Path) -> None:
+def test_a_file_that_can_not_grow_rejects_changes_and_keeps_none_of_them_after_a_kill(tmp_path: Path) -> None:
     path = tmp_path / "x.db"
     Store(path).close()
     reader, writer = os.pipe()
@@ -119,10 +119,10 @@
     again.close()
 
 
-# ---- stored, and applying it raises ----
+# ---- a stored change whose application raises ----
 
 
-def test_a_stored_change_that_can_not_be_applied_is_told_as_stored_and_holds_up_no_other(tmp_path: Path) -> None:
+def test_a_stored_change_that_can_not_be_applied_is_reported_as_stored_and_blocks_no_other(tmp_path: Path) -> None:
     one = keeper(tmp_path / "x.db")
     real = one.applier.apply
 
@@ -149,21 +149,21 @@
     return TenantHost(reactor, read_service(file), registry)
 
 
-def over(host: TenantHost) -> None:
-    """Closes what the test has bound; the library does so in a turn of its own."""
-    host.runtimes_by_id.clear()  # as none of them is told what becomes of the others
+def close_host(host: TenantHost) -> None:
+    """Closes the listeners of the test. Twisted does so in a later turn of the loop."""
+    host.runtimes_by_id.clear()  # so that no tenant is notified of the removal of another
     for tenancy in host.runtimes.values():
         tenancy.remove()
     host.reactor.advance(0.01)
 
 
-def place(text: str) -> Endpoint:
+def endpoint(text: str) -> Endpoint:
     host, _, port = text.rpartition(":")
     return Endpoint(host, int(port))
 
 
 def listening(name: str, number: int = 1, **terms: Any) -> Any:
-    return tenant(name, number, listeners=(place(free_place("127.0.0.1")),), limits=SMALL, **terms)
+    return tenant(name, number, listeners=(endpoint(free_place("127.0.0.1")),), limits=SMALL, **terms)
 
 
 def connects(listener: Endpoint) -> bool:
@@ -172,13 +172,13 @@
     return False
 
 
-def test_a_change_that_raises_leaves_the_others_and_is_made_up_for_by_the_next(
+def test_a_change_that_raises_affects_no_other_tenant_and_the_next_change_repairs_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     one = listening("sur")
     host = hosts(Registry().with_change(CreateTenant(one)), tmp_path)
     host.start()
-    tenancy, norte, other = host.runtimes["sur"], listening("norte", 2), place(free_place("127.0.0.1"))
+    tenancy, norte, other = host.runtimes["sur"], listening("norte", 2), endpoint(free_place("127.0.0.1"))
     limits: TenantLimits = replace(SMALL, open_txs=7)
     with monkeypatch.context() as broken:
         broken.setattr(tenancy, "_apply_limits", lambda tenant: 1 / 0)
@@ -186,20 +186,20 @@
         with pytest.raises(ZeroDivisionError):
             host.apply(after, "sur", host.prepare(after, "sur"))
         host.reactor.advance(0.01)
-        assert not connects(other)  # bound for it, and not left behind
+        assert not connects(other)  # the listener that was bound for the change is closed
         after = host.registry.with_change(CreateTenant(norte))
         host.apply(after, "norte", host.prepare(after, "norte"))
     assert connects(norte.listeners[0]) and connects(one.listeners[0]) and tenancy.frontend.max_open_txs != 7
     after = host.registry.with_change(SetState("sur", State.SUSPENDED))
     host.apply(after, "sur", host.prepare(after, "sur"))
     assert tenancy.frontend.max_open_txs == 7 and tenancy.frontend.suspended_delay and host.registry.version == 4
-    over(host)
+    close_host(host)
 
 
-# ---- ends of tenants ----
+# ---- removal of tenants and shutdown ----
 
 
-def test_a_tenant_ends_while_a_connection_to_its_cache_host_is_being_made(tmp_path: Path) -> None:
+def test_a_tenant_is_removed_while_a_connection_to_its_cache_host_is_being_established(tmp_path: Path) -> None:
     one = listening("sur", servers=(Server("one", Endpoint("127.0.1.1", 11211)),))
     host = hosts(Registry().with_change(CreateTenant(one)), tmp_path)
     host.start()
@@ -212,10 +212,10 @@
     assert tenancy.id not in host.scheduler.queues and tenancy.id not in host.resources.shared_hosts.lists
     connector = host.reactor.connectors[0]
     assert connector.stoppedConnecting
-    over(host)
+    close_host(host)
 
 
-def test_an_ended_tenant_that_could_not_be_removed_is_tried_again(tmp_path: Path) -> None:
+def test_the_removal_of_an_ended_tenant_is_retried(tmp_path: Path) -> None:
     one = listening("sur")
     host = hosts(Registry().with_change(CreateTenant(one)).with_change(SetState("sur", State.ENDING)), tmp_path)
     asked: list[Deferred[Reply]] = []
@@ -231,14 +231,14 @@
     asked[0].callback(Reply(507))
     for _ in range(8):
         host.reactor.advance(0.25)
-    assert len(asked) == 2  # not at once, as nothing may have changed
+    assert len(asked) == 2  # after a delay, as an immediate retry would fail again
     for _ in range(40):
         host.reactor.advance(0.25)
     assert len(asked) == 2
-    over(host)
+    close_host(host)
 
 
-def test_a_change_that_ends_after_the_service_was_told_to_end_opens_no_listener(tmp_path: Path) -> None:
+def test_a_change_that_completes_after_the_start_of_a_shutdown_opens_no_listener(tmp_path: Path) -> None:
     one = listening("sur")
     host = hosts(Registry(), tmp_path)
     host.start()
@@ -252,8 +252,8 @@
     assert not connects(one.listeners[0])
 
 
-def held_store(one: Any) -> list["Deferred[Any]"]:
-    """The store's thread by hand: what is done waits here until its Deferred is called."""
+def manual_store(one: Any) -> list["Deferred[Any]"]:
+    """Replaces the store's thread: each step waits until the test calls its Deferred."""
     held: list[Deferred[Any]] = []
 
     def later(what: Callable[..., Any], *terms: Any) -> "Deferred[Any]":
@@ -264,9 +264,9 @@
     return held
 
 
-def test_told_to_end_with_a_change_at_the_disk_each_call_is_answered_once(tmp_path: Path) -> None:
+def test_a_shutdown_during_a_disk_write_answers_each_call_once(tmp_path: Path) -> None:
     one = keeper(tmp_path / "x.db")
-    held, replies = held_store(one), []
+    held, replies = manual_store(one), []
     for n in range(3):
         asked = call("POST", "/v1/tenants", document(f"t{n}", f"127.0.0.1:{7000 + n}", limits=UNLIMITED))
         one.call(asked).addCallback(lambda reply, n: replies.append((n, reply.status)), n)
@@ -280,11 +280,11 @@
     assert replies[3:] == [(0, 201)] and one.stored.store.registry().version == 1
 
 
-def test_a_call_whose_key_was_taken_away_while_it_waited_is_told_so(tmp_path: Path) -> None:
+def test_a_waiting_call_whose_key_is_removed_is_unauthorized(tmp_path: Path) -> None:
     one = keeper(tmp_path / "x.db")
     answer(one, CALLS[0])
     token = answer(one, call("POST", "/v1/tenants/sur/keys", {"name": "k", "scope": "administrator"})).body["token"]
-    held, replies = held_store(one), []
+    held, replies = manual_store(one), []
     one.call(call("DELETE", "/v1/tenants/sur/keys/k", None)).addCallback(lambda reply: replies.append(reply.status))
     mine = Call(
         "PUT",
@@ -300,7 +300,7 @@
     assert replies == [200, 401]
 
 
-# ---- the operators' file ----
+# ---- the service file of the operators ----
 
 TENANT = (
     '[[tenants]]\nname = "{}"\nlisteners = ["{}"]\n[[tenants.servers]]\nname = "h"\nplace = "10.0.0.1:80"\n'
@@ -308,7 +308,7 @@
 )
 
 
-def test_an_operators_file_cut_off_anywhere_is_not_used(tmp_path: Path) -> None:
+def test_a_truncated_service_file_is_rejected(tmp_path: Path) -> None:
     file, listens = tmp_path / "service.toml", [free_place("127.0.0.1") for _ in range(2)]
     both = TENANT.format("uno", listens[0]) + TENANT.format("dos", listens[1])
     text = f"[process]\nsockets = 256\n{both}[end]\n"
@@ -331,31 +331,31 @@
     file.write_text(text.replace('name = "dos"', 'name = "tres"').replace(listens[1], free_place("127.0.0.1")))
     running.reload()
     assert set(running.host.runtimes) >= {"uno", "tres"}
-    assert running.host.registry.tenants["dos"].tenant.state is State.ENDING  # a whole file may end one
-    over(running.host)
+    assert running.host.registry.tenants["dos"].tenant.state is State.ENDING  # a complete file may end a tenant
+    close_host(running.host)
 
 
-def test_a_file_without_the_api_does_not_lock_the_operators_out(tmp_path: Path) -> None:
+def test_a_reload_without_the_api_section_keeps_the_api(tmp_path: Path) -> None:
     one = HostedService(tmp_path).start()
     try:
         whole_file = one.config_file.read_text()
         one.config_file.write_text('[process]\nsockets = 256\n[store]\npath = "registry.db"\n[end]\n')
         process = one.process
         assert process is not None
-        # Told again and again, as until the loop runs it is not heeded.
-        wait_until(lambda: again(process) and b"takes effect at the next start" in one.log.read_bytes())
+        # The signal is repeated, as it is ignored until the loop runs.
+        wait_until(lambda: signal_reload(process) and b"takes effect at the next start" in one.log.read_bytes())
         assert one.call("GET", "/v1/tenants").status == 200
         one.config_file.write_text(whole_file)
     finally:
         one.kill()
 
 
-def again(process: "subprocess.Popen[bytes]") -> bool:
+def signal_reload(process: "subprocess.Popen[bytes]") -> bool:
     process.send_signal(signal.SIGHUP)
     return True
 
 
-def test_a_plan_is_not_made_of_a_file_that_is_cut_off(tmp_path: Path) -> None:
+def test_no_plan_is_made_from_a_truncated_file(tmp_path: Path) -> None:
     from ternquay.hosted.administration.admin import wanted
 
     file = tmp_path / "tenants.toml"
@@ -366,18 +366,18 @@
     assert len(wanted(file)) == 1
 
 
-# ---- a balancer that is killed, and started again at once ----
+# ---- a balancer that is killed and restarted at once ----
 
 
-class Slow(threading.Thread):
-    """A cache host that says of each command when it has come, and answers as far as it is told to."""
+class PartialCacheHost(threading.Thread):
+    """A cache host that records the ids of commands and sends only a fraction of each response."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
         self.ids: list[bytes] = []
-        self.part: float = 1.0
+        self.sent_fraction: float = 1.0
         self.start()
 
     def run(self) -> None:
@@ -394,30 +394,28 @@
                 if words[0] == b"ms":
                     reader.read(int(words[2]) + 2)
                 self.ids.append(id)
-                balancer.sendall(text[: int(len(text) * self.part)])
+                balancer.sendall(text[: int(len(text) * self.sent_fraction)])
 
     def end(self) -> None:
-        self.listener.shutdown(socket.SHUT_RDWR)  # wakes who waits in accept()
+        self.listener.shutdown(socket.SHUT_RDWR)  # wakes the thread in accept()
         self.join()
         self.listener.close()
 
 
 WRITE = b"ms k 2 Ow%d Pc=once,d=800,k=77\r\nhi\r\n"
 POINTS = (
-    "taken, and no hop written",
+    "accepted, and no hop written",
     "a hop is written",
-    "half an answer has come",
-    "the answer is being written",
-    "told to end, with one open",
-    "told to read its file again, with one open",
+    "half a response has arrived",
+    "the response is being written",
+    "shutdown with an open transaction",
+    "reload with an open transaction",
 )
 
 
 @pytest.mark.parametrize("point", POINTS)
-def test_killed_at_any_point_it_comes_up_again_at_once_and_sends_nothing_of_its_last_life(
-    tmp_path: Path, point: str
-) -> None:
-    host, listen = Slow(), free_port()
+def test_a_process_killed_at_any_point_restarts_at_once_and_repeats_no_hop(tmp_path: Path, point: str) -> None:
+    host, listen = PartialCacheHost(), free_port()
     config = balancer_config(
         listen,
         free_port(),
@@ -439,8 +437,8 @@
         },
     )
     if point == POINTS[0]:
-        config["known"]["members"][0]["host_port"] = "127.0.0.1:1"  # refused: the hop never ran
-    host.part = 0.0 if point in POINTS[1:2] + POINTS[4:] else 0.5 if point == POINTS[2] else 1.0
+        config["known"]["members"][0]["host_port"] = "127.0.0.1:1"  # the connection is refused, so the hop never ran
+    host.sent_fraction = 0.0 if point in POINTS[1:2] + POINTS[4:] else 0.5 if point == POINTS[2] else 1.0
     with serving(config, tmp_path) as process, socket.create_connection(("127.0.0.1", listen)) as client:
         client.settimeout(5)
         client.sendall(b"mg k v Ow0 Pc=read,d=800\r\n" if point == POINTS[3] else WRITE % 0)
@@ -459,23 +457,23 @@
         process.kill()
         process.wait()
         before = list(host.ids)
-        with suppress(ConnectionResetError):  # what it was owed is the client's to ask for again
+        with suppress(ConnectionResetError):  # the client has to repeat requests without a response
             while client.recv(1 << 16):
                 pass
-    host.part = 1.0
+    host.sent_fraction = 1.0
     config["known"]["members"][0]["host_port"] = f"127.0.0.1:{host.port}"
     with serving(config, tmp_path), socket.create_connection(("127.0.0.1", listen)) as again:
         again.settimeout(5)
         time.sleep(0.3)
-        assert host.ids == before  # nothing of the last life
+        assert host.ids == before  # no hop of the killed process is repeated
         again.sendall(WRITE % 1)
         assert again.recv(99) == b"HD Ow1 cdone\r\n" and host.ids == [*before, b"Ow1"]
     host.end()
 
 
-def test_told_to_end_twice_and_to_read_its_file_meanwhile_it_answers_what_it_took_and_ends_once(tmp_path: Path) -> None:
-    host, listen = Slow(), free_port()
-    host.part = 0.0
+def test_repeated_shutdown_and_reload_signals_answer_open_requests_and_end_once(tmp_path: Path) -> None:
+    host, listen = PartialCacheHost(), free_port()
+    host.sent_fraction = 0.0
     config = balancer_config(
         listen,
         free_port(),
@@ -508,7 +506,7 @@
     host.end()
 
 
-def test_a_second_service_does_not_start_on_a_store_that_is_in_use(tmp_path: Path) -> None:
+def test_a_second_service_does_not_start_on_a_locked_store(tmp_path: Path) -> None:
     one = HostedService(tmp_path).start()
     try:
         done = subprocess.run(
