--- a/ternquay/hosted/administration/changes.py
+++ b/ternquay/hosted/administration/changes.py
@@ -17,11 +17,11 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.threadpool import ThreadPool
 
-from ternquay.consensus.fate import NotNow, Nowhere, Unknown
+from ternquay.consensus.errors import ChangeAborted, OutcomeUnknown, RetryLater
 from ternquay.hosted.administration.api import Api, Call, Look, Proposal, Reply, problem, tag
-from ternquay.hosted.store import Answered, Commit, Logged, Noted, Store, StoreError, StoreUnsure
-from ternquay.hosted.tenants.registry import Registry, Remove
-from ternquay.hosted.tenants.tenant import Unfit
+from ternquay.hosted.store import AuditRecord, ChangeRecord, Commit, Store, StoredReply, StoreError, StoreOutcomeUnknown
+from ternquay.hosted.tenants.registry import Registry, RemoveTenant
+from ternquay.hosted.tenants.tenant import InvalidField
 
 SECOND = 1_000_000_000
 WAITING_MOST, WATCHES_MOST, NOTES_MOST = 64, 64, 1000
@@ -68,17 +68,17 @@
 class Keeper:
     def __init__(self, reactor: Any, api: Api, applier: Applier, stored: Stored, clock: Callable[[], int]) -> None:
         self.reactor, self.api, self.applier, self.stored, self.clock = reactor, api, applier, stored, clock
-        self.waiting: deque[tuple[Call | Remove, Deferred[Reply]]] = deque()
+        self.waiting: deque[tuple[Call | RemoveTenant, Deferred[Reply]]] = deque()
         self.busy = False
         self.watches: list[Deferred[None]] = []
-        self.notes: dict[tuple[str, str, str, int, str], Noted] = {}
+        self.notes: dict[tuple[str, str, str, int, str], AuditRecord] = {}
         self.noting = self.ended = False
         self.unsure = False  # the store may hold one more change than is in force
         self.fleet: Any = None
 
     def join(self, fleet: Any) -> None:
         """Changes are the fleet's from now on: whoever leads it carries them out, one after the other."""
-        self.fleet, fleet.carry_out, fleet.news = fleet, self.call, self._news
+        self.fleet, fleet.execute_call, fleet.on_change = fleet, self.call, self._news
 
     # ---- calls ----
 
@@ -86,7 +86,7 @@
         """Answers a call; denied ones go to the audit log."""
         outcome = self.api.handle(call, self.registry, self.clock())
         if isinstance(outcome, Look):
-            if outcome.what in ("leave", "join") and self.fleet is not None and not self.fleet.leads():
+            if outcome.what in ("leave", "join") and self.fleet is not None and not self.fleet.is_leader():
                 return self._passed_on(call)
             return self._guarded(self._looked, outcome)
         if isinstance(outcome, Reply):
@@ -96,13 +96,13 @@
                 self.fleet is not None
                 and outcome.status in REPEATED
                 and call.method != "GET"
-                and not self.fleet.leads()
+                and not self.fleet.is_leader()
             ):
                 return self._passed_on(call)  # this member may be behind
             # A repeated call finds things as it left them, and is to be answered as it was then.
             if outcome.status not in REPEATED or "idempotency-key" not in call.headers:
                 return succeed(outcome)
-        if self.fleet is not None and not self.fleet.leads():
+        if self.fleet is not None and not self.fleet.is_leader():
             return self._passed_on(call)
         if len(self.waiting) >= WAITING_MOST:
             return succeed(problem(503, "too many changes wait", headers={"retry-after": "1"}))
@@ -111,20 +111,20 @@
     @property
     def registry(self) -> Registry:
         """What is in force; a member of a fleet may be without a part of it, and takes nothing then."""
-        found: Registry = self.fleet.agreed if self.fleet is not None else self.applier.registry
+        found: Registry = self.fleet.agreed_registry if self.fleet is not None else self.applier.registry
         return found
 
     def _passed_on(self, call: Call) -> "Deferred[Reply]":
-        reply: Deferred[Reply] = self.fleet.pass_on(call)
+        reply: Deferred[Reply] = self.fleet.forward_to_leader(call)
         return reply
 
     def remove(self, name: str) -> "Deferred[Reply]":
         """A tenant that was ending has nothing open any more; in a fleet whoever leads sees to it."""
-        if self.fleet is not None and not self.fleet.leads():
+        if self.fleet is not None and not self.fleet.is_leader():
             return succeed(problem(503, "another member leads"))
-        return self._queued(Remove(name))
+        return self._queued(RemoveTenant(name))
 
-    def _queued(self, what: Call | Remove) -> "Deferred[Reply]":
+    def _queued(self, what: Call | RemoveTenant) -> "Deferred[Reply]":
         if self.ended:
             return succeed(ENDS)
         done: Deferred[Reply] = Deferred()
@@ -143,14 +143,14 @@
             done.callback(reply)
             self._next()
 
-        carry = self._removed if isinstance(what, Remove) else self._carried
+        carry = self._removed if isinstance(what, RemoveTenant) else self._carried
         self._guarded(carry, what).addCallback(over)
 
     def _guarded(self, what: Callable[..., Any], *terms: Any) -> "Deferred[Reply]":
         """Whatever goes wrong is one call's fault and answered."""
 
         def fault(failure: Any) -> Reply:
-            if failure.check(StoreUnsure):
+            if failure.check(StoreOutcomeUnknown):
                 self.unsure = True
                 logger.bind(cause=str(failure.value)).error("whether a change was stored can't be told")
                 return problem(507, "whether the change was stored can't be told; call again, with the key it had")
@@ -159,15 +159,15 @@
             if failure.check(StoreError):
                 logger.bind(cause=str(failure.value)).error("the store takes no changes")
                 return problem(507, "the change could not be stored, and was not made")
-            if failure.check(NotNow):
-                return problem(503, failure.value.why, headers={"retry-after": "1"})
-            if failure.check(Unknown):
+            if failure.check(RetryLater):
+                return problem(503, failure.value.reason, headers={"retry-after": "1"})
+            if failure.check(OutcomeUnknown):
                 return problem(504, "whether the change was made isn't known yet; ask again, with the key it had")
-            if failure.check(Nowhere):
+            if failure.check(ChangeAborted):
                 told = failure.value
-                return problem(422, f"{told.member}: {told.why}; the change is nowhere", told.field)
-            if failure.check(Unfit):
-                return problem(422, failure.value.why, failure.value.field)
+                return problem(422, f"{told.member}: {told.reason}; the change is nowhere", told.field)
+            if failure.check(InvalidField):
+                return problem(422, failure.value.reason, failure.value.field)
             logger.error("a call failed: {}", failure.getTraceback())
             return problem(500, "a fault of the program; it is in its log")
 
@@ -193,16 +193,16 @@
         if not isinstance(outcome, Proposal):
             return outcome
         if self.registry is not there:
-            raise NotNow("another change came first")
+            raise RetryLater("another change came first")
         who, before = str(outcome.who), self.registry
-        after = before.changed(outcome.change)
+        after = before.with_change(outcome.change)
         reply = outcome.reply(after)
         answered = None
         if key:
             body = {name: value for name, value in reply.body.items() if name != "token"}
-            answered = Answered(who, _digest(key), _asked(call), reply.status, after.version, orjson.dumps(body))
-        noted = Noted(now, who, call.peer, f"{call.method} {call.path}", reply.status, outcome.kind)
-        logged = Logged(after.version, now, who, outcome.tenant, outcome.kind, orjson.dumps(outcome.detail))
+            answered = StoredReply(who, _digest(key), _asked(call), reply.status, after.version, orjson.dumps(body))
+        noted = AuditRecord(now, who, call.peer, f"{call.method} {call.path}", reply.status, outcome.kind)
+        logged = ChangeRecord(after.version, now, who, outcome.tenant, outcome.kind, orjson.dumps(outcome.detail))
         commit = Commit(logged, after.tenants.get(outcome.tenant), answered, noted)
         yield from self._made(after, outcome.tenant, commit)
         return reply
@@ -219,7 +219,7 @@
             prepared.drop()
             raise
         self._apply(after, tenant, prepared)
-        logged = commit.logged
+        logged = commit.record
         logger.bind(tenant=tenant, version=logged.version, who=logged.who, kind=logged.kind).info("changed")
         self._news()
 
@@ -242,12 +242,12 @@
         self.unsure = False
 
     @inlineCallbacks
-    def _removed(self, change: Remove) -> Any:
+    def _removed(self, change: RemoveTenant) -> Any:
         yield from self._caught_up()
         if change.name not in self.registry.tenants:
             return Reply(200, {})
-        after = self.registry.changed(change)
-        logged = Logged(after.version, self.clock(), SERVICE, change.name, "gone", b"{}")
+        after = self.registry.with_change(change)
+        logged = ChangeRecord(after.version, self.clock(), SERVICE, change.name, "gone", b"{}")
         yield from self._made(after, change.name, Commit(logged, None))
         return Reply(200, {})
 
@@ -257,12 +257,12 @@
         if len(key) > KEY_MOST or not key.isascii() or not key.isprintable():
             return problem(400, f"up to {KEY_MOST} printable characters are wanted", "Idempotency-Key")
         who = str(self.api.identified(call, self.registry, self.clock()))
-        found: Answered | None = self.fleet.answered(who, _digest(key)) if self.fleet is not None else None
+        found: StoredReply | None = self.fleet.pending_reply(who, _digest(key)) if self.fleet is not None else None
         if found is None:
-            found = yield self.stored.do(self.stored.store.answered, who, _digest(key))
+            found = yield self.stored.do(self.stored.store.find_reply, who, _digest(key))
         if found is None:
             return None
-        if found.asked != _asked(call):
+        if found.call_digest != _asked(call):
             return problem(422, "was used for another call", "Idempotency-Key")
         headers = {**tag(found.version), "idempotency-replayed": "true"}
         return Reply(found.status, orjson.loads(found.body), headers)
@@ -277,7 +277,11 @@
             return (
                 Reply(200, self.fleet.status())
                 if look.what == "fleet"
-                else (self.fleet.leave(look.tenant) if look.what == "leave" else self.fleet.join(look.tenant))
+                else (
+                    self.fleet.remove_member(look.tenant)
+                    if look.what == "leave"
+                    else self.fleet.readmit_member(look.tenant)
+                )
             )
         if look.what == "process":
             return Reply(200, self.applier.process())
@@ -291,8 +295,8 @@
                     "peer": one.peer,
                     "call": one.call,
                     "status": one.status,
-                    "why": one.why,
-                    "many": one.many,
+                    "why": one.reason,
+                    "many": one.count,
                 }
                 for id, one in rows
             ]
@@ -301,7 +305,7 @@
         while True:
             if self.fleet is not None:
                 # Else the version below could be told without the lines up to it, and a watcher would pass them over.
-                yield self.fleet.flushed()
+                yield self.fleet.when_flushed()
             changes = yield self.stored.do(self.stored.store.changes, look.after, look.most, look.tenant)
             left = until - self.clock()
             if changes or left <= 0 or len(self.watches) >= WATCHES_MOST or self.ended:
@@ -345,7 +349,7 @@
         if key not in self.notes and len(self.notes) >= NOTES_MOST:
             key = ("", "", "many calls", reply.status, "more kinds of denied calls than are kept apart")
         old = self.notes.get(key)
-        self.notes[key] = Noted(self.clock(), *key, (old.many if old else 0) + 1)
+        self.notes[key] = AuditRecord(self.clock(), *key, (old.count if old else 0) + 1)
         if not self.noting:
             self.noting = True
             self.reactor.callLater(NOTE_EVERY, self._write_notes)
@@ -354,7 +358,7 @@
         self.noting = False
         notes, self.notes = list(self.notes.values()), {}
         if notes and not self.ended:
-            self.stored.do(self.stored.store.note, notes).addErrback(
+            self.stored.do(self.stored.store.append_audit, notes).addErrback(
                 lambda failure: logger.error("denied calls could not be noted: {}", failure.value)
             )
 
@@ -362,7 +366,7 @@
         """No further change is begun; what waits is told so."""
         self.ended = True
         if self.notes:
-            self.stored.do(self.stored.store.note, list(self.notes.values())).addErrback(lambda failure: None)
+            self.stored.do(self.stored.store.append_audit, list(self.notes.values())).addErrback(lambda failure: None)
         waiting, self.waiting = self.waiting, deque()
         for _, done in waiting:
             done.callback(ENDS)
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -9,7 +9,7 @@
 from zope.interface import implementer
 
 from ternquay.net import meta
-from ternquay.net.door import Arrival
+from ternquay.net.dispatcher import IncomingTx
 from ternquay.net.driver import Driver
 from ternquay.net.flow import Flow
 from ternquay.net.limits import MS
@@ -17,7 +17,7 @@
 from ternquay.net.safety import CloseReason, RefuseReason, may_close
 
 if TYPE_CHECKING:
-    from ternquay.net.front import Front
+    from ternquay.net.frontend import Frontend
 
 OVERDUE = b"CLIENT_ERROR request was not whole in time"
 UNREAD_NOTICED = 100 * MS  # bytes that waited no longer than this to be read count as read when they came
@@ -29,10 +29,10 @@
 class Owed:
     """One answer that a client waits for, in its place among the others."""
 
-    __slots__ = ("client", "command", "counted", "door", "flow", "text", "tx")
+    __slots__ = ("client", "command", "counted", "dispatcher", "flow", "text", "tx")
 
     def __init__(self, client: "ClientConnection", command: meta.Command) -> None:
-        self.client, self.command, self.door = client, command, client.front.door
+        self.client, self.command, self.dispatcher = client, command, client.frontend.dispatcher
         self.text: bytes | None = None
         self.flow: Flow | None = None  # the value that is its answer, as it comes
         self.tx = -1
@@ -56,10 +56,10 @@
         self.put(meta.ABANDONED)
 
     def left(self) -> bool:
-        return self.client.ended or self.client.gone()
+        return self.client.ended or self.client.peer_closed()
 
     def put(self, text: bytes) -> None:
-        if not self.client.front.safety.answering(self.text is not None, self.id):
+        if not self.client.frontend.safety.answering(self.text is not None, self.id):
             return
         self.text = text
         self.client.owes_less(self)
@@ -73,11 +73,13 @@
 class ClientConnection(Driver):
     """Thin driver of one client connection. As its transport's pull producer it learns when all is out."""
 
-    front: "Front"
+    frontend: "Frontend"
 
-    def __init__(self, front: "Front") -> None:
-        self.front = front
-        self.machine = meta.ClientSide(front.limits.line, front.limits.value, front.limits.whole)
+    def __init__(self, frontend: "Frontend") -> None:
+        self.frontend = frontend
+        self.machine = meta.ClientSide(
+            frontend.limits.line_bytes, frontend.limits.value_bytes, frontend.limits.stream_above_bytes
+        )
         self.owed: deque[Owed | bytes] = deque()  # bytes: an answer that needed no transaction
         self.crowded = self.closing = self.ended = self.reading = self.answered = False
         self.queued = 0  # bytes that the system has not taken yet
@@ -101,36 +103,36 @@
     def connectionMade(self) -> None:
         super().connectionMade()
         self.transport.registerProducer(self, False)
-        self.front.came(self)
+        self.frontend.came(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.ended = self.released = True
-        self.front.left(self)
-        self.front.sockets.closed(self)
+        self.ended = self.transport_closed = True
+        self.frontend.left(self)
+        self.frontend.sockets.descriptor_freed(self)
         owed, self.owed = self.owed, deque()
         for one in owed:
             if isinstance(one, Owed) and one.flow is not None:
                 one.flow.leave()
             elif isinstance(one, Owed) and one.text is None:
-                one.door.gone(one.tx)
+                one.dispatcher.gone(one.tx)
 
     def rawDataReceived(self, data: bytes) -> None:
         if self.ended or self.closing:
             return
         self.arrived += len(data)
-        self.front.busy(self)
+        self.frontend.busy(self)
         self.read(self.machine.feed(data))
 
     def read(self, items: "list[meta.Item]") -> None:
         """Takes what was read, and writes what is answered by then."""
         self.reading = True
         if items or not self.machine.unproven():
-            self.front.unproven.pop(self, None)
+            self.frontend.unproven.pop(self, None)
         for item in items:
             if isinstance(item, meta.Command):
                 self.taken(item)
             elif isinstance(item, meta.Hello):
-                self.owed.append(self.front.hello)
+                self.owed.append(self.frontend.hello)
             elif isinstance(item, meta.Piece):
                 if self.coming is not None:
                     self.coming.offer(item.data)
@@ -141,7 +143,7 @@
             else:
                 self.bad(item)
         self.reading = False
-        self.moved = self.front.door.now()
+        self.moved = self.frontend.dispatcher.now()
         self.keep()
         self.expect_more()
         self.since = 0
@@ -157,7 +159,7 @@
         if self.moved < self.catch_up_until and arrived >= BLOCKED:
             # The system may have had no room for more: whoever was kept from writing is given a moment to go on.
             self.deadline.spare(self.moved + GO_ON)
-        self.front.waits_for(self)
+        self.frontend.waits_for(self)
 
     def lay_unread(self, goes_on: bool) -> int:
         """How long the last of what was read now had waited for that: before it was accepted, or in a process that was
@@ -166,9 +168,9 @@
         """
         if self.moved < self.catch_up_until:
             most = self.moved - self.last_came
-            return most if goes_on else min(most, self.silence())
-        most = self.front.turn.unread(self.moved, self.first_since())
-        waited = min(most, self.silence()) if most > UNREAD_NOTICED else 0
+            return most if goes_on else min(most, self.receive_idle_ns())
+        most = self.frontend.loop_timing.unread(self.moved, self.first_since())
+        waited = min(most, self.receive_idle_ns()) if most > UNREAD_NOTICED else 0
         if waited > UNREAD_NOTICED:
             # Much that has waited is read in many turns of the loop, of which only the first came late.
             self.last_came, self.catch_up_until = self.moved - waited, self.moved + CATCH_UP
@@ -180,11 +182,11 @@
         if due is None or now < due or self.ended or self.closing or self.held_by_us():
             return False
         # After a stop of the process, or a long turn, this comes before the reading of what came meanwhile.
-        return may_close(CloseReason.REQUEST_OVERDUE, owing=False, unread=self.lies_unread())
+        return may_close(CloseReason.REQUEST_OVERDUE, owing=False, unread=self.has_unread_bytes())
 
     def held_by_us(self) -> bool:
         """Whether it is not read for now, so that its request can't become whole."""
-        return self.unreading
+        return self.reading_paused
 
     def end_request(self, reason: CloseReason = CloseReason.REQUEST_OVERDUE) -> None:
         """Its request was not whole in time: an error in its place behind the answers that are owed, and the close."""
@@ -199,15 +201,15 @@
             self.owed.append(item.line + b"\r\n")
             return
         # A large value that does not end where it should: what was passed on of it is cut off, and never whole.
-        owed.door.gone(owed.tx)
+        owed.dispatcher.gone(owed.tx)
         owed.put(item.line + b"\r\n")
 
     def hold(self, back: bool) -> None:
         """The cache host takes a large value more slowly than it comes, or goes on."""
         if self.ended:
             return
-        self.moved = self.front.door.now()
-        self.pause(back)
+        self.moved = self.frontend.dispatcher.now()
+        self.hold_reading(back)
         self.catch_up_until = 0  # what comes after this has waited for us
         if back:
             self.held_since = self.moved
@@ -219,7 +221,7 @@
         owed, flow = self.pours, self.coming
         self.pours = self.coming = None
         if owed is not None and flow is not None:
-            owed.door.whole(owed.tx)
+            owed.dispatcher.whole(owed.tx)
             flow.finish()
 
     def swallow(self) -> None:
@@ -230,39 +232,41 @@
 
     def keep(self) -> None:
         """Counts what is kept unread."""
-        self.front.kept += len(self.machine.buffer) - self.kept
+        self.frontend.kept += len(self.machine.buffer) - self.kept
         self.kept = len(self.machine.buffer)
-        if self.front.kept > self.front.limits.held:
-            self.front.shed_kept(self)
+        if self.frontend.kept > self.frontend.limits.buffered_bytes:
+            self.frontend.shed_kept(self)
 
     def taken(self, command: meta.Command) -> None:
         owed = Owed(self, command)
         self.owed.append(owed)
         if command.length:
-            self.pours, self.coming = owed, Flow(command.length, self.front.limits.piece, self.hold)
-        now, turn = self.front.door.now(), self.front.turn
+            self.pours, self.coming = owed, Flow(command.length, self.frontend.limits.chunk_bytes, self.hold)
+        now, loop_timing = self.frontend.dispatcher.now(), self.frontend.loop_timing
         # Against more than there is time for: all that is taken makes all else late, past its hard limit too.
-        late = turn.over(now)
+        late = loop_timing.over(now)
         if late:
-            self.front.door.tell("WARNING", "short of CPU: what comes late in a turn of the loop is rolled back")
+            self.frontend.dispatcher.log(
+                "WARNING", "short of CPU: what comes late in a turn of the loop is rolled back"
+            )
         why = self.no_room(late)
         if why is not None:
-            self.front.safety.refuses(why, owed.id)
-            owed.roll_back(self.front.door.about(self.front.limits.come_again))
+            self.frontend.safety.refuses(why, owed.id)
+            owed.roll_back(self.frontend.dispatcher.about(self.frontend.limits.retry_after))
             return
-        self.arrives(command, owed, turn.unread(now, self.first_since()))
+        self.arrives(command, owed, loop_timing.unread(now, self.first_since()))
 
     def no_room(self, late: bool) -> RefuseReason | None:
         """Why a request is refused before the decisions are asked."""
         if self.crowded:
             return RefuseReason.CROWDED
-        if len(self.owed) > self.front.limits.pipelined:
+        if len(self.owed) > self.frontend.limits.pipelined:
             return RefuseReason.PIPELINED
         return RefuseReason.LATE_TURN if late else None
 
     def arrives(self, command: meta.Command, owed: Owed, unread: int) -> None:
         names, left = command.names, max(0, command.ttl_ms * MS - unread)
-        arrival = Arrival(
+        arrival = IncomingTx(
             names["c"],
             self.share(command),
             command.key.decode("latin-1"),
@@ -273,14 +277,14 @@
             self.coming,
             unread,
         )
-        owed.tx = self.front.door.arrived(arrival, owed)
+        owed.tx = self.frontend.dispatcher.arrived(arrival, owed)
         if owed.tx < 0:
             owed.put(b"CLIENT_ERROR unknown profile\r\n")
 
     def first_since(self) -> int:
         """Since when its first bytes may have waited, 0 for no longer than any others."""
         # What came before it was accepted is readable at the very next poll: a client that writes later has not waited.
-        return self.since if self.front.turn.count <= self.turn + 1 else 0
+        return self.since if self.frontend.loop_timing.count <= self.turn + 1 else 0
 
     def share(self, command: meta.Command) -> str:
         """The name of the share of whoever asks."""
@@ -307,7 +311,7 @@
             if self.closing:
                 self.close(self.closes_for)
             else:
-                self.front.idle(self)
+                self.frontend.idle(self)
 
     def pass_on(self, owed: Owed, flow: Flow) -> bool:
         """Writes what has come of a large value, once the system has taken the last of it; whether that is all."""
@@ -330,17 +334,17 @@
 
     def queue(self, data: bytes) -> None:
         self.queued += len(data)
-        self.moved = self.front.door.now()
+        self.moved = self.frontend.dispatcher.now()
         self.transport.write(data)
 
     def write(self, text: bytes) -> None:
         self.queued += len(text)
         self.owing += len(text)
-        self.front.queued += len(text)
-        self.moved = self.front.door.now()
-        if self.queued > self.front.limits.queued:
+        self.frontend.queued += len(text)
+        self.moved = self.frontend.dispatcher.now()
+        if self.queued > self.frontend.limits.queued_bytes:
             self.abort(CloseReason.ANSWERS_UNREAD)
-        elif self.front.queued > self.front.limits.held:
+        elif self.frontend.queued > self.frontend.limits.buffered_bytes:
             self.abort(CloseReason.MEMORY)
         else:
             self.transport.write(text)
@@ -352,43 +356,43 @@
     def close(self, reason: CloseReason) -> None:
         """Ends the connection once what is written has been taken."""
         if not self.ended:
-            self.front.safety.closing(reason, self.owed_ids())
+            self.frontend.safety.closing(reason, self.owed_ids())
             self.ended = True
-            self.finish()
+            self.close_after_write()
 
     def abort(self, reason: CloseReason) -> None:
         """Ends the connection at once, with what is queued on it."""
         if not self.ended:
-            self.front.safety.closing(reason, self.owed_ids())
+            self.frontend.safety.closing(reason, self.owed_ids())
         self.ended = True
         self.transport.abortConnection()
 
     def resumeProducing(self) -> None:
         """The system has taken all answers written so far."""
         if self.queued:
-            self.front.queued -= self.owing
+            self.frontend.queued -= self.owing
             self.queued = self.owing = self.untaken_since = 0
-            self.moved = self.front.door.now()
+            self.moved = self.frontend.dispatcher.now()
             first = self.owed[0] if self.owed else None
             if isinstance(first, Owed) and first.flow is not None:
                 self.flush()
             else:
-                self.front.idle(self)
+                self.frontend.idle(self)
 
     def stopProducing(self) -> None:
         pass
 
     def stalled(self) -> bool:
         """It takes none of its answers, or is held back from a request that gets nowhere."""
-        now = self.front.door.now()
+        now = self.frontend.dispatcher.now()
         if self.queued:
-            return self.untaken(now) > self.front.limits.stalled
-        half = self.ended or (self.unreading and not self.machine.quiet())
-        return half and now - self.moved > self.front.limits.stalled
+            return self.untaken(now) > self.frontend.limits.stall_timeout
+        half = self.ended or (self.reading_paused and not self.machine.quiet())
+        return half and now - self.moved > self.frontend.limits.stall_timeout
 
     def untaken(self, now: int) -> int:
         """For how long the system has taken none of what is queued. What is read or queued meanwhile is no progress."""
-        taken = self.transport.taken
-        if not self.untaken_since or taken != self.taken_before or self.front.turn.stood_still(now):
+        taken = self.transport.bytes_taken
+        if not self.untaken_since or taken != self.taken_before or self.frontend.loop_timing.stood_still(now):
             self.untaken_since, self.taken_before = now, taken
         return now - self.untaken_since
--- a/ternquay/net/door.py
+++ b/ternquay/net/dispatcher.py
@@ -1,7 +1,7 @@
 """Between a front, the decisions and the connections to cache hosts: indices, events, actions, timers.
 
 A front hands in arrivals and gets one answer for each through its Asker; the pool carries hops out and says
-how each ended. No protocol is known here, so a second front can go through the same door.
+how each ended. No protocol is known here, so a second front can go through the same dispatcher.
 """
 
 from collections import deque
@@ -13,16 +13,16 @@
 from loguru import logger
 
 from ternquay import model as m
-from ternquay.balance import FORGET, Balancer
-from ternquay.facts import Names
-from ternquay.net.flood import Flood
+from ternquay.balance import FORGET_HOST_AFTER_NS, Balancer
+from ternquay.facts import NameTable
 from ternquay.net.flow import Flow
 from ternquay.net.limits import SECOND, Limits
-from ternquay.net.listing import Address, Member
+from ternquay.net.listing import Address, HostEntry
+from ternquay.net.log_limiter import LogRateLimiter
 from ternquay.net.safety import Attempt, RefuseReason, Safety
 
 
-class Call(Protocol):
+class DelayedCall(Protocol):
     def active(self) -> bool: ...
 
     def cancel(self) -> None: ...
@@ -33,15 +33,15 @@
 
     def seconds(self) -> float: ...
 
-    def callLater(self, delay: float, callable: Callable[..., object], *args: Any) -> Call: ...
+    def callLater(self, delay: float, callable: Callable[..., object], *args: Any) -> DelayedCall: ...
 
 
-def unschedule(call: Call | None) -> None:
+def cancel_call(call: DelayedCall | None) -> None:
     if call is not None and call.active():
         call.cancel()
 
 
-class Asker(Protocol):
+class Requester(Protocol):
     """Whoever is owed the answer."""
 
     def commit(self, answer: Any) -> None: ...
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Arrival:
+class IncomingTx:
     profile: str
     share: str
     key: str
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Outgoing:
+class OutgoingHop:
     """One hop that is out: what the pool has in hand."""
 
     tx: "OpenTx"
@@ -82,7 +82,7 @@
     sent: int
     not_past: int
     begin_by: int = 0  # 0: no matter when
-    call: Call | None = None
+    call: DelayedCall | None = None
     ended: bool = False
     written: bool = False  # its last byte may have left
     waited: bool = False  # for a poll, as the process had stood still when it was decided
@@ -92,9 +92,9 @@
 @dataclass(slots=True, eq=False)
 class OpenTx:
     id: int
-    asker: Asker
+    requester: Requester
     message: Any
-    hops: list[Outgoing] = field(default_factory=list)
+    hops: list[OutgoingHop] = field(default_factory=list)
     out: int = 0
     answered: bool = False
     flow: Flow | None = None  # of a value that goes through as it comes
@@ -102,15 +102,15 @@
     seen: int = 0  # when who asked was last known to be there
     ttl: int = 0
     whole: bool = True
-    call: Call | None = None
+    call: DelayedCall | None = None
 
 
-class Carrier(Protocol):
-    """Takes hops to cache hosts, and tells hop_ended() of each that the door did not give up."""
+class HopTransport(Protocol):
+    """Takes hops to cache hosts, and tells hop_ended() of each that the dispatcher did not give up."""
 
-    def send(self, hop: Outgoing) -> None: ...
+    def send(self, hop: OutgoingHop) -> None: ...
 
-    def give_up(self, hop: Outgoing) -> None: ...
+    def give_up(self, hop: OutgoingHop) -> None: ...
 
     def listed(self, index: int, address: Address, ready: bool) -> None: ...
 
@@ -119,22 +119,22 @@
     def unlisted(self, index: int) -> None: ...
 
 
-class Door:
+class Dispatcher:
     def __init__(
-        self, clock: Clock, start: m.Started, names: Names, limits: Limits, decisions: type[Balancer] = Balancer
+        self, clock: Clock, start: m.Config, names: NameTable, limits: Limits, decisions: type[Balancer] = Balancer
     ) -> None:
         self.clock, self.names, self.limits = clock, names, limits
         self.start = start
-        self.tell = Flood(clock.seconds, limits.flood).tell
-        self.safety = Safety(self.now, self.tell)
+        self.log = LogRateLimiter(clock.seconds, limits.warning_interval).log
+        self.safety = Safety(self.now, self.log)
         self.balancer = decisions(start)
-        self.timer: Call | None = None  # the decisions' one
-        self.draw = Random(f"{start.seed}.{start.number}")
-        self.pool: Carrier
+        self.timer: DelayedCall | None = None  # the decisions' one
+        self.draw = Random(f"{start.seed}.{start.balancer_index}")
+        self.pool: HopTransport
         self.stood_still: Callable[[int], bool] = lambda now: False
         self.watch: Callable[[], None] = lambda: None
         self.hosts: dict[str, int] = {}
-        self.members: dict[str, Member] = {}  # the list as it stands
+        self.members: dict[str, HostEntry] = {}  # the list as it stands
         self.doubted: dict[str, int] = {}  # since when the list lacks them, where gone is advice
         self.part = 1.0  # of what a cold cache host takes of this balancer
         self.crowded = False  # more cache hosts than sockets for them
@@ -147,7 +147,7 @@
     def now(self) -> int:
         return int(self.clock.seconds() * SECOND)
 
-    def later(self, at: int, what: Callable[..., None], *args: Any) -> Call:
+    def later(self, at: int, what: Callable[..., None], *args: Any) -> DelayedCall:
         return self.clock.callLater(max(0, at - self.now()) / SECOND, what, *args)
 
     def about(self, span: int) -> int:
@@ -174,7 +174,7 @@
         try:
             actions = self.balancer.decide(self.now(), event)
         except Exception:
-            self.tell("ERROR", "the decisions failed on {}", type(event).__name__, trace=True)
+            self.log("ERROR", "the decisions failed on {}", type(event).__name__, trace=True)
             # What they had decided by then they count on: a hop that is not heard of again would be out for ever.
             actions, failed = self.balancer.actions if self.balancer.actions is not before else [], True
         for action in actions:
@@ -182,44 +182,44 @@
                 self._act(action)
             except Exception:
                 # One that fails takes no others with it: another's answer, or the timer of all.
-                self.tell("ERROR", "{} failed", type(action).__name__, trace=True)
+                self.log("ERROR", "{} failed", type(action).__name__, trace=True)
                 if isinstance(action, m.SendHop):
                     self._failed(action)
         if failed and isinstance(event, m.TxArrived):
             self._abandon(event.tx)
-            self.events.append(m.TxGone(event.tx))
+            self.events.append(m.ClientGone(event.tx))
 
     def _failed(self, a: m.SendHop) -> None:
         """A hop that could not be sent has ended, as far as anything of it is out."""
         tx = self.txs.get(a.tx)
         if tx is not None and tx.hops and not tx.hops[-1].ended:
-            self.hop_ended(tx.hops[-1], m.End.RESET if tx.hops[-1].written else m.End.SKIPPED)
+            self.hop_ended(tx.hops[-1], m.HopOutcome.RESET if tx.hops[-1].written else m.HopOutcome.SKIPPED)
 
     def _act(self, a: m.Action) -> None:
         if isinstance(a, m.SendHop):
             self._send(a)
         elif isinstance(a, m.SetTimer):
             # A little late, as rounding may not make it early, and after the hops that end at that time.
-            unschedule(self.timer)
+            cancel_call(self.timer)
             self.timer = self.later(a.at + 2000, self.happened, m.TimerFired())
         elif isinstance(a, m.RollBack):
             tx = self.txs.get(a.tx)
             if tx is not None and not tx.answered:
                 self._answered(tx)
-                self.safety.refuses(RefuseReason.DECISIONS, tx.asker.id)
-                tx.asker.roll_back(a.backoff)
+                self.safety.refuses(RefuseReason.DECISIONS, tx.requester.id)
+                tx.requester.roll_back(a.backoff)
         elif isinstance(a, m.Abandon):
             self._abandon(a.tx)
         elif isinstance(a, m.CancelHop):
             tx = self.txs.get(a.tx)
             if tx is not None and not tx.hops[a.hop].ended:
-                self._give_up(tx.hops[a.hop], m.End.CANCELLED)
+                self._give_up(tx.hops[a.hop], m.HopOutcome.CANCELLED)
         else:
             self.watch()
 
     # ---- a transaction ----
 
-    def arrived(self, arrival: Arrival, asker: Asker) -> int:
+    def arrived(self, arrival: IncomingTx, asker: Requester) -> int:
         """Takes a transaction; the asker is answered once, maybe before this returns. -1: no such profile."""
         profile = self.names.profiles.get(arrival.profile)
         if profile is None:
@@ -228,9 +228,9 @@
             self.next_tx, asker, arrival.message, flow=arrival.flow, came=self.now(), whole=arrival.flow is None
         )
         self.next_tx += 1
-        if len(self.txs) >= self.limits.open_txs or self.held > self.limits.held:
+        if len(self.txs) >= self.limits.open_txs or self.held > self.limits.buffered_bytes:
             self.safety.refuses(RefuseReason.REQUESTS, asker.id)
-            asker.roll_back(self.about(self.limits.come_again))
+            asker.roll_back(self.about(self.limits.retry_after))
             return tx.id
         tx.seen = tx.came - arrival.unread
         self.txs[tx.id] = tx
@@ -268,7 +268,7 @@
             if not hop.ended:
                 hop.sent, hop.not_past = now, hop.not_past + now - tx.came
                 self._time(hop)
-        self.happened(m.TxWhole(tx.id))
+        self.happened(m.TxFullyReceived(tx.id))
 
     def gone(self, number: int) -> None:
         """The client has gone away: no answer is owed any more."""
@@ -278,24 +278,24 @@
             if not tx.whole:
                 # The rest of it never comes, whatever may be cancelled: what is half written is cut off.
                 for hop in [hop for hop in tx.hops if not hop.ended]:
-                    self._give_up(hop, m.End.CANCELLED)
-            self.happened(m.TxGone(number))
+                    self._give_up(hop, m.HopOutcome.CANCELLED)
+            self.happened(m.ClientGone(number))
 
     def _overdue(self, tx: OpenTx) -> None:
         if not tx.answered:
-            self.tell("ERROR", "a transaction was not answered by its hard limit")
+            self.log("ERROR", "a transaction was not answered by its hard limit")
             self._abandon(tx.id)
-            self.happened(m.TxGone(tx.id))
+            self.happened(m.ClientGone(tx.id))
 
     def _abandon(self, number: int) -> None:
         tx = self.txs.get(number)
         if tx is not None and not tx.answered:
             self._answered(tx)
-            tx.asker.abandon()
+            tx.requester.abandon()
 
     def _answered(self, tx: OpenTx) -> None:
         tx.answered = True
-        unschedule(tx.call)
+        cancel_call(tx.call)
         self.held -= tx.message.size()
         if not tx.out:
             del self.txs[tx.id]
@@ -306,11 +306,11 @@
         tx, now = self.txs.get(a.tx), self.now()
         if tx is None:
             return
-        hop = Outgoing(tx, len(tx.hops), a.host, now, a.not_past, a.begin_by)
+        hop = OutgoingHop(tx, len(tx.hops), a.host, now, a.deadline, a.begin_by)
         tx.hops.append(hop)
         tx.out += 1
-        if tx.answered or hop.number >= self.start.most_hops or a.not_past <= now:
-            self.hop_ended(hop, m.End.SKIPPED)
+        if tx.answered or hop.number >= self.start.max_hops or a.deadline <= now:
+            self.hop_ended(hop, m.HopOutcome.SKIPPED)
             return
         if tx.whole:
             self._time(hop)
@@ -322,11 +322,11 @@
         else:
             self.pool.send(hop)
 
-    def _go(self, hop: Outgoing) -> None:
+    def _go(self, hop: OutgoingHop) -> None:
         if not hop.ended:
             self.pool.send(hop)
 
-    def may_begin(self, hop: Outgoing) -> bool:
+    def may_begin(self, hop: OutgoingHop) -> bool:
         """The last question before the first byte of a hop, as what was decided may have waited for a dial or a place.
 
         Nothing more of a tx that has its answer, also where hops may not be cancelled; no repeat past the time for
@@ -340,43 +340,43 @@
             hop.begin_by,
             stale=not hop.waited and self.stood_still(self.now()),
         )
-        return self.safety.may_begin(attempt, lambda: self._departed(hop.tx), hop.tx.asker.id) is None
+        return self.safety.may_begin(attempt, lambda: self._departed(hop.tx), hop.tx.requester.id) is None
 
     def _departed(self, tx: OpenTx) -> bool:
         """Whether the client has gone, as far as the system knows."""
         now = self.now()
-        if now - tx.seen <= self.limits.present:
+        if now - tx.seen <= self.limits.presence_check_after:
             return False
-        if tx.asker.left():
+        if tx.requester.left():
             self.gone(tx.id)
             return True
         tx.seen = now
         return False
 
-    def _time(self, hop: Outgoing) -> None:
-        hop.call = self.later(hop.not_past + 1000, self._give_up, hop, m.End.TIMED_OUT)
+    def _time(self, hop: OutgoingHop) -> None:
+        hop.call = self.later(hop.not_past + 1000, self._give_up, hop, m.HopOutcome.TIMED_OUT)
 
-    def _give_up(self, hop: Outgoing, end: m.End) -> None:
+    def _give_up(self, hop: OutgoingHop, end: m.HopOutcome) -> None:
         hop.ended = True
         self.pool.give_up(hop)
         if not hop.written:
             # It has provably not run, whatever kept it; that its client went tells nothing of the cache host.
-            end = m.End.SKIPPED if end is m.End.CANCELLED else m.End.UNREACHABLE
+            end = m.HopOutcome.SKIPPED if end is m.HopOutcome.CANCELLED else m.HopOutcome.UNREACHABLE
         self._ended(hop, end)
 
-    def hop_ended(self, hop: Outgoing, end: m.End, answer: Any = None, note: int = 0) -> None:
+    def hop_ended(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
         """From the pool; what comes after the end, as a late answer, is dropped."""
         if not hop.ended:
             hop.ended = True
             self._ended(hop, end, answer, note)
 
-    def _ended(self, hop: Outgoing, end: m.End, answer: Any = None, note: int = 0) -> None:
-        unschedule(hop.call)
+    def _ended(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
+        cancel_call(hop.call)
         tx = hop.tx
         tx.out -= 1
-        if end is m.End.DONE and not tx.answered:
+        if end is m.HopOutcome.DONE and not tx.answered:
             self._answered(tx)
-            tx.asker.commit(answer)
+            tx.requester.commit(answer)
         else:
             if isinstance(answer, Flow):
                 answer.leave()  # another hop was first, or nobody waits any more
@@ -386,24 +386,24 @@
 
     # ---- figures and the list ----
 
-    def refigured(self, start: m.Started, names: Names, limits: Limits) -> None:
+    def refigured(self, start: m.Config, names: NameTable, limits: Limits) -> None:
         """Other profiles, rules or limits from now on; what is open ends by those that it was taken with."""
         self.start, self.names, self.limits = start, names, limits
         self.happened(start)
 
-    def list_told(self, whole: bool, members: tuple[Member, ...]) -> None:
-        doubted: tuple[m.Listed, ...] = ()
-        if self.start.gone_is_advice:
+    def list_told(self, whole: bool, members: tuple[HostEntry, ...]) -> None:
+        doubted: tuple[m.ListedHost, ...] = ()
+        if self.start.gone_is_advisory:
             members, doubted = self._advised(whole, members)
             whole = False
-        gone = {member.id for member in members if member.standing is m.Standing.GONE} & self.hosts.keys()
+        gone = {member.id for member in members if member.status is m.HostStatus.GONE} & self.hosts.keys()
         if whole:
             gone |= self.hosts.keys() - {member.id for member in members}
         # One that is gone and never was known here is nobody's: ids are ever new, and would be kept for ever.
-        members = tuple(x for x in members if x.standing is not m.Standing.GONE or x.id in gone)
+        members = tuple(x for x in members if x.status is not m.HostStatus.GONE or x.id in gone)
         lines = tuple(self._line(member) for member in members)
         for line, member in zip(lines, members, strict=True):
-            self.pool.listed(line.host, member.where, line.standing is m.Standing.READY)
+            self.pool.listed(line.host, member.address, line.status is m.HostStatus.READY)
         if whole:
             self.members = {}
         self.members.update((member.id, member) for member in members)
@@ -425,30 +425,32 @@
             if self.crowded:
                 logger.warning("more cache hosts than sockets for them: {} and {}", len(self.hosts), room)
 
-    def _advised(self, whole: bool, members: tuple[Member, ...]) -> tuple[tuple[Member, ...], tuple[m.Listed, ...]]:
+    def _advised(
+        self, whole: bool, members: tuple[HostEntry, ...]
+    ) -> tuple[tuple[HostEntry, ...], tuple[m.ListedHost, ...]]:
         """Where gone is advice: what the list names, and lines for what it lacks or calls gone.
 
         The decisions are told of those; here they stay as they are, and can be reached, until they are forgotten.
         """
-        named = {x.id for x in members if x.standing is not m.Standing.GONE}
+        named = {x.id for x in members if x.status is not m.HostStatus.GONE}
         lacks = ({x.id for x in members} - named) & self.hosts.keys() | (self.hosts.keys() - named if whole else set())
         for name in named:
             self.doubted.pop(name, None)
         if lacks and not self.doubted:
-            self.later(self.now() + FORGET + SECOND, self._forget)
+            self.later(self.now() + FORGET_HOST_AFTER_NS + SECOND, self._forget)
         for name in lacks:
             self.doubted.setdefault(name, self.now())
-        lines = tuple(replace(self._line(self.members[name]), standing=m.Standing.GONE) for name in sorted(lacks))
+        lines = tuple(replace(self._line(self.members[name]), status=m.HostStatus.GONE) for name in sorted(lacks))
         return tuple(x for x in members if x.id in named), lines
 
     def _forget(self) -> None:
         """Hosts that the list has lacked for so long that the decisions have forgotten them."""
-        before = self.now() - FORGET - SECOND
+        before = self.now() - FORGET_HOST_AFTER_NS - SECOND
         for name in [name for name, since in self.doubted.items() if since <= before]:
             del self.doubted[name], self.members[name]
             self.pool.unlisted(self.hosts.pop(name))
         if self.doubted:
-            self.later(min(self.doubted.values()) + FORGET + SECOND, self._forget)
+            self.later(min(self.doubted.values()) + FORGET_HOST_AFTER_NS + SECOND, self._forget)
 
     def beside(self, part: float) -> None:
         """Another process of this balancer sends to the same cache hosts, or does no more."""
@@ -456,19 +458,19 @@
             self.part = part
             self.list_told(True, tuple(self.members.values()))
 
-    def _line(self, member: Member) -> m.Listed:
+    def _line(self, member: HostEntry) -> m.ListedHost:
         # The id stands for the host: it is the same at every balancer, where the address may differ.
         if member.id not in self.hosts:
             self.hosts[member.id] = self.next_host
             self.next_host += 1
-        return m.Listed(
+        return m.ListedHost(
             host=self.hosts[member.id],
             address=member.id,
             zone=self.names.zones.get(member.zone, -1),
             kind=self.names.kinds.get(member.kind, -1),
             cell=member.cell,
-            standing=member.standing,
-            hint=member.hint,
-            since=member.since,
-            part=member.part * self.part,
+            status=member.status,
+            weight=member.weight,
+            started_at=member.started_at,
+            cold_fraction=member.cold_fraction * self.part,
         )
--- a/ternquay/net/driver.py
+++ b/ternquay/net/driver.py
@@ -1,4 +1,4 @@
-"""What the drivers of both sides share: a LineReceiver in raw mode, which keeps no bytes itself."""
+"""The base of connections to clients and to cache hosts: a LineReceiver in raw mode, which buffers nothing itself."""
 
 from contextlib import suppress
 from select import POLLERR, POLLHUP, POLLRDHUP, poll
@@ -8,23 +8,26 @@
 
 from twisted.protocols.basic import LineReceiver
 
-LAST_DATA = Struct("=52xI")  # of the kernel's tcp_info: milliseconds since data last came (tcpi_last_data_recv)
-MILLISECOND = 1_000_000  # nanoseconds
+# The field tcpi_last_data_recv of the kernel's struct tcp_info: milliseconds since data last arrived.
+TCP_INFO_LAST_DATA = Struct("=52xI")
+NS_PER_MS = 1_000_000
 
 
 class Driver(LineReceiver):
-    line_mode = 0  # raw from the first byte: the state machine has the one buffer
+    """The protocol of a TCP connection, with what the operating system knows about its unread bytes and its peer."""
+
+    line_mode = 0  # raw from the first byte: the only buffer is that of the state machine
     transport: Any
-    released = False  # the transport has closed it
-    unreading = False  # nothing is read for now; `paused` is the library's, which then keeps what comes to itself
+    transport_closed = False  # the transport has closed the connection
+    reading_paused = False  # unlike Twisted's attribute `paused`, with which it would buffer arriving bytes itself
 
     def connectionMade(self) -> None:
-        # An option that can't be set makes small writes later, and nothing wrong. The library would log a traceback.
+        # Without the option small writes are delayed, which is no error. Twisted would log a traceback of an exception.
         with suppress(OSError):
             self.transport.getHandle().setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
 
-    def _unread(self) -> bytes | None:
-        """The first byte that has come and was not read, b"" for the other side's end, None for nothing."""
+    def _peek(self) -> bytes | None:
+        """Returns the first unread byte without reading it, b"" if the peer has closed, None if nothing is unread."""
         try:
             handle: socket = self.transport.getHandle()
             return handle.recv(1, MSG_PEEK | MSG_DONTWAIT)
@@ -33,52 +36,52 @@
         except OSError:
             return b""
 
-    def untouched(self) -> bool:
-        """Whether nothing has come that was not read yet, neither bytes nor the other side's end."""
-        return self._unread() is None
+    def nothing_unread(self) -> bool:
+        """Returns whether neither bytes nor a close of the peer have arrived unread."""
+        return self._peek() is None
 
-    def lies_unread(self) -> bool:
-        """Whether bytes have come that the loop is about to read."""
-        return not self.unreading and bool(self._unread())
+    def has_unread_bytes(self) -> bool:
+        """Returns whether bytes have arrived that the loop is about to read."""
+        return not self.reading_paused and bool(self._peek())
 
-    def silence(self) -> int:
-        """For how many nanoseconds nothing has come, as the system knows; 0 where it does not tell."""
+    def receive_idle_ns(self) -> int:
+        """Returns the nanoseconds since data last arrived, or 0 if the operating system does not tell."""
         try:
-            told = self.transport.getHandle().getsockopt(IPPROTO_TCP, TCP_INFO, LAST_DATA.size)
+            info = self.transport.getHandle().getsockopt(IPPROTO_TCP, TCP_INFO, TCP_INFO_LAST_DATA.size)
         except OSError:
             return 0
-        return int(LAST_DATA.unpack(told)[0]) * MILLISECOND if len(told) == LAST_DATA.size else 0
+        return int(TCP_INFO_LAST_DATA.unpack(info)[0]) * NS_PER_MS if len(info) == TCP_INFO_LAST_DATA.size else 0
 
-    def gone(self) -> bool:
-        """Whether the other side has closed, also behind bytes that were not read yet."""
-        first = self._unread()
+    def peer_closed(self) -> bool:
+        """Returns whether the peer has closed, even if unread bytes arrived before the close."""
+        first = self._peek()
         if not first:
             return first is not None
-        asked = poll()
-        asked.register(self.transport.getHandle().fileno(), POLLRDHUP)
-        return any(found & (POLLRDHUP | POLLHUP | POLLERR) for _, found in asked.poll(0))
+        poller = poll()
+        poller.register(self.transport.getHandle().fileno(), POLLRDHUP)
+        return any(events & (POLLRDHUP | POLLHUP | POLLERR) for _, events in poller.poll(0))
 
-    def shut(self) -> bool:
-        """Ends an idle connection at once, unless bytes have come that were not read: they would be lost.
+    def close_if_nothing_unread(self) -> bool:
+        """Closes an idle connection at once and returns True, unless unread bytes have arrived, which would be lost.
 
-        In one step, as the transport closes only a turn later, and a command may come in between.
+        The socket is shut down here, as the transport closes only a turn later and a command may arrive before that.
         """
-        if self._unread():
+        if self._peek():
             return False
         with suppress(OSError):
             self.transport.getHandle().shutdown(SHUT_RDWR)
-        self.finish()
+        self.close_after_write()
         return True
 
-    def pause(self, back: bool) -> None:
-        """Reads no more for now, or goes on."""
-        self.unreading = back
-        if back:
+    def hold_reading(self, paused: bool) -> None:
+        """Pauses or resumes reading."""
+        self.reading_paused = paused
+        if paused:
             self.transport.pauseProducing()
         else:
             self.transport.resumeProducing()
 
-    def finish(self) -> None:
-        """Closes once all is written; with a producer the transport never would."""
+    def close_after_write(self) -> None:
+        """Closes the connection once all bytes are written. The transport never would while it has a producer."""
         self.transport.unregisterProducer()
         self.transport.loseConnection()
--- a/ternquay/net/sockets.py
+++ b/ternquay/net/sockets.py
@@ -1,4 +1,4 @@
-"""Counts the sockets of clients and cache hosts together, and sheds idle ones when there are too many."""
+"""Counts the sockets of clients and cache hosts together, and closes idle ones when there are too many."""
 
 from collections.abc import Callable
 
@@ -6,34 +6,38 @@
 
 
 class Sockets:
+    """The count of open sockets and its limits."""
+
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self.clients = 0
         self.hosts = 0
-        self.most = max(1, limits.sockets + limits.spare)
-        self.ceiling = self.most  # lower while another process has a part of the whole
-        # Counted no more, but the library closes them a turn later, so that the system counts them still.
+        self.total = max(1, limits.sockets + limits.spare)
+        self.ceiling = self.total  # lower while another process uses a part of the total
+        # No longer counted, but still open: Twisted closes them a turn later.
         self.closing: set[object] = set()
-        # Each closes the one that has been idle longest and says if there was one.
-        self.shed_client: Callable[[], bool] = lambda: False
-        self.shed_host: Callable[[], bool] = lambda: False
-        self.has_room: Callable[[], None] = lambda: None
+        # Each closes the connection that has been idle longest and returns whether there was one.
+        self.close_idle_client: Callable[[], bool] = lambda: False
+        self.close_idle_host: Callable[[], bool] = lambda: False
+        self.on_room: Callable[[], None] = lambda: None
 
-    def all(self) -> int:
+    def open_count(self) -> int:
+        """Returns the number of connections of clients and to cache hosts."""
         return self.clients + self.hosts
 
     def room(self) -> int:
-        """For clients and cache hosts together, without the spare."""
+        """Returns the limit for clients and cache hosts together, without the spare sockets."""
         return min(self.limits.sockets, self.ceiling - self.spare())
 
     def spare(self) -> int:
-        """For clients that come when all is full: they are told so and closed."""
-        return self.limits.spare * self.ceiling // self.most
+        """Returns the number of sockets for clients that are only refused and closed."""
+        return self.limits.spare * self.ceiling // self.total
 
-    def clients_most(self) -> int:
-        return self.limits.clients * self.ceiling // self.most
+    def max_clients(self) -> int:
+        """Returns the limit for clients, without the spare sockets."""
+        return self.limits.clients * self.ceiling // self.total
 
-    def client_left(self) -> None:
+    def client_closed(self) -> None:
         self.clients -= 1
 
     def host_opened(self) -> None:
@@ -42,39 +46,39 @@
     def host_closed(self) -> None:
         self.hosts -= 1
 
-    def closed(self, connection: object) -> None:
-        """Now the system has it back."""
+    def descriptor_freed(self, connection: object) -> None:
+        """The operating system has closed the socket."""
         self.closing.discard(connection)
-        self.has_room()
+        self.on_room()
 
-    def _shed(self) -> bool:
-        # A connection to a cache host goes first: to close a client's may cross what it sends.
-        return self.shed_host() or self.shed_client()
+    def _close_idle(self) -> bool:
+        # Connections to cache hosts first: the close of a client's connection may cross its next command.
+        return self.close_idle_host() or self.close_idle_client()
 
-    def lower(self, ceiling: int) -> None:
-        """Another ceiling; what idles beyond it is closed now, the rest as it ends."""
+    def set_ceiling(self, ceiling: int) -> None:
+        """Sets the ceiling. Idle connections beyond it are closed now; the others count until they end."""
         self.ceiling = ceiling
-        while self.all() > ceiling and self._shed():
+        while self.open_count() > ceiling and self._close_idle():
             pass
 
-    def client_came(self) -> bool:
-        """Counts a client; whether there is room to serve it."""
+    def client_opened(self) -> bool:
+        """Counts a client. Returns whether there is room to serve it, after closing an idle connection if needed."""
         self.clients += 1
-        room = self.room()
-        if self.clients > self.clients_most():
-            self.shed_client()
-        elif self.all() > room:
-            self._shed()
-        return self.clients <= self.clients_most() and self.all() <= room
+        limit = self.room()
+        if self.clients > self.max_clients():
+            self.close_idle_client()
+        elif self.open_count() > limit:
+            self._close_idle()
+        return self.clients <= self.max_clients() and self.open_count() <= limit
 
     def full(self) -> bool:
-        """Whether not even a client that is only told so fits: then no more are accepted."""
-        return self.left() <= 0
+        """Returns whether all sockets are in use, spare ones included, so that no client can be accepted."""
+        return self.remaining() <= 0
 
-    def left(self) -> int:
-        """How many clients fit that are at least told that it is full."""
-        return self.room() + self.spare() - self.all() - len(self.closing)
+    def remaining(self) -> int:
+        """Returns how many clients can be accepted, if only to be refused."""
+        return self.room() + self.spare() - self.open_count() - len(self.closing)
 
-    def may_open(self) -> bool:
-        """Whether one more connection to a cache host may be opened."""
-        return (self.all() < self.room() or self._shed()) and self.left() > 0
+    def may_open_host(self) -> bool:
+        """Returns whether a connection to a cache host may be opened, after closing an idle connection if needed."""
+        return (self.open_count() < self.room() or self._close_idle()) and self.remaining() > 0
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,6 +1,6 @@
-"""Plays events into one balancer and compares what was decided with a trace that people have read.
+"""Test fixtures: a balancer, or a whole proxy without sockets, whose actions are compared with a reviewed trace.
 
-UPDATE_TRACES=1 writes the traces anew; read the difference before you commit it.
+UPDATE_TRACES=1 rewrites the traces in tests/traces; review the difference before committing it.
 """
 
 import os
@@ -16,114 +16,123 @@
 
 from ternquay import model as m
 from ternquay.balance import MS, SECOND, Balancer
-from ternquay.facts import Names, read_start
-from ternquay.net.door import Door
-from ternquay.net.driver import LAST_DATA
-from ternquay.net.front import Front
-from ternquay.net.limits import fill
-from ternquay.net.listing import read_list
+from ternquay.facts import NameTable, parse_deployment
+from ternquay.net.dispatcher import Dispatcher
+from ternquay.net.driver import TCP_INFO_LAST_DATA
+from ternquay.net.frontend import Frontend
+from ternquay.net.limits import derive_limits
+from ternquay.net.listing import parse_list
+from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.pool import Pool
 from ternquay.net.sockets import Sockets
-from ternquay.net.turn import Turn
 
-READ = m.Profile(m.Kind.IDEMPOTENT, m.Scope.ALL, 0, 600 * MS, 1500 * MS, 0.0)
-MARKED = replace(READ, kind=m.Kind.JOURNALLED, memory=300 * MS)
-ONCE = replace(READ, kind=m.Kind.NON_IDEMPOTENT)
-START = m.Started(
+IDEMPOTENT = m.Profile(m.Semantics.IDEMPOTENT, m.DedupScope.ALL, 0, 600 * MS, 1500 * MS, 0.0)
+JOURNALLED = replace(IDEMPOTENT, semantics=m.Semantics.JOURNALLED, dedup_window=300 * MS)
+NON_IDEMPOTENT = replace(IDEMPOTENT, semantics=m.Semantics.NON_IDEMPOTENT)
+CONFIG = m.Config(
     seed=7,
-    balancers=2,
-    number=0,
-    profiles=(READ, MARKED, ONCE, replace(MARKED, scope=m.Scope.ZONE)),
+    balancer_count=2,
+    balancer_index=0,
+    profiles=(IDEMPOTENT, JOURNALLED, NON_IDEMPOTENT, replace(JOURNALLED, dedup_scope=m.DedupScope.ZONE)),
     quotas=(4.0, 1000.0),
-    aside=False,
+    cache_aside=False,
     origin_kind=-1,
     watch_list=False,
-    cancel=True,
-    parallel=True,
-    most_hops=4,
-    weights=m.Weights.NONE,
+    can_cancel=True,
+    parallel_hops=True,
+    max_hops=4,
+    weight_mode=m.WeightMode.NONE,
     max_backoff=SECOND,
-    quantum=5 * MS,
+    clock_quantum=5 * MS,
     cold_share=0.2,
-    warm_within=20 * SECOND,
-    tip_multiple=3.0,
-    tip_window=SECOND,
+    warm_up_time=20 * SECOND,
+    overload_multiple=3.0,
+    overload_window=SECOND,
 )
-T0 = 1000 * SECOND
+T0 = 1000 * SECOND  # time at the start of a scenario
 TRACES = Path(__file__).parent / "traces"
 
 
-def line(host: int, standing: m.Standing = m.Standing.READY, since: int = 0, kind: int = 0) -> m.Listed:
-    return m.Listed(host, f"10.0.0.{host}:80", host % 2, kind, host % 2, standing, 1.0, since)
+def listed_host(
+    host: int, status: m.HostStatus = m.HostStatus.READY, started_at: int = 0, kind: int = 0
+) -> m.ListedHost:
+    return m.ListedHost(host, f"10.0.0.{host}:80", host % 2, kind, host % 2, status, 1.0, started_at)
 
 
-def same(name: str, trace: list[str]) -> None:
-    path, text = TRACES / f"{name}.txt", "\n".join(trace) + "\n"
+def check_trace(name: str, trace: list[str]) -> None:
+    """Compare a trace with the reviewed one of that name."""
+    path, actual = TRACES / f"{name}.txt", "\n".join(trace) + "\n"
     if os.environ.get("UPDATE_TRACES"):
-        path.write_text(text)
-    assert text == path.read_text()
+        path.write_text(actual)
+    assert actual == path.read_text()
 
 
-class Play:
-    """One balancer, a clock, and the trace of both."""
+class Scenario:
+    """One balancer with a simulated clock, and a trace of its events and actions."""
 
-    def __init__(self, hosts: int = 4, *, origin: bool = False, **terms: Any) -> None:
+    def __init__(self, hosts: int = 4, *, origin: bool = False, **overrides: Any) -> None:
         if origin:
-            terms |= {"aside": True, "origin_kind": 1}
-        self.balancer = Balancer(replace(START, **terms))
-        self.now, self.due, self.tx = T0, 0, 0
+            overrides |= {"cache_aside": True, "origin_kind": 1}
+        self.balancer = Balancer(replace(CONFIG, **overrides))
+        self.now, self.timer_at, self.last_tx = T0, 0, 0
         self.trace: list[str] = []
         self.hops: dict[int, list[int]] = {}
-        lines = [line(h) for h in range(hosts)] + ([line(9, kind=1)] if origin else [])
-        self.list(*lines, whole=True)
-
-    def feed(self, said: str, event: m.Event) -> list[str]:
-        done = []
-        for a in self.balancer.decide(self.now, event):
-            if isinstance(a, m.SetTimer):
-                self.due = a.at
+        entries = [listed_host(h) for h in range(hosts)] + ([listed_host(9, kind=1)] if origin else [])
+        self.list(*entries, complete=True)
+
+    def feed(self, label: str, event: m.Event) -> list[str]:
+        """Handle one event, and return and trace the actions as text."""
+        taken = []
+        for action in self.balancer.decide(self.now, event):
+            if isinstance(action, m.SetTimer):
+                self.timer_at = action.at
                 continue
-            if isinstance(a, m.SendHop):
-                self.hops.setdefault(a.tx, []).append(a.host)
-                done.append(f"hop {a.tx} to {a.host}")
-            elif isinstance(a, m.RollBack):
-                done.append(f"roll back {a.tx}, back in {a.backoff // MS} ms")
-            elif isinstance(a, m.Abandon):
-                done.append(f"abandon {a.tx}")
-            elif isinstance(a, m.CancelHop):
-                done.append(f"cancel {a.tx}.{a.hop}")
+            if isinstance(action, m.SendHop):
+                self.hops.setdefault(action.tx, []).append(action.host)
+                taken.append(f"hop {action.tx} to {action.host}")
+            elif isinstance(action, m.RollBack):
+                taken.append(f"roll back {action.tx}, back in {action.backoff // MS} ms")
+            elif isinstance(action, m.Abandon):
+                taken.append(f"abandon {action.tx}")
+            elif isinstance(action, m.CancelHop):
+                taken.append(f"cancel {action.tx}.{action.hop}")
             else:
-                done.append(type(a).__name__)
-        if done or not said.startswith("timer"):
-            self.trace.append(f"{(self.now - T0) // MS:6} ms  {said}: {', '.join(done) or 'nothing'}")
-        return done
+                taken.append(type(action).__name__)
+        if taken or not label.startswith("timer"):
+            self.trace.append(f"{(self.now - T0) // MS:6} ms  {label}: {', '.join(taken) or 'nothing'}")
+        return taken
 
-    def list(self, *lines: m.Listed, whole: bool = False) -> None:
-        said = " ".join(f"{x.host}={x.standing.name.lower()}" for x in lines)
-        self.feed(f"list {said}", m.ListChanged(whole, lines))
+    def list(self, *entries: m.ListedHost, complete: bool = False) -> None:
+        label = " ".join(f"{x.host}={x.status.name.lower()}" for x in entries)
+        self.feed(f"list {label}", m.ListChanged(complete, entries))
 
     def arrive(
-        self, key: str | None = "a", profile: int = 0, share: int = -1, ttl: int = 900, again: bool = False
+        self, key: str | None = "a", profile: int = 0, share: int = -1, ttl: int = 900, is_retry: bool = False
     ) -> int:
-        self.tx += 1
-        event = m.TxArrived(self.tx, profile, share, key, ttl * MS, again, profile > 0)
-        self.feed(f"tx {self.tx} profile {profile} key {key}", event)
-        return self.tx
+        self.last_tx += 1
+        event = m.TxArrived(self.last_tx, profile, share, key, ttl * MS, is_retry, profile > 0)
+        self.feed(f"tx {self.last_tx} profile {profile} key {key}", event)
+        return self.last_tx
 
-    def end(self, tx: int, end: m.End, hop: int = 0, took: int = 10, note: int = 1) -> None:
-        closed = end is m.End.DONE
-        self.feed(f"hop {tx}.{hop} ends {end.name}", m.HopEnded(tx, hop, end, took * MS, closed, note))
+    def end_hop(
+        self, tx: int, outcome: m.HopOutcome, hop: int = 0, duration_ms: int = 10, cache_result: int = 1
+    ) -> None:
+        tx_ended = outcome is m.HopOutcome.DONE
+        self.feed(
+            f"hop {tx}.{hop} ends {outcome.name}",
+            m.HopEnded(tx, hop, outcome, duration_ms * MS, tx_ended, cache_result),
+        )
 
     def run(self, ms: int) -> None:
-        """Lets time pass and the timer fire."""
+        """Advance the clock by `ms`, firing the timer on the way."""
         until = self.now + ms * MS
-        while self.due and self.due <= until:
-            self.now, self.due = self.due, 0
+        while self.timer_at and self.timer_at <= until:
+            self.now, self.timer_at = self.timer_at, 0
             self.feed("timer", m.TimerFired())
         self.now = until
 
     def matches(self, name: str) -> None:
-        same(name, self.trace)
+        check_trace(name, self.trace)
 
 
 FACTS: dict[str, Any] = {
@@ -170,8 +179,8 @@
     }
 
 
-class Listening(threading.Thread):
-    """A stand-in on loopback: each connection is answered by a thread of its own."""
+class ThreadedServer(threading.Thread):
+    """A server on loopback that handles each connection in a thread of its own."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
@@ -187,27 +196,27 @@
         raise NotImplementedError
 
 
-def shown(data: bytes) -> bytes:
+def shortened(data: bytes) -> bytes:
     return data if len(data) < 90 else data[:60] + b"... %d bytes" % len(data)
 
 
 class Wire:
-    """A transport without a socket: what is written lies here until take() plays the system."""
+    """A transport without a socket. Written data stays in `pending` until take() accepts it, as the kernel would."""
 
     def __init__(self, net: "Net", name: str, protocol: Any) -> None:
         self.net, self.name, self.protocol, self.producer = net, name, protocol, None
         self.pending, self.closing, self.lost, self.paused = b"", False, False, False
-        self.unread: bytes | None = None  # b"": the other side's end
-        self.silent_ms = 0  # since data last came, as the system knows
-        self.taken = 0  # bytes that the system took
-        self.stuck = False  # it takes none
+        self.unread: bytes | None = None  # b"": the peer closed its side
+        self.silent_ms = 0  # since data last arrived, as the kernel reports it
+        self.bytes_taken = 0  # accepted by the kernel
+        self.stuck = False  # the kernel accepts nothing
         protocol.makeConnection(self)
 
     def setsockopt(self, level: int, name: int, value: int) -> None:
         pass
 
     def getsockopt(self, level: int, name: int, size: int) -> bytes:
-        return LAST_DATA.pack(self.silent_ms)
+        return TCP_INFO_LAST_DATA.pack(self.silent_ms)
 
     def registerProducer(self, producer: Any, streaming: bool) -> None:
         self.producer = producer
@@ -220,7 +229,7 @@
         self.pending += data
 
     def doWrite(self) -> None:
-        """The system takes nothing before take()."""
+        """The kernel accepts nothing before take()."""
 
     def pauseProducing(self) -> None:
         self.paused = True
@@ -248,17 +257,17 @@
             self.end()
 
     def end(self) -> None:
-        """The connection is over, whoever ended it."""
+        """Close the connection, whichever side caused it."""
         if not self.lost:
             self.lost = True
             self.protocol.connectionLost(connectionDone)
 
     def take(self) -> None:
-        """The system takes all that was written, until nothing is left."""
+        """Accept written data, as the kernel would, until nothing is left."""
         while self.pending and not self.lost and not self.stuck:
             data, self.pending = self.pending, b""
-            self.taken += len(data)
-            self.net.say(f"{self.name} < {shown(data)!r}")
+            self.bytes_taken += len(data)
+            self.net.say(f"{self.name} < {shortened(data)!r}")
             if self.producer is not None:
                 self.producer.resumeProducing()
         if self.closing and not self.lost and not self.pending:
@@ -266,8 +275,8 @@
             self.end()
 
     def feed(self, data: bytes, cut: int = 0) -> None:
-        """Bytes from the other side, in pieces of `cut`."""
-        self.net.say(f"{self.name} > {shown(data)!r}")
+        """Receive bytes from the peer, in pieces of `cut` bytes."""
+        self.net.say(f"{self.name} > {shortened(data)!r}")
         for at in range(0, len(data), cut or len(data)):
             if not self.lost:
                 self.protocol.dataReceived(data[at : at + (cut or len(data))])
@@ -275,7 +284,7 @@
 
 
 class Net:
-    """Front, door and pool on a clock of the test's own, and the trace of all that is written."""
+    """Frontend, dispatcher and pool on a simulated clock, and a trace of all data written and received."""
 
     def __init__(
         self,
@@ -283,39 +292,41 @@
         sockets: int = 64,
         limits: dict[str, Any] | None = None,
         facts: dict[str, Any] | None = None,
-        **terms: Any,
+        **limit_settings: Any,
     ) -> None:
-        facts = FACTS | {"Limits": FACTS["Limits"] | terms} | (facts or {})
+        facts = FACTS | {"Limits": FACTS["Limits"] | limit_settings} | (facts or {})
         self.reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
         self.trace: list[str] = []
         self.wires: list[Wire] = []
         self.reactor.advance(1000.0)
-        self.limits = replace(fill(facts, sockets, 96), **limits or {})
+        self.limits = replace(derive_limits(facts, sockets, 96), **limits or {})
         self.sockets = Sockets(self.limits)
-        start = read_start(7, facts)
-        self.door = Door(self.reactor, start, Names(facts), self.limits)
-        self.pool = self.door.pool = Pool(self.reactor, self.door, self.limits, self.sockets, start.parallel)
-        self.turn = Turn(self.limits.turn)
-        self.front = Front(self.reactor, self.door, self.limits, self.sockets, self.turn)
-        self.door.watch = lambda: self.say("the list is asked for")
+        start = parse_deployment(7, facts)
+        self.dispatcher = Dispatcher(self.reactor, start, NameTable(facts), self.limits)
+        self.pool = self.dispatcher.pool = Pool(
+            self.reactor, self.dispatcher, self.limits, self.sockets, start.parallel_hops
+        )
+        self.loop_timing = LoopTiming(self.limits.turn_duration)
+        self.frontend = Frontend(self.reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing)
+        self.dispatcher.watch = lambda: self.say("the list is asked for")
         self.pool.sweep()
-        self.front.sweep()
-        self.list(*(member(h) for h in range(1, hosts + 1)), whole=True)
+        self.frontend.sweep()
+        self.list(*(member(h) for h in range(1, hosts + 1)), complete=True)
 
     def say(self, text: str) -> None:
         self.trace.append(f"{round((self.reactor.seconds() - 1000) * 1000):6} ms  {text}")
 
-    def list(self, *members: dict[str, Any], whole: bool = False) -> None:
-        told = {"revision": 1, "complete": whole, "members": list(members)}
-        self.door.list_told(*read_list(told, 0)[1:])
+    def list(self, *members: dict[str, Any], complete: bool = False) -> None:
+        document = {"revision": 1, "complete": complete, "members": list(members)}
+        self.dispatcher.list_told(*parse_list(document, 0)[1:])
 
     def client(self) -> Wire:
         count = sum(w.name.startswith("client") for w in self.wires)
-        self.wires.append(Wire(self, f"client {count}", self.front.buildProtocol(None)))
+        self.wires.append(Wire(self, f"client {count}", self.frontend.buildProtocol(None)))
         return self.wires[-1]
 
     def accept(self) -> Wire:
-        """The connection that was dialled first and is not up yet comes up."""
+        """Establish the oldest pending connection to a host."""
         host, _, factory, _, _ = self.reactor.tcpClients.pop(0)
         self.say(f"host {host[-1]} accepts")
         self.wires.append(Wire(self, f"host {host[-1]}", factory.buildProtocol(None)))
@@ -338,4 +349,4 @@
             self.take()
 
     def matches(self, name: str) -> None:
-        same(name, self.trace)
+        check_trace(name, self.trace)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -5,17 +5,17 @@
 import time
 from pathlib import Path
 
-from ternquay.net.launch import read_launch
+from ternquay.net.config import read_config
 from ternquay.net.limits import SECOND
 from ternquay.net.serve import Service
 from tests.helper import FACTS, Net, member
 from tests.test_flow import Store
 from tests.test_net import mg, ms, va
-from tests.test_review_links import free, serving, told
+from tests.test_review_links import balancer_config, free_port, serving
 
 
 def test_who_never_sends_a_whole_command_goes_by_age_and_not_before_a_true_one_could_have_ended() -> None:
-    net = Net(sockets=192, limits={"clients": 6, "proof": 2 * SECOND})
+    net = Net(sockets=192, limits={"clients": 6, "first_command_timeout": 2 * SECOND})
     crowd = [net.client() for _ in range(3)]
     for one in crowd[:2]:
         one.feed(b"mg k v")
@@ -34,7 +34,7 @@
 
 
 def test_while_there_is_room_nobody_is_closed_before_its_request_is_overdue() -> None:
-    net = Net(sockets=192, limits={"proof": SECOND})
+    net = Net(sockets=192, limits={"first_command_timeout": SECOND})
     half = net.client()
     half.feed(b"mg k v")
     net.run(2450)
@@ -44,7 +44,7 @@
 
 
 def test_a_place_that_is_wanted_comes_from_the_oldest_that_got_nowhere() -> None:
-    net = Net(sockets=192, limits={"clients": 2, "proof": SECOND, "sweep": 60 * SECOND})
+    net = Net(sockets=192, limits={"clients": 2, "first_command_timeout": SECOND, "sweep_interval": 60 * SECOND})
     first, second = net.client(), net.client()
     first.feed(b"mg k")
     net.run(500)
@@ -58,42 +58,42 @@
     fourth.feed(mg(4))
     net.accept().feed(va(4))
     assert not fourth.lost
-    assert net.sockets.clients == 2 and not net.front.kept - len(b"mg k")
+    assert net.sockets.clients == 2 and not net.frontend.kept - len(b"mg k")
 
 
 def test_a_client_that_connects_and_writes_later_has_its_whole_time() -> None:
     """What came before it was accepted is read at the next poll; what is read after that has not waited as long."""
     net = Net()
-    net.turn.begins(net.door.now())
+    net.loop_timing.begins(net.dispatcher.now())
     early = net.client()
     net.run(300)
-    net.turn.begins(net.door.now())
+    net.loop_timing.begins(net.dispatcher.now())
     early.feed(mg(1, ttl=500))  # it may have lain there for all of that turn
-    assert [tx.ttl // 1_000_000 for tx in net.door.txs.values()] == [200]
-    net.turn.begins(net.door.now())
+    assert [tx.ttl // 1_000_000 for tx in net.dispatcher.txs.values()] == [200]
+    net.loop_timing.begins(net.dispatcher.now())
     slow = net.client()
     for _ in range(5):
         net.run(100)
-        net.turn.begins(net.door.now())
+        net.loop_timing.begins(net.dispatcher.now())
     slow.feed(mg(3, ttl=500))
-    assert list(net.door.txs.values())[-1].ttl // 1_000_000 == 400  # one turn, not the five since it came
+    assert list(net.dispatcher.txs.values())[-1].ttl // 1_000_000 == 400  # one turn, not the five since it came
 
 
 def test_it_listens_when_the_loop_runs_and_not_before(tmp_path: Path) -> None:
     """Against what the system accepts while the start still takes its time, and which lies there unread."""
     path, net = tmp_path / "x.json", Net()
-    path.write_text(json.dumps(told(1, 2, settings=FACTS)))
-    service = Service(net.reactor, read_launch(str(path), {}))
+    path.write_text(json.dumps(balancer_config(1, 2, settings=FACTS)))
+    service = Service(net.reactor, read_config(str(path), {}))
     service.begin()
-    assert not net.reactor.tcpServers and service.unready()
+    assert not net.reactor.tcpServers and service.not_ready_reason()
     net.reactor.advance(0.01)
-    assert net.reactor.tcpServers and not service.unready()
+    assert net.reactor.tcpServers and not service.not_ready_reason()
 
 
 def test_on_loopback_true_clients_are_answered_beside_a_crowd_that_never_finishes(tmp_path: Path) -> None:
-    listen, store = free(), Store(9)
+    listen, store = free_port(), Store(9)
     where = member(1) | {"host_port": f"127.0.0.1:{store.port}"}
-    config = told(listen, free(), known={"revision": 1, "complete": True, "members": [where]})
+    config = balancer_config(listen, free_port(), known={"revision": 1, "complete": True, "members": [where]})
     with serving(config, tmp_path) as process:
         crowd, answered = [], 0
         until = time.monotonic() + 9
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,16 +19,16 @@
 from twisted.web.client import ResponseDone, ResponseFailed
 from twisted.web.http import PotentialDataLoss
 
+from ternquay.net.config import read_config
 from ternquay.net.discovery import Discovery
-from ternquay.net.launch import read_launch
 from ternquay.net.listing import Address
 from ternquay.net.serve import Service
 from ternquay.net.start_times import StartTimes
-from tests.helper import FACTS, Listening, Net, member
+from tests.helper import FACTS, Net, ThreadedServer, member
 from tests.hosted_helper import ROOT
 from tests.test_flow import Store
 from tests.test_net import TOLD, Agent, mg, ms
-from tests.test_review_links import free, serving, told, until
+from tests.test_review_links import balancer_config, free_port, serving, wait_until
 
 Failed: Any = Failure  # the library's have no types
 Broken: Any = ResponseFailed
@@ -56,7 +56,7 @@
         net.accept()
     net.run(5)
     assert not begun(net), net.trace
-    assert not net.door.txs
+    assert not net.dispatcher.txs
 
 
 @pytest.mark.parametrize("waits", [60, 200])
@@ -69,7 +69,7 @@
     net.run(waits)
     net.accept()
     assert not begun(net), net.trace
-    assert not net.door.txs
+    assert not net.dispatcher.txs
 
 
 def test_a_client_that_is_still_there_gets_its_late_hop() -> None:
@@ -128,16 +128,16 @@
 def test_what_has_lain_unread_is_taken_only_from_a_client_that_is_there() -> None:
     """A client that wrote, and left while it waited to be accepted or read."""
     net = Net()
-    net.turn.begins(net.door.now())
+    net.loop_timing.begins(net.dispatcher.now())
     net.run(300)
-    net.turn.begins(net.door.now(), net.door.now())
+    net.loop_timing.begins(net.dispatcher.now(), net.dispatcher.now())
     client = net.client()
     client.unread = b""
     client.feed(mg(1))
     if net.reactor.tcpClients:
         net.accept()
     assert not begun(net), net.trace
-    assert not net.door.txs
+    assert not net.dispatcher.txs
 
 
 # ---- a call to discovery that ends ----
@@ -160,8 +160,8 @@
     net = Net()
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    watch = Discovery(net.reactor, net.door, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
-    watch.revision, net.door.watch = 0, watch.watch
+    watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
+    watch.revision, net.dispatcher.watch = 0, watch.watch
     watch.watch()
     return net, agent, watch
 
@@ -171,7 +171,7 @@
 
 
 def ready(net: Net) -> bool:
-    return next(iter(net.pool.places.values())).ready
+    return next(iter(net.pool.hosts.values())).ready
 
 
 def test_a_call_that_was_given_up_is_answered_late_and_still_good(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -251,7 +251,7 @@
     net = Net()
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    service = Service(net.reactor, read_launch(str(path), {}))
+    service = Service(net.reactor, read_config(str(path), {}))
     service.begin()
     path.write_bytes(orjson.dumps(TOLD | {"discovery": "127.0.0.1:8600"}))
     service.reload()
@@ -266,13 +266,13 @@
     net, agent, service = moved(tmp_path, monkeypatch)
     net.run(after)
     agent.calls[0].callback(Ending(drained(5), ResponseDone()))
-    assert next(iter(service.pool.places.values())).ready is not taken
+    assert next(iter(service.pool.hosts.values())).ready is not taken
     net.run(1000)
     assert len(agent.calls) == 2, "the old one is called no more"
     agent.calls[1].callback(
         Ending(orjson.dumps({"revision": 1, "complete": True, "members": [member(1)]}), ResponseDone())
     )
-    assert next(iter(service.pool.places.values())).ready
+    assert next(iter(service.pool.hosts.values())).ready
 
 
 def test_what_the_new_discovery_tells_goes_before_what_the_old_one_had_written(
@@ -283,7 +283,7 @@
     agent.calls[0].callback(
         Ending(orjson.dumps({"revision": 7, "complete": True, "members": [member(1)]}), ResponseDone())
     )
-    assert not next(iter(service.pool.places.values())).ready
+    assert not next(iter(service.pool.hosts.values())).ready
 
 
 # ---- descriptors: what is closed, and what the system still counts ----
@@ -297,19 +297,19 @@
         client = net.client()
         client.feed(b"mn\r\n")
     opened = 0
-    while net.sockets.may_open() and opened < 200:
+    while net.sockets.may_open_host() and opened < 200:
         net.sockets.host_opened()
         opened += 1
     held = sum(not wire.lost for wire in net.wires) + opened
     assert held <= most, (held, most, opened)
     net.take()
-    assert not net.sockets.closing and net.sockets.may_open(), "there is room again once they are closed"
+    assert not net.sockets.closing and net.sockets.may_open_host(), "there is room again once they are closed"
 
 
 def test_on_loopback_idle_clients_may_fill_the_descriptors_while_discovery_is_down(tmp_path: Path) -> None:
-    most, store, listen, discovery = 64, Store(9), free(), free()
+    most, store, listen, discovery = 64, Store(9), free_port(), free_port()
     where = member(1) | {"host_port": f"127.0.0.1:{store.port}"}
-    config = told(
+    config = balancer_config(
         listen,
         discovery,
         known={"revision": 1, "complete": True, "members": [where]},
@@ -354,18 +354,18 @@
     net = Net()
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    service = Service(net.reactor, read_launch(str(path), {}))
+    service = Service(net.reactor, read_config(str(path), {}))
     service.begin()
     net.reactor.advance(0.3)
-    assert not net.reactor.tcpServers and service.unready()
+    assert not net.reactor.tcpServers and service.not_ready_reason()
     if word == "told":
         agent.calls[0].callback(Ending(drained(5), ResponseDone()))
-        assert not next(iter(service.pool.places.values())).ready
+        assert not next(iter(service.pool.hosts.values())).ready
     elif word == "refused":
         agent.calls[0].errback(Failed(ConnectionLost()))
     else:
         net.reactor.advance(0.71)
-    assert len(net.reactor.tcpServers) == 1 and not service.unready()
+    assert len(net.reactor.tcpServers) == 1 and not service.not_ready_reason()
     net.reactor.advance(2.0)
     assert len(net.reactor.tcpServers) == 1
 
@@ -418,12 +418,12 @@
         one.feed(b"mg k v O1 Pc=re")
     client.unread = b"a"
     stopped(net, 1.5)
-    net.front.cut_off()
+    net.frontend.cut_off()
     assert silent.lost and not client.lost
 
 
 def test_a_large_value_whose_rest_came_while_the_process_stood_still_is_passed_on() -> None:
-    net = Net(limits={"whole": 8, "piece": 4})
+    net = Net(limits={"stream_above_bytes": 8, "chunk_bytes": 4})
     client = net.client()
     client.feed(mg(1))
     host = net.accept()
@@ -443,11 +443,11 @@
 
 def test_on_loopback_who_waits_at_the_door_as_it_closes_is_let_in_and_answered(tmp_path: Path) -> None:
     """SIGTERM while all places are taken: what the system had accepted is in nobody's hands as listening stops."""
-    store, listen = Store(9), free()
+    store, listen = Store(9), free_port()
     where = member(1) | {"host_port": f"127.0.0.1:{store.port}"}
-    config = told(
+    config = balancer_config(
         listen,
-        free(),
+        free_port(),
         known={"revision": 1, "complete": True, "members": [where]},
         limits={"cores": 1.0, "memory_mb": 96, "sockets": 64},
     )
@@ -467,8 +467,8 @@
     path = tmp_path / "told.json"
     path.write_bytes(orjson.dumps(TOLD))
     net = Net()
-    service = Service(net.reactor, read_launch(str(path), {}))
-    net.front, net.door, net.pool = service.front, service.door, service.pool
+    service = Service(net.reactor, read_config(str(path), {}))
+    net.frontend, net.dispatcher, net.pool = service.frontend, service.dispatcher, service.pool
     service.begin()
     net.reactor.running = True
     net.reactor.tcpClients.clear()
@@ -517,7 +517,7 @@
     while net.reactor.tcpClients:
         net.accept()
     net.run(1000)
-    assert len(begun(net)) == 1 and not net.door.txs, net.trace
+    assert len(begun(net)) == 1 and not net.dispatcher.txs, net.trace
 
 
 def test_what_comes_in_one_read_with_the_end_behind_it_begins_at_once_or_never() -> None:
@@ -529,7 +529,7 @@
     while net.reactor.tcpClients:
         net.accept()
     net.run(1000)
-    assert not begun(net) and not net.door.txs and not net.pool.kept
+    assert not begun(net) and not net.dispatcher.txs and not net.pool.buffered_bytes
 
 
 @pytest.mark.parametrize("back", [True, False])
@@ -639,22 +639,22 @@
 import sys, time
 from ternquay import model as m
 from ternquay.net import serve
-from ternquay.net.door import Door
-from ternquay.net.launch import read_launch
+from ternquay.net.dispatcher import Dispatcher
+from ternquay.net.config import read_config
 
-happened = Door.happened
+happened = Dispatcher.happened
 
-def held(door, event):
-    happened(door, event)
-    if isinstance(event, m.HopEnded) and event.end is m.End.FULL:
+def held(dispatcher, event):
+    happened(dispatcher, event)
+    if isinstance(event, m.HopEnded) and event.end is m.HopOutcome.FULL:
         time.sleep(0.3)
 
-Door.happened = held
-serve.run(read_launch(sys.argv[1]))
+Dispatcher.happened = held
+serve.run(read_config(sys.argv[1]))
 """
 
 
-class TurnsAway(Listening):
+class TurnsAway(ThreadedServer):
     """A cache host that notes when commands came, and turns the next one away if it is told to."""
 
     away: list[bool] = []
@@ -675,15 +675,19 @@
 
 def test_on_loopback_no_further_hop_begins_after_its_client_closed_in_a_turn_that_lasts(tmp_path: Path) -> None:
     """The loop is held for 0.3 s after a hop was turned away; the client closes 0.05 s into that, unseen."""
-    path, listen, hosts = tmp_path / "told.json", free(), (TurnsAway(), TurnsAway())
+    path, listen, hosts = tmp_path / "told.json", free_port(), (TurnsAway(), TurnsAway())
     where = [member(n) | {"host_port": f"127.0.0.1:{one.port}"} for n, one in enumerate(hosts, 1)]
     path.write_bytes(
-        orjson.dumps(told(listen, free(), settings=FACTS, known={"revision": 1, "complete": True, "members": where}))
+        orjson.dumps(
+            balancer_config(
+                listen, free_port(), settings=FACTS, known={"revision": 1, "complete": True, "members": where}
+            )
+        )
     )
     with open(tmp_path / "log", "wb") as log:
         process = subprocess.Popen([sys.executable, "-c", HELD, str(path)], cwd=ROOT, stderr=log)
     try:
-        until(lambda: b"serves on" in (tmp_path / "log").read_bytes())
+        wait_until(lambda: b"serves on" in (tmp_path / "log").read_bytes())
         with socket.create_connection(("127.0.0.1", listen), timeout=5) as client:
             for number in range(200):  # both have a connection that rests
                 client.sendall(mg(number, f"k{number}"))
@@ -693,7 +697,7 @@
             before = [len(one.came) for one in hosts]
             TurnsAway.away.append(True)
             client.sendall(mg(1000, "k"))
-            until(lambda: sum(len(one.came) for one in hosts) > sum(before))
+            wait_until(lambda: sum(len(one.came) for one in hosts) > sum(before))
             time.sleep(0.05)
         closed = time.monotonic()
         time.sleep(0.5)
@@ -707,7 +711,7 @@
 COLLECTS = """
 import gc, os, signal, sys
 from ternquay.net import serve
-from ternquay.net.launch import read_launch
+from ternquay.net.config import read_config
 
 began = serve.Service.begin
 
@@ -720,14 +724,14 @@
     os.kill(os.getpid(), signal.SIGTERM)
 
 serve.Service.begin = begin
-serve.run(read_launch(sys.argv[1]))
+serve.run(read_config(sys.argv[1]))
 """
 
 
 def test_a_process_that_serves_looks_through_nothing_that_was_there_at_its_start(tmp_path: Path) -> None:
     """A full collection of the 50,000 objects of a start took 30 ms, with whatever was due meanwhile late."""
     path = tmp_path / "told.json"
-    path.write_bytes(orjson.dumps(told(free(), free(), settings=FACTS)))
+    path.write_bytes(orjson.dumps(balancer_config(free_port(), free_port(), settings=FACTS)))
     done = subprocess.run(
         [sys.executable, "-c", COLLECTS, str(path)], cwd=ROOT, capture_output=True, text=True, timeout=30
     )
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -12,12 +12,12 @@
 from ternquay.net import meta
 from ternquay.net.flow import Flow
 from tests.helper import FACTS, Net, Wire, member
-from tests.test_management import says
+from tests.test_management import hello_reply
 from tests.test_net import mg, va
-from tests.test_review_links import free, serving, told, until
+from tests.test_review_links import balancer_config, free_port, serving, wait_until
 
 MIB = 1 << 20
-SMALL = {"whole": 8, "piece": 4, "value": 100, "answer": 100}
+SMALL = {"stream_above_bytes": 8, "chunk_bytes": 4, "value_bytes": 100, "answer_bytes": 100}
 
 
 def put(number: int, value: bytes, profile: str = "once") -> bytes:
@@ -101,12 +101,12 @@
     first.feed(b"VA 30 O1 h1\r\n")
     assert not written(net, "client 0")
     first.feed(b"0123456789")
-    assert written(net, "client 0") == b"VA 30 O1\r\n0123456789" and len(net.door.txs) == 1
+    assert written(net, "client 0") == b"VA 30 O1\r\n0123456789" and len(net.dispatcher.txs) == 1
     second.feed(va(2))
     net.run(2000)  # past its hard limit
     first.feed(b"0123456789" * 2 + b"\r\n")
     assert written(net, "client 0") == b"VA 30 O1\r\n" + b"0123456789" * 3 + b"\r\n" + va(2).replace(b" h1", b"")
-    assert not net.door.txs and not first.lost and net.pool.places[0].idle
+    assert not net.dispatcher.txs and not first.lost and net.pool.hosts[0].idle
     client.feed(mg(3))
     net.matches("net_large_read")
 
@@ -127,7 +127,7 @@
     client.take()
     assert not host.paused
     host.feed(b"abcd" * ((80 - sent) // 4) + b"\r\n")
-    assert written(net, "client 0") == b"VA 80 O1\r\n" + b"abcd" * 20 + b"\r\n" and not net.front.queued
+    assert written(net, "client 0") == b"VA 80 O1\r\n" + b"abcd" * 20 + b"\r\n" and not net.frontend.queued
 
 
 @pytest.mark.parametrize("how", ["breaks", "wrong end", "silent"])
@@ -145,7 +145,7 @@
         host.feed(b"0123456789" * 2 + b"xx")
     net.take()
     assert client.lost and host.lost and not written(net, "client 0").endswith(b"\r\n")
-    assert not net.door.txs and net.sockets.clients == net.sockets.hosts == 0
+    assert not net.dispatcher.txs and net.sockets.clients == net.sockets.hosts == 0
 
 
 def test_what_is_small_is_not_put_behind_what_is_large() -> None:
@@ -181,14 +181,14 @@
     net.run(1200)  # a slow writer that goes on: far past its hard limit
     client.feed(text[-20:-10], cut=cut)
     net.run(1200)
-    assert not host.lost and not net.door.balancer.inflight
+    assert not host.lost and not net.dispatcher.balancer.in_flight
     client.feed(text[-10:], cut=cut)
     assert written(net, "host 1") == text
-    assert net.door.balancer.inflight > 0
+    assert net.dispatcher.balancer.in_flight > 0
     net.run(300)
     host.feed(b"HD O1 cabc\r\n")
-    assert written(net, "client 0") == b"HD O1 cabc\r\n" and not net.door.txs
-    assert net.door.balancer.usual < 400_000_000  # what its writer took is not its cache host's
+    assert written(net, "client 0") == b"HD O1 cabc\r\n" and not net.dispatcher.txs
+    assert net.dispatcher.balancer.mean_duration < 400_000_000  # what its writer took is not its cache host's
 
 
 def test_a_large_write_that_is_not_answered_is_given_up_by_its_times_from_the_last_byte() -> None:
@@ -246,9 +246,9 @@
         client.feed(put(number, b"0123456789" * 4)[:-20])
         host = net.accept()
         client.end()
-        assert host.lost and not net.door.txs
-    [one] = net.door.balancer.hosts.values()
-    assert not one.fails and not one.inflight and not one.out_until and not net.sockets.hosts
+        assert host.lost and not net.dispatcher.txs
+    [one] = net.dispatcher.balancer.hosts.values()
+    assert not one.failures and not one.in_flight and not one.ejected_until and not net.sockets.hosts
 
 
 def test_a_large_write_that_has_no_end_where_it_should_is_cut_off_before_it_is_whole() -> None:
@@ -341,13 +341,13 @@
 
 
 def test_many_slow_readers_and_writers_of_4_mib_stay_within_the_memory(tmp_path: Path) -> None:
-    listen, store = free(), Store(3)
+    listen, store = free_port(), Store(3)
     where = member(1) | {"host_port": f"127.0.0.1:{store.port}"}
     # The one store and all its clients share this test's process, so that their times are long.
     profiles = [one | {"ServiceGoal": 8_000_000, "HardLimit": 9_000_000} for one in FACTS["Profiles"]]
-    config = told(
+    config = balancer_config(
         listen,
-        free(),
+        free_port(),
         limits={"cores": 1.0, "memory_mb": 64, "sockets": 256},
         settings=FACTS | {"Discovery": "pushed", "Profiles": profiles},
         known={"revision": 1, "complete": True, "members": [where]},
@@ -388,9 +388,9 @@
             one.start()
         while any(one.is_alive() for one in people):
             most = max(most, resident(process.pid))
-            assert says(listen) == b"MN\r\n"
+            assert hello_reply(listen) == b"MN\r\n"
             time.sleep(0.1)
-        until(lambda: not any(one.is_alive() for one in people))
+        wait_until(lambda: not any(one.is_alive() for one in people))
         assert not failed, failed[:3]
         # 128 MiB were on their way; a bound of two reads each way, and not of the values.
         assert most - before < 16 << 10, (before, most)
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -36,9 +36,9 @@
 from ternquay.rig.terms import CallFault
 from tests.helper import FACTS, Net, Wire, member
 from tests.test_flow import Store
-from tests.test_management import OUT, call, talk
+from tests.test_management import OUT, exchange, http_status
 from tests.test_net import mg, ms, va
-from tests.test_review_links import free, serving, told
+from tests.test_review_links import balancer_config, free_port, serving
 from tests.test_system_calls import running
 
 OWED = 3.0  # seconds from its last byte in which a client that stopped has its error and its close
@@ -106,9 +106,9 @@
 @contextmanager
 def balancer(folder: Path) -> Iterator[int]:
     """The real process with one cache host; the port that it listens on."""
-    store, listen = Store(3), free()
+    store, listen = Store(3), free_port()
     known = {"revision": 1, "complete": True, "members": [member(1) | {"host_port": f"127.0.0.1:{store.port}"}]}
-    with serving(told(listen, free(), known=known), folder):
+    with serving(balancer_config(listen, free_port(), known=known), folder):
         yield listen
 
 
@@ -161,10 +161,10 @@
 
 def test_on_loopback_whoever_stops_while_the_process_stands_still_is_ended_in_time(tmp_path: Path) -> None:
     """The bytes came while the process was stopped: it reads them later, and they are as old as they are."""
-    store, listen = Store(3), free()
+    store, listen = Store(3), free_port()
     known = {"revision": 1, "complete": True, "members": [member(1) | {"host_port": f"127.0.0.1:{store.port}"}]}
     clients = [Stopping([written]) for written in STOPS.values()]
-    with serving(told(listen, free(), known=known), tmp_path) as process:
+    with serving(balancer_config(listen, free_port(), known=known), tmp_path) as process:
         process.send_signal(SIGSTOP)
         Timer(2.0, process.send_signal, [SIGCONT]).start()
         watched(listen, clients, OWED + 4)
@@ -241,7 +241,7 @@
 def late_reader(waited: int, silent_ms: int) -> tuple[Net, Wire]:
     """A client of a process that polled so long ago; its last byte came as long ago as the system says."""
     net = Net()
-    net.turn.begins(net.door.now(), net.door.now() - waited, most=0)
+    net.loop_timing.begins(net.dispatcher.now(), net.dispatcher.now() - waited, most=0)
     client = net.client()
     client.silent_ms = silent_ms
     return net, client
@@ -272,7 +272,7 @@
     client.feed(b"ms k 100000 O1 Pc=once,d=900\r\n" + b"x" * 20000)
     for _ in range(3):
         net.run(1)
-        net.turn.begins(net.door.now())
+        net.loop_timing.begins(net.dispatcher.now())
         client.silent_ms = 0  # the system had no room for the rest before
         client.feed(b"x" * 20000)
     net.run(VALUE_PAUSE // MS - 2000 + 60)
@@ -283,7 +283,7 @@
     net, client = late_reader(2 * SECOND, 1500)
     client.feed(b"ms k 1")
     net.run(2)
-    net.turn.begins(net.door.now())
+    net.loop_timing.begins(net.dispatcher.now())
     client.feed(b"000 O1 Pc=once,d=900\r\nxx")
     net.run(VALUE_PAUSE // MS - 1500 + 60)
     assert client.closing or client.lost
@@ -293,7 +293,7 @@
     net, client = late_reader(3 * SECOND, 2000)
     client.feed(b"mg k")
     net.run(10)
-    net.turn.begins(net.door.now())
+    net.loop_timing.begins(net.dispatcher.now())
     client.silent_ms = 0
     client.feed(mg(1, profile="nobody")[4:] + b"mg k")  # ends that line, and begins another
     net.run(LINE_MOST // MS - 60)
@@ -307,7 +307,7 @@
     client.silent_ms = 0
     for _ in range(4):
         net.run(300)
-        net.turn.begins(net.door.now())
+        net.loop_timing.begins(net.dispatcher.now())
         assert not client.closing and not client.lost
         client.feed(b"x" * 20000)
     net.run(VALUE_PAUSE // MS - 100)
@@ -340,7 +340,7 @@
 
 
 def test_a_value_that_a_cache_host_holds_up_is_not_its_clients_fault() -> None:
-    net = Net(limits={"whole": 8, "piece": 4, "stalled": 9 * SECOND})
+    net = Net(limits={"stream_above_bytes": 8, "chunk_bytes": 4, "stall_timeout": 9 * SECOND})
     client = net.client()
     client.feed(b"ms k 20 O1 Pc=once,d=800\r\n")
     client.protocol.hold(True)
@@ -354,13 +354,13 @@
 
 
 def test_a_large_value_that_stops_costs_its_cache_host_the_connection_and_has_not_run() -> None:
-    net = Net(limits={"whole": 8, "piece": 4})
+    net = Net(limits={"stream_above_bytes": 8, "chunk_bytes": 4})
     client = net.client()
     client.feed(mg(1) + b"ms k 20 O2 Pc=once,d=800\r\n0123456789")
     first, second = net.accept(), net.accept()
     first.feed(va(1)) if "O1" in net.trace[-2] + net.trace[-1] else second.feed(va(1))
     net.run(2600)
-    assert client.lost and all(wire.lost for wire in net.wires[2:]) and not net.door.txs, net.trace
+    assert client.lost and all(wire.lost for wire in net.wires[2:]) and not net.dispatcher.txs, net.trace
     assert OVERDUE.decode() in "".join(net.trace)
 
 
@@ -381,12 +381,12 @@
     tmp_path: Path, step: str
 ) -> None:
     clients = [Stopping([b"mg k v"]), Stopping([b"ms k 9 O1 Pc=once,d=900\r\nx"])]
-    store, listen, management = Store(3), free(), free()
+    store, listen, management = Store(3), free_port(), free_port()
     known = {"revision": 1, "complete": True, "members": [member(1) | {"host_port": f"127.0.0.1:{store.port}"}]}
-    config = told(listen, free(), known=known, management=f"127.0.0.1:{management}")
+    config = balancer_config(listen, free_port(), known=known, management=f"127.0.0.1:{management}")
     with serving(config, tmp_path) as process:
         acts = {
-            "drain": lambda: call(management, OUT),
+            "drain": lambda: http_status(management, OUT),
             "end": process.terminate,
             "reload": lambda: process.send_signal(SIGHUP),
         }
@@ -431,8 +431,8 @@
     client.protocol.close(CloseReason.IDLE)
     owed.put(b"SERVER_ERROR busy\r\n")
     owed.put(b"SERVER_ERROR failed\r\n")
-    net.door.safety.begun(True, lambda: "1", 1)
-    safety = net.door.safety
+    net.dispatcher.safety.begun(True, lambda: "1", 1)
+    safety = net.dispatcher.safety
     assert safety.violations == {Violation.CLOSED_OWING: 1, Violation.ANSWERED_TWICE: 1, Violation.BEGUN_FORBIDDEN: 1}
     assert 'ternquay_violations_total{reason="closed_owing"} 1' in safety.metrics()
     assert "violation: a request was answered a second time 1" in safety.latest()
@@ -440,11 +440,12 @@
 
 
 def test_on_loopback_operators_read_why_clients_were_closed(tmp_path: Path) -> None:
-    listen, management = free(), free()
-    with serving(told(listen, free(), management=f"127.0.0.1:{management}"), tmp_path) as process:
+    listen, management = free_port(), free_port()
+    with serving(balancer_config(listen, free_port(), management=f"127.0.0.1:{management}"), tmp_path) as process:
         watched(listen, [Stopping([b"mg k v"]), Stopping([b"ms k -1 O1 Pc=once,d=9\r\n"])], OWED + 1)
         metrics, events = (
-            talk(management, b"GET /control/%b HTTP/1.1\r\nHost: x\r\n\r\n" % name) for name in (b"metrics", b"events")
+            exchange(management, b"GET /control/%b HTTP/1.1\r\nHost: x\r\n\r\n" % name)
+            for name in (b"metrics", b"events")
         )
         process.terminate()
         assert process.wait(10) == 0
@@ -459,7 +460,7 @@
 
 
 def test_a_cache_host_that_takes_no_more_of_a_large_value_costs_its_client_no_silence() -> None:
-    net = Net(limits={"whole": 8, "piece": 4})
+    net = Net(limits={"stream_above_bytes": 8, "chunk_bytes": 4})
     client = net.client()
     client.feed(b"ms k 40 O1 Pc=once,d=800\r\n0123456789")
     *_, factory, _, _ = net.reactor.tcpClients.pop(0)
@@ -492,9 +493,9 @@
     client.stuck = True
     client.feed(mg(1, profile="nobody"))
     net.run(1000)
-    net.turn.late = True  # the process was stopped for long
+    net.loop_timing.late = True  # the process was stopped for long
     net.reactor.advance(20.0)
-    net.turn.late = False
+    net.loop_timing.late = False
     assert not client.lost
     net.run(5300)
     assert client.lost
@@ -507,24 +508,24 @@
     for number in range(20):
         client.feed(mg(number, profile="nobody"))
         net.run(1000)
-        client.taken += 1
+        client.bytes_taken += 1
     assert not client.lost and not client.closing
 
 
-@pytest.mark.parametrize("owner", ["front", "pool"])
+@pytest.mark.parametrize("owner", ["frontend", "pool"])
 def test_a_fault_in_one_sweep_does_not_end_the_sweeps(owner: str, monkeypatch: pytest.MonkeyPatch) -> None:
     net = Net()
     part = getattr(net, owner)
     looks = []
 
     def broken() -> None:
-        looks.append(net.door.now())
+        looks.append(net.dispatcher.now())
         raise ValueError("broken on purpose")
 
-    monkeypatch.setattr(part, "swept", broken)
+    monkeypatch.setattr(part, {"frontend": "swept", "pool": "close_stale"}[owner], broken)
     for _ in range(4):
         with suppress(ValueError):
-            net.reactor.advance(net.limits.sweep / SECOND)
+            net.reactor.advance(net.limits.sweep_interval / SECOND)
     assert len(looks) >= 3
 
 
@@ -537,9 +538,9 @@
 
     def ends_both(client: Any) -> None:
         real(client)
-        net.front.drop(second.protocol, CloseReason.MEMORY)
+        net.frontend.drop(second.protocol, CloseReason.MEMORY)
 
     monkeypatch.setattr(type(first.protocol), "end_request", ends_both)
     net.run(2700)
-    assert first.lost and second.lost and not net.front.unfinished
-    assert net.door.safety.closes == {CloseReason.REQUEST_OVERDUE: 1, CloseReason.MEMORY: 1}
+    assert first.lost and second.lost and not net.frontend.unfinished
+    assert net.dispatcher.safety.closes == {CloseReason.REQUEST_OVERDUE: 1, CloseReason.MEMORY: 1}
