--- a/tests/test_drain_silent.py
+++ b/tests/test_drain_silent.py
@@ -14,37 +14,37 @@
 
 
 def test_a_change_counts_as_delivered_by_the_platforms_clocks() -> None:
-    made = [1 * SECOND, 4 * SECOND, 9 * SECOND]
+    change_times = [1 * SECOND, 4 * SECOND, 9 * SECOND]
     one = Counted(10 * SECOND)
     one.asks(2 * SECOND, 3 * SECOND)
     one.written(1)
     one.asks(2 * SECOND, 3 * SECOND)
-    assert one.due(60 * SECOND, made) == 1  # while it watches, only written changes count
+    assert one.due(60 * SECOND, change_times) == 1  # while it watches, only written changes count
     one.falls_silent(3 * SECOND)
-    assert one.due(9 * SECOND - 1, made) == 1 and one.due(9 * SECOND, made) == 3
+    assert one.due(9 * SECOND - 1, change_times) == 1 and one.due(9 * SECOND, change_times) == 3
     late = Counted(10 * SECOND, version=1)
     late.asks(2 * SECOND, 20 * SECOND)
     late.falls_silent(3 * SECOND)
-    assert late.due(24 * SECOND - 1, made) == 1 and late.due(24 * SECOND, made) == 3
+    assert late.due(24 * SECOND - 1, change_times) == 1 and late.due(24 * SECOND, change_times) == 3
     late.asks(5 * SECOND, 50)
-    assert late.due(24 * SECOND, made) == 3  # a call in progress does not change what was missed
+    assert late.due(24 * SECOND, change_times) == 3  # a call in progress does not change what was missed
     late.written(2)
-    assert late.due(24 * SECOND, made) == 2
+    assert late.due(24 * SECOND, change_times) == 2
     none = Counted(10 * SECOND, version=1)
     none.asks(2 * SECOND, 50)
     none.fails()
-    assert none.due(42 * SECOND - 1, made) == 1 and none.due(42 * SECOND, made) == 3
+    assert none.due(42 * SECOND - 1, change_times) == 1 and none.due(42 * SECOND, change_times) == 3
     none.failed = False
-    assert none.due(12 * SECOND, made) == 1 and none.due(14 * SECOND, made) == 2
+    assert none.due(12 * SECOND, change_times) == 1 and none.due(14 * SECOND, change_times) == 2
     ended = Counted(10 * SECOND, version=0)
     ended.asks(1 * SECOND, 3 * SECOND)
     ended.falls_silent(2 * SECOND)
     ended.goes_down(5 * SECOND)  # this ends the watch, which missed all changes until then
     ended.asks(6 * SECOND, 50)
     ended.fails()
-    assert ended.due(8 * SECOND - 1, made) == 0 and ended.due(8 * SECOND, made) == 2
+    assert ended.due(8 * SECOND - 1, change_times) == 0 and ended.due(8 * SECOND, change_times) == 2
     assert (
-        ended.due(46 * SECOND - 1, made) == 2 and ended.due(46 * SECOND, made) == 3
+        ended.due(46 * SECOND - 1, change_times) == 2 and ended.due(46 * SECOND, change_times) == 3
     )  # by the clock of the failed call
 
 
@@ -73,18 +73,18 @@
 
 def test_no_hop_reaches_a_draining_host_after_the_grace_and_wrong_balancers_are_detected(tmp_path: Path) -> None:
     """Each run has four balancers, one stopped for a while, and a discovery that begins two watches per second."""
-    found: dict[str, dict[str, Any]] = {}
+    results: dict[str, dict[str, Any]] = {}
     for _ in range(3):
-        plays = {part: play(tmp_path / part, part) for part in PARTS if part not in found}
+        plays = {part: play(tmp_path / part, part) for part in PARTS if part not in results}
         for part, running in plays.items():
-            told, _ = running.communicate(timeout=120)
-            assert running.returncode in (0, 1, 3), told
+            output, _ = running.communicate(timeout=120)
+            assert running.returncode in (0, 1, 3), output
             if running.returncode != 3:  # 3: the machine was too busy for the rig
-                found[part] = json.loads((tmp_path / part / "result.json").read_text())
-    drains = {part: result["rules"]["drains"] for part, result in found.items()}
+                results[part] = json.loads((tmp_path / part / "result.json").read_text())
+    drains = {part: result["rules"]["drains"] for part, result in results.items()}
     assert drains["pat"] == 0 and drains["not-anew"] > 0 and drains["late"] > 0, drains
-    assert found["pat"]["rules"] == dict.fromkeys(found["pat"]["rules"], 0) and found["pat"]["crashes"] == 0
-    assert found["pat"]["service"] > 0.8
+    assert results["pat"]["rules"] == dict.fromkeys(results["pat"]["rules"], 0) and results["pat"]["crashes"] == 0
+    assert results["pat"]["service"] > 0.8
 
 
 def test_the_day_contains_the_faults_it_is_meant_for() -> None:
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -71,11 +71,11 @@
 
 def test_answer_slack_follows_the_lateness_of_responses() -> None:
     schedule = WatchSchedule(limits(10_000), Random(1), False)
-    for late, least, most in ((5, 250, 260), (400, 600, 1000)):
+    for late, shortest, longest in ((5, 250, 260), (400, 600, 1000)):
         for _ in range(100):
             times = schedule.next_call()
             schedule.answered(times.wait + late * MS + int(schedule.draw.random() * late / 2) * MS, False)
-        assert least * MS <= schedule.answer_slack() <= most * MS, schedule.answer_slack()
+        assert shortest * MS <= schedule.answer_slack() <= longest * MS, schedule.answer_slack()
 
 
 # How a call ends while discovery is unavailable.
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -250,17 +250,17 @@
                 for _ in range(2):  # if the connection was closed between two transactions, a retry on a new one
                     try:
                         client.sendall(text)
-                        found = client.recv(1000)
+                        reply = client.recv(1000)
                     except OSError:
-                        found = b""
-                    if found:
+                        reply = b""
+                    if reply:
                         break
                     client.close()
                     client = socket.create_connection(("127.0.0.1", held.listen), timeout=10)
-                if found != b"VA 9 O%d.%d\r\nk9.k9.k9.\r\n" % (number, count) and not found.startswith(
+                if reply != b"VA 9 O%d.%d\r\nk9.k9.k9.\r\n" % (number, count) and not reply.startswith(
                     b"SERVER_ERROR busy"
                 ):
-                    wrong.append((text, found))
+                    wrong.append((text, reply))
                 time.sleep(0.01)
             client.close()
 
@@ -271,9 +271,9 @@
                 try:
                     with closing(socket.create_connection(("127.0.0.1", held.listen), timeout=10)) as client:
                         client.sendall(b"mg k9 v O%d-%d Pc=read,d=800\r\n" % (number, count))
-                        found = client.recv(1000)
-                    if not found.startswith((b"VA 9 O%d-%d\r\n" % (number, count), b"SERVER_ERROR busy")):
-                        wrong.append(found)
+                        reply = client.recv(1000)
+                    if not reply.startswith((b"VA 9 O%d-%d\r\n" % (number, count), b"SERVER_ERROR busy")):
+                        wrong.append(reply)
                 except OSError as fault:
                     wrong.append(fault)
                 time.sleep(0.01)
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -59,8 +59,8 @@
 
 def test_the_socket_limit_follows_the_settings_and_the_memory_but_is_at_least_1024() -> None:
     def total(sockets: int, memory: int) -> int:
-        found = derive_limits(FACTS, sockets, memory)
-        return found.sockets + found.spare + 16
+        limits = derive_limits(FACTS, sockets, memory)
+        return limits.sockets + limits.spare + 16
 
     assert [total(n, 40) for n in (48, 512, 1024)] == [48, 512, 1024]
     assert total(8192, 40) == 1024 and total(8192, 2048) == 8192
@@ -72,7 +72,7 @@
         member(n % 250 + 1) | {"id": f"h{n}", "host_port": f"127.8.{n // 250}.{n % 250 + 1}:9"}
         for n in range(HOST_COUNT)
     ]
-    path = tmp_path / "told.json"
+    path = tmp_path / "config.json"
     limits = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
     known = {"revision": 1, "complete": True, "members": members}
     path.write_bytes(
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -69,11 +69,11 @@
     """Sends bytes and returns all bytes received until the connection ends."""
     with closing(socket.create_connection(("127.0.0.1", port), timeout=10)) as caller:
         caller.sendall(text)
-        found = b""
+        received = b""
         with suppress(ConnectionResetError):
             while data := caller.recv(4096):
-                found += data
-        return found
+                received += data
+        return received
 
 
 def http_status(port: int, text: str) -> int:
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -79,5 +79,5 @@
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 @pytest.mark.parametrize("way", ["down", "silent", "slow", "rejects"])
 def test_nine_in_ten_processes_are_ready_in_time_whatever_discovery_does(way: str, mode: str, tmp_path: Path) -> None:
-    took = [one.ready_seconds for one in asyncio.run(play(way, mode, tmp_path))]
-    assert sum(one > READY_WITHIN_SECONDS for one in took) <= BALANCER_COUNT // 10, took
+    ready_times = [one.ready_seconds for one in asyncio.run(play(way, mode, tmp_path))]
+    assert sum(one > READY_WITHIN_SECONDS for one in ready_times) <= BALANCER_COUNT // 10, ready_times
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize(("change", "named"), INVALID_SETTINGS + INVALID_LISTS)
 def test_a_start_with_an_invalid_field_names_it_in_one_line(tmp_path: Path, change: dict[str, Any], named: str) -> None:
-    path = tmp_path / "told.json"
+    path = tmp_path / "config.json"
     path.write_text(json.dumps(TOLD | change))
     result = CliRunner().invoke(app, ["check", "--config", str(path)])
     assert result.exit_code == 2 and result.output.count("\n") == 1, (result.output, result.exception)
@@ -100,12 +100,12 @@
 
 
 def test_a_start_with_a_truncated_file_ends_with_status_2(tmp_path: Path) -> None:
-    path, whole = tmp_path / "told.json", orjson.dumps(TOLD)
+    path, whole = tmp_path / "config.json", orjson.dumps(TOLD)
     for cut in range(len(whole)):
         path.write_bytes(whole[:cut])
-        with pytest.raises(ConfigError) as told:
+        with pytest.raises(ConfigError) as error:
             read_config(str(path), {})
-        assert str(told.value).startswith("EDGE_CONFIG: ") and "\n" not in str(told.value)
+        assert str(error.value).startswith("EDGE_CONFIG: ") and "\n" not in str(error.value)
     path.write_bytes(whole[:-9])
     done = subprocess.run(
         [sys.executable, "-m", "ternquay", "serve", "--config", str(path)],
@@ -132,17 +132,17 @@
 def test_a_reload_of_an_invalid_file_changes_nothing_and_open_requests_are_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    net, path, lines = Net(), tmp_path / "told.json", []
+    net, path, lines = Net(), tmp_path / "config.json", []
     service, agent = started(net, path, monkeypatch)
     handler = logger.add(lambda text: lines.append(str(text)), format="{level} {message}")
     client, whole = net.client(), orjson.dumps(TOLD | {"discovery": "127.0.0.1:8600"})
     bad = [whole[:cut] for cut in range(0, len(whole), 7)]
     bad += [json.dumps(TOLD | change).encode() for change, _ in INVALID_SETTINGS]
     # The clock stands still, so each reload takes place while a transaction is open.
-    for n, told in enumerate(bad):
+    for n, content in enumerate(bad):
         client.feed(mg(n))
         host = net.wires[-1] if not net.reactor.tcpClients else net.accept()
-        path.write_bytes(told)
+        path.write_bytes(content)
         service.signals()[SIGHUP]()
         host.feed(va(n))
     logger.remove(handler)
@@ -156,7 +156,7 @@
 def test_reloads_with_a_discovery_that_never_answers_keep_the_host_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    net, path = Net(), tmp_path / "told.json"
+    net, path = Net(), tmp_path / "config.json"
     service, agent = started(net, path, monkeypatch)
     path.write_bytes(orjson.dumps(TOLD | {"discovery": "127.0.0.1:8600"}))
     service.reload()
@@ -190,9 +190,9 @@
     return Response(200, json.dumps({"revision": revision, "complete": complete, "members": list(members)}).encode())
 
 
-def run_until_called(net: Net, agent: Agent, many: int) -> None:
+def run_until_called(net: Net, agent: Agent, count: int) -> None:
     for _ in range(200):
-        if len(agent.calls) >= many:
+        if len(agent.calls) >= count:
             return
         net.run(50)
     raise AssertionError(f"called {len(agent.calls)} times")
--- a/tests/test_review_links.py
+++ b/tests/test_review_links.py
@@ -295,7 +295,7 @@
 @contextmanager
 def serving(config: dict[str, Any], folder: Path, files: int = 0) -> Iterator["subprocess.Popen[bytes]"]:
     """Runs a process with this configuration, and a limit of `files` descriptors unless that is 0."""
-    path = folder / "told.json"
+    path = folder / "config.json"
     path.write_text(json.dumps(config))
     with open(folder / "log", "wb") as log:
         process = subprocess.Popen(
--- a/tests/test_review_step.py
+++ b/tests/test_review_step.py
@@ -195,7 +195,7 @@
                 asked[round(net.reactor.seconds() * 1000) // 100] += 1
             net.run(100)
         assert 3 <= len(agent.calls) <= 13
-    later = [many for at, many in sorted(asked.items()) if at > 10_005]
+    later = [count for at, count in sorted(asked.items()) if at > 10_005]
     assert max(later) <= BALANCER_COUNT // 2, asked
 
 
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -60,8 +60,8 @@
     one = keeper(tmp_path / "x.db")
     assert answer(one, CALLS[0]).status == 201
     one.stored.store.db = FailingCommit(one.stored.store.db, on_disk)  # type: ignore[assignment]
-    found = answer(one, CALLS[1])
-    assert found.status == (201 if on_disk else 507)
+    reply = answer(one, CALLS[1])
+    assert reply.status == (201 if on_disk else 507)
     assert whole(one.applier.registry) == whole(one.stored.store.registry())
     # Further changes are accepted, as the versions of the store and of memory agree.
     assert answer(one, CALLS[1]).status == 201 and answer(one, CALLS[2]).status == 200
@@ -81,8 +81,8 @@
         raise sqlite3.OperationalError("unable to open")
 
     store._initialize = unavailable  # type: ignore[method-assign]
-    found = answer(one, CALLS[0])
-    assert found.status == 507 and "not made" not in found.body["detail"]
+    reply = answer(one, CALLS[0])
+    assert reply.status == 507 and "not made" not in reply.body["detail"]
     assert answer(one, CALLS[1]).status == 507
     store._initialize = real  # type: ignore[method-assign]
     # As soon as the disk is available again, the store and memory agree.
@@ -103,7 +103,7 @@
             statuses = [answer(one, CALLS[0]).status]
             wal = os.path.getsize(f"{path}-wal")
             resource.setrlimit(resource.RLIMIT_FSIZE, (wal + 5000, wal + 5000))
-            statuses += [answer(one, told).status for told in CALLS[1:]]
+            statuses += [answer(one, change).status for change in CALLS[1:]]
             os.write(writer, json.dumps(statuses).encode())
             os.kill(os.getpid(), signal.SIGKILL)
         finally:
@@ -133,8 +133,8 @@
         real(registry, name, prepared)
 
     one.applier.apply = broken  # type: ignore[assignment]
-    found = answer(one, CALLS[0])
-    assert found.status == 500 and "stored" in found.body["detail"]
+    reply = answer(one, CALLS[0])
+    assert reply.status == 500 and "stored" in reply.body["detail"]
     assert answer(one, CALLS[1]).status == 201
     assert answer(one, CALLS[0]).headers["idempotency-replayed"] == "true"
     assert whole(one.applier.registry) == whole(one.stored.store.registry())
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -53,9 +53,9 @@
     """The exception is a step backwards where the list is made, which can't be detected here."""
     clocks = Clocks()
     clocks.ages(0)
-    told = clocks.unix_start(2) + theirs
+    start = clocks.unix_start(2) + theirs
     clocks.wall += ours
-    assert clocks.ages(told)[0] <= 2
+    assert clocks.ages(start)[0] <= 2
 
 
 @pytest.mark.parametrize("wrong", [-HOUR, HOUR, -30 * SECOND])
@@ -66,10 +66,10 @@
     clocks.now += 3 * SECOND
     clocks.ages(0)  # the first list of discovery
     clocks.now += 4 * SECOND
-    told = clocks.unix_start(2) + wrong
-    assert 0 <= clocks.ages(told, names="x")[0] <= 4 + MAX_LIST_DELAY_NS // SECOND
+    start = clocks.unix_start(2) + wrong
+    assert 0 <= clocks.ages(start, names="x")[0] <= 4 + MAX_LIST_DELAY_NS // SECOND
     clocks.now += 60 * SECOND
-    clocks.ages(told, names="x")
+    clocks.ages(start, names="x")
     clocks.now += 1 * SECOND
     again = clocks.unix_start(1) + wrong  # a restart of the same host
     assert 0 <= clocks.ages(again, names="x")[0] <= 1 + MAX_LIST_DELAY_NS // SECOND
@@ -122,8 +122,8 @@
     clocks.now = net.dispatcher.now()
     clocks.ages(0)
     clocks.wall -= HOUR
-    told = {"revision": 2, "complete": False, "members": [member(2, since=clocks.unix_start(1) // MS)]}
-    members = clocks.times.to_monotonic(False, parse_list(told, 0)[2], net.dispatcher.now())
+    document = {"revision": 2, "complete": False, "members": [member(2, since=clocks.unix_start(1) // MS)]}
+    members = clocks.times.to_monotonic(False, parse_list(document, 0)[2], net.dispatcher.now())
     net.dispatcher.list_told(False, members)
     host = net.dispatcher.balancer.hosts[net.dispatcher.hosts["h2"]]
     assert 0 <= net.dispatcher.now() - host.started_at <= 2 * SECOND
--- a/tests/test_stood_still.py
+++ b/tests/test_stood_still.py
@@ -153,7 +153,7 @@
         "Profiles": SLOW_PROFILES,
         "Invariants": FACTS["Invariants"] | {"DrainGrace": int(DRAIN_GRACE_SECONDS * 1e6)},
     }
-    path = tmp_path / "told.json"
+    path = tmp_path / "config.json"
     known = orjson.loads(discovery.listed)
     path.write_bytes(orjson.dumps(balancer_config(listen, discovery.port, settings=settings, known=known)))
     with open(tmp_path / "log", "wb") as log:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -65,7 +65,7 @@
 @contextmanager
 def running(folder: Path, *faults: CallFault) -> Iterator[Running]:
     """Runs a process as deploy/balancer.toml does, with one cache host."""
-    store, listen, path = Store(3), free_port(), folder / "told.json"
+    store, listen, path = Store(3), free_port(), folder / "config.json"
     known = {"revision": 1, "complete": True, "members": [member(1) | {"host_port": f"127.0.0.1:{store.port}"}]}
     path.write_bytes(orjson.dumps(balancer_config(listen, free_port(), known=known)))
     environment = prepared(CallPlan(faults), folder) | {"EDGE_CONFIG": str(path)}
@@ -269,6 +269,6 @@
 def test_an_invalid_plan_is_rejected_with_the_field(tmp_path: Path, text: str, named: str) -> None:
     path = tmp_path / "plan.toml"
     path.write_text(text + "\n")
-    with pytest.raises(DayError) as found:
+    with pytest.raises(DayError) as error:
         read_plan(path)
-    assert named in str(found.value) and "\n" not in str(found.value)[:200]
+    assert named in str(error.value) and "\n" not in str(error.value)[:200]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -48,7 +48,7 @@
 
     def __init__(self, platform: Platform, number: int, **more: Any) -> None:
         self.at, self.log = free_port(), platform.folder / f"log{number}"
-        path = platform.folder / f"told{number}.json"
+        path = platform.folder / f"config{number}.json"
         path.write_text(
             json.dumps(balancer_config(platform.listen, free_port(), management=f"127.0.0.1:{self.at}") | more)
         )
@@ -129,8 +129,8 @@
                 inherited_socket(address, {"EDGE_SOCKET_FD": number})
         right = Address("127.0.0.1", listens.getsockname()[1])
         # Rejected descriptors are not closed.
-        found = inherited_socket(right, {"EDGE_SOCKET_FD": str(listens.fileno())})
-        assert found is not None and found.detach() == listens.fileno()
+        inherited = inherited_socket(right, {"EDGE_SOCKET_FD": str(listens.fileno())})
+        assert inherited is not None and inherited.detach() == listens.fileno()
 
 
 def test_a_process_starts_under_the_smallest_limits_and_keeps_to_them(tmp_path: Path) -> None:
@@ -147,7 +147,7 @@
 
 
 def test_an_invalid_descriptor_ends_the_start_with_one_line(tmp_path: Path) -> None:
-    path = tmp_path / "told.json"
+    path = tmp_path / "config.json"
     path.write_text(json.dumps(balancer_config(free_port(), free_port())))
     done = subprocess.run(
         [sys.executable, "-m", "ternquay", "serve", "--config", str(path)],
