--- a/ternquay/cli.py
+++ b/ternquay/cli.py
@@ -11,8 +11,10 @@
 from ternquay.net.__main__ import serve as serve_alone
 from ternquay.net.config import ConfigError, read_config
 
-app = typer.Typer(add_completion=False, no_args_is_help=True, help="A balancer before cache hosts.")
-File = Annotated[str, typer.Option("--config", help="The configuration; else what EDGE_CONFIG names.")]
+app = typer.Typer(add_completion=False, no_args_is_help=True, help="A balancer in front of cache hosts.")
+File = Annotated[
+    str, typer.Option("--config", help="The configuration file; by default the one that EDGE_CONFIG names.")
+]
 
 
 @contextmanager
@@ -40,7 +42,9 @@
     try:
         yield
     except ImportError as fault:
-        typer.echo(f"ternquay: {fault.name} is not installed; a hosted service wants requirements-hosted.txt", err=True)
+        typer.echo(
+            f"ternquay: {fault.name} is not installed; a hosted service requires requirements-hosted.txt", err=True
+        )
         raise typer.Exit(2) from fault
     except ValueError as fault:
         typer.echo(f"ternquay: {fault}", err=True)
@@ -48,7 +52,11 @@
 
 
 @app.command()
-def host(config: Annotated[str, typer.Option("--config", help="The service's file.")] = "deploy/service.toml") -> None:
+def host(
+    config: Annotated[
+        str, typer.Option("--config", help="The configuration file of the service.")
+    ] = "deploy/service.toml",
+) -> None:
     """Serve many tenants until SIGTERM (docs/hosted-use.md)."""
     with one_line_service_errors():
         from ternquay.hosted.host import run  # imported here so that `serve` does not load it
@@ -59,7 +67,7 @@
 
 @app.command()
 def check(config: File = "") -> None:
-    """Read a configuration, or the .toml file of a hosted service, and say what it holds, without listening."""
+    """Check a configuration file, or the .toml file of a hosted service, and print a summary without listening."""
     if config.endswith(".toml"):
         with one_line_service_errors():
             from ternquay.hosted.service import read_service
@@ -82,11 +90,11 @@
 
 @app.command("rig", add_help_option=False, context_settings={"allow_extra_args": True, "ignore_unknown_options": True})
 def rig(context: typer.Context) -> None:
-    """The project's own fleet on loopback: days, faults, a judge of the rules, experiments."""
+    """Run the test rig: a fleet on loopback with planned days, faults, a judge of the rules and experiments."""
     try:
         from ternquay.rig.commands import app as commands  # imported here so that `serve` does not load it
     except ImportError as fault:
-        typer.echo(f"ternquay rig: {fault.name} is not installed; the rig wants requirements-dev.txt", err=True)
+        typer.echo(f"ternquay rig: {fault.name} is not installed; the rig requires requirements-dev.txt", err=True)
         raise typer.Exit(2) from fault
     commands(args=context.args, prog_name="ternquay rig")
 
@@ -95,7 +103,7 @@
     "admin", add_help_option=False, context_settings={"allow_extra_args": True, "ignore_unknown_options": True}
 )
 def admin(context: typer.Context) -> None:
-    """The administration API of a hosted service."""
+    """Call the administration API of a hosted service."""
     with one_line_service_errors():
         from ternquay.hosted.administration.admin import app as commands
     commands(args=context.args, prog_name="ternquay admin")
