--- a/ternquay/__init__.py
+++ b/ternquay/__init__.py
@@ -1,3 +1,3 @@
-"""ternquay: a proxy that spreads keys over cache servers before a slow origin."""
+"""ternquay: a proxy that spreads keys over cache servers in front of a slow origin."""
 
 VERSION = "0.2.0"
--- a/ternquay/handover/notes.py
+++ b/ternquay/handover/notes.py
@@ -29,11 +29,11 @@
 class Note:
     """The state of one process. Times are nanoseconds on the monotonic clock, which both processes share."""
 
-    at: int
+    at: int  # when the note was written
     ceiling: int  # the most sockets that the process will open
     serves: bool  # the process accepts clients
-    discovery: str
-    revision: int
+    discovery: str  # the address of discovery
+    revision: int  # of the host list
     members: tuple[HostEntry, ...]
     learned: dict[str, Any]  # the balancer's measurements, of hosts by id: see encode_learned()
 
--- a/ternquay/net/config.py
+++ b/ternquay/net/config.py
@@ -101,7 +101,7 @@
         settings, names, limits = (
             parse_deployment(parse_seed(document.get("seed")), facts),
             NameTable(facts),
-            derive_limits(facts, sockets, memory_mb, managed=management_text is not None, two=processes > 1),
+            derive_limits(facts, sockets, memory_mb, managed=management_text is not None, two_processes=processes > 1),
         )
     except KeyError as fault:
         raise ConfigError(f"settings: {fault.args[0]} is missing or not known") from fault
--- a/ternquay/net/discovery.py
+++ b/ternquay/net/discovery.py
@@ -86,6 +86,7 @@
     dropped: bool = False  # its result is ignored
 
     def drop(self) -> None:
+        """Cancels the call."""
         cancel_call(self.timer)
         self.dropped = True
         self.result.cancel()
--- a/ternquay/net/limits.py
+++ b/ternquay/net/limits.py
@@ -79,12 +79,12 @@
 
 
 def derive_limits(
-    facts: dict[str, Any], sockets: int, memory_mb: int, managed: bool = False, two: bool = False
+    facts: dict[str, Any], sockets: int, memory_mb: int, managed: bool = False, two_processes: bool = False
 ) -> Limits:
     """Returns the limits for the settings and the process's socket and memory limits.
 
-    `managed`: the process listens on a management address. `two`: a second process may run beside this one, so each
-    may use only its part. Raises ValueError, TypeError or KeyError for settings that can't be used.
+    `managed`: the process listens on a management address. `two_processes`: a second process may run beside this one,
+    so each may use only its part. Raises ValueError, TypeError or KeyError for settings that can't be used.
     """
     settings = facts["Limits"]
     # Instead of a fixed maximum, idle connections with their buffers may use up to a quarter of the memory.
@@ -95,7 +95,7 @@
     # accepted beyond the limit before the oldest one is closed.
     reserved = 16 + (callers + 3 if managed else 0)
     # Where a second process may run, both need these. Memory in use can't be released at once, so each gets half.
-    available, memory_mb = (total - 2 * reserved, memory_mb // 2) if two else (total - reserved, memory_mb)
+    available, memory_mb = (total - 2 * reserved, memory_mb // 2) if two_processes else (total - reserved, memory_mb)
     spare = max(4, available // 8)
     longest_hard_limit = max(p["HardLimit"] for p in facts["Profiles"])
     # The limit applies to four kinds of buffers, above the memory of the program itself.
@@ -110,7 +110,7 @@
         spare=spare,
         management_connections=callers,
         management_timeout=2 * SECOND,
-        successor_sockets=min(24, available // 4) if two else 0,
+        successor_sockets=min(24, available // 4) if two_processes else 0,
         backlog=1024,
         accepts_per_turn=16,
         line_bytes=2048,
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -130,9 +130,9 @@
         try:
             self._use_port(self.reactor.listenTCP(address.port, self.frontend, self.limits.backlog, address.host))
         except (CannotListenError, OSError) as fault:
-            self._not_listening(fault.socketError if isinstance(fault, CannotListenError) else fault)
+            self._listen_failed(fault.socketError if isinstance(fault, CannotListenError) else fault)
 
-    def _not_listening(self, fault: OSError) -> None:
+    def _listen_failed(self, fault: OSError) -> None:
         """Retries to listen, unless the error is permanent or the time limit has passed."""
         if fault.errno in PERMANENT_LISTEN_ERRORS or self.reactor.seconds() > self.listen_deadline:
             self.startup_error = ConfigError(f"listen: {self.config.listen}: {fault}")
@@ -259,7 +259,7 @@
         return {signal.SIGTERM: self.end, signal.SIGINT: self.end, signal.SIGHUP: self.reload}
 
     def end(self) -> None:
-        """Starts the planned shutdown (SIGTERM): accepts clients a moment longer and serves connected ones until late.
+        """Starts the planned shutdown (SIGTERM). Clients are accepted a little longer, and connected ones are served.
 
         Closing their connections at once would move all of them to other balancers, which may be about to end too.
         """
@@ -299,6 +299,7 @@
             port.stopListening()
 
     def _close_clients(self) -> None:
+        """Closes connections between transactions, and exits when all are closed."""
         self.frontend.leave()
         self._wait_for_clients()
 
@@ -341,8 +342,8 @@
     service = Service(reactor, config, decisions)
     service.begin()
     reactor.mark_turns(service.loop_timing)
-    # The objects that exist now stay. Without the freeze, a full garbage collection took 30 ms of one core, in which
-    # every response is late and a client's disconnect is not noticed.
+    # The objects that exist now live until the end. Without the freeze, a full garbage collection took 30 ms of one
+    # core, in which every response is late and a client's disconnect is not noticed.
     gc.freeze()
 
     def install_handler(number: signal.Signals, handler: Callable[[], None]) -> None:
--- a/ternquay/net/sockets.py
+++ b/ternquay/net/sockets.py
@@ -19,7 +19,7 @@
         # Each closes the connection that has been idle longest and returns whether there was one.
         self.close_idle_client: Callable[[], bool] = lambda: False
         self.close_idle_host: Callable[[], bool] = lambda: False
-        self.on_room: Callable[[], None] = lambda: None
+        self.on_room: Callable[[], None] = lambda: None  # called when a socket is available again
 
     def open_count(self) -> int:
         """Returns the number of connections of clients and to cache hosts."""
@@ -38,12 +38,15 @@
         return self.limits.clients * self.ceiling // self.total
 
     def client_closed(self) -> None:
+        """Stops counting a client."""
         self.clients -= 1
 
     def host_opened(self) -> None:
+        """Counts a connection to a cache host."""
         self.hosts += 1
 
     def host_closed(self) -> None:
+        """Stops counting a connection to a cache host."""
         self.hosts -= 1
 
     def descriptor_freed(self, connection: object) -> None:
