--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -18,7 +18,7 @@
 from ternquay.net.limits import Limits
 from ternquay.net.listener import Listener
 from ternquay.net.loop_timing import LoopTiming
-from ternquay.net.safety import CloseReason, RefuseReason
+from ternquay.net.safety import CloseReason, RequestRefusal
 from ternquay.net.sockets import Sockets
 
 STEP = 4  # commands, or connections accepted, between two looks at the clock
@@ -177,7 +177,7 @@
 
     def arrives(self, command: meta.Command, owed: Owed, unread: int) -> None:
         if self.frontend.full(self):
-            self.frontend.safety.refuses(RefuseReason.SHARE, owed.id)
+            self.frontend.safety.record_request_refusal(RequestRefusal.SHARE, owed.id)
             owed.roll_back(self.frontend.dispatcher.about(self.frontend.limits.retry_after))
             return
         owed.counted = True
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -14,7 +14,7 @@
 from ternquay.net.flow import Flow
 from ternquay.net.limits import MS
 from ternquay.net.request_deadline import RequestDeadline
-from ternquay.net.safety import CloseReason, RefuseReason, may_close
+from ternquay.net.safety import CloseReason, RequestRefusal, may_close
 
 if TYPE_CHECKING:
     from ternquay.net.frontend import Frontend
@@ -59,7 +59,7 @@
         return self.client.ended or self.client.peer_closed()
 
     def put(self, text: bytes) -> None:
-        if not self.client.frontend.safety.answering(self.text is not None, self.id):
+        if not self.client.frontend.safety.may_answer(self.text is not None, self.id):
             return
         self.text = text
         self.client.owes_less(self)
@@ -251,18 +251,18 @@
             )
         why = self.no_room(late)
         if why is not None:
-            self.frontend.safety.refuses(why, owed.id)
+            self.frontend.safety.record_request_refusal(why, owed.id)
             owed.roll_back(self.frontend.dispatcher.about(self.frontend.limits.retry_after))
             return
         self.arrives(command, owed, loop_timing.unread(now, self.first_since()))
 
-    def no_room(self, late: bool) -> RefuseReason | None:
+    def no_room(self, late: bool) -> RequestRefusal | None:
         """Why a request is refused before the decisions are asked."""
         if self.crowded:
-            return RefuseReason.CROWDED
+            return RequestRefusal.CROWDED
         if len(self.owed) > self.frontend.limits.pipelined:
-            return RefuseReason.PIPELINED
-        return RefuseReason.LATE_TURN if late else None
+            return RequestRefusal.PIPELINED
+        return RequestRefusal.LATE_TURN if late else None
 
     def arrives(self, command: meta.Command, owed: Owed, unread: int) -> None:
         names, left = command.names, max(0, command.ttl_ms * MS - unread)
@@ -356,14 +356,14 @@
     def close(self, reason: CloseReason) -> None:
         """Ends the connection once what is written has been taken."""
         if not self.ended:
-            self.frontend.safety.closing(reason, self.owed_ids())
+            self.frontend.safety.record_client_close(reason, self.owed_ids())
             self.ended = True
             self.close_after_write()
 
     def abort(self, reason: CloseReason) -> None:
         """Ends the connection at once, with what is queued on it."""
         if not self.ended:
-            self.frontend.safety.closing(reason, self.owed_ids())
+            self.frontend.safety.record_client_close(reason, self.owed_ids())
         self.ended = True
         self.transport.abortConnection()
 
--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -19,7 +19,7 @@
 from ternquay.net.limits import SECOND, Limits
 from ternquay.net.listing import Address, Member
 from ternquay.net.log_limiter import LogRateLimiter
-from ternquay.net.safety import Attempt, RefuseReason, Safety
+from ternquay.net.safety import Attempt, RequestRefusal, SafetyMonitor
 
 
 class DelayedCall(Protocol):
@@ -126,7 +126,7 @@
         self.clock, self.names, self.limits = clock, names, limits
         self.start = start
         self.log = LogRateLimiter(clock.seconds, limits.warning_interval).log
-        self.safety = Safety(self.now, self.log)
+        self.safety = SafetyMonitor(self.now, self.log)
         self.balancer = decisions(start)
         self.timer: DelayedCall | None = None  # the decisions' one
         self.draw = Random(f"{start.seed}.{start.balancer_index}")
@@ -206,7 +206,7 @@
             tx = self.txs.get(a.tx)
             if tx is not None and not tx.answered:
                 self._answered(tx)
-                self.safety.refuses(RefuseReason.DECISIONS, tx.requester.id)
+                self.safety.record_request_refusal(RequestRefusal.DECISIONS, tx.requester.id)
                 tx.requester.roll_back(a.backoff)
         elif isinstance(a, m.Abandon):
             self._abandon(a.tx)
@@ -229,7 +229,7 @@
         )
         self.next_tx += 1
         if len(self.txs) >= self.limits.open_txs or self.held > self.limits.buffered_bytes:
-            self.safety.refuses(RefuseReason.REQUESTS, asker.id)
+            self.safety.record_request_refusal(RequestRefusal.REQUESTS, asker.id)
             asker.roll_back(self.about(self.limits.retry_after))
             return tx.id
         tx.seen = tx.came - arrival.unread
--- a/ternquay/net/frontend.py
+++ b/ternquay/net/frontend.py
@@ -181,7 +181,7 @@
         if not client.close_if_nothing_unread():
             return False
         idle = CloseReason.IDLE if client.answered else CloseReason.NO_REQUEST
-        self.safety.closing(CloseReason.LEAVING if self.leaving else idle, client.owed_ids())
+        self.safety.record_client_close(CloseReason.LEAVING if self.leaving else idle, client.owed_ids())
         client.ended = True
         self.left(client)
         return True
--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -95,7 +95,7 @@
 
     def begin(self, hop: OutgoingHop) -> None:
         left = max(1, (hop.not_past - self.pool.dispatcher.now()) // MS)
-        self.pool.dispatcher.safety.begun(hop.tx.answered, hop.tx.requester.id, hop.number)
+        self.pool.dispatcher.safety.record_attempt_start(hop.tx.answered, hop.tx.requester.id, hop.number)
         self.writing = hop
         self.hops.append(hop)
         self.machine.expect(hop.tx.message)
@@ -278,7 +278,7 @@
         """At once, with all that is on it."""
         if not self.closing:
             self.closing = True
-            self.pool.dispatcher.safety.closing_server(reason)
+            self.pool.dispatcher.safety.record_server_close(reason)
             self.pool.lost(self)
             if self.up:
                 self.transport.abortConnection()
@@ -290,7 +290,7 @@
         """An idle one: nothing is on it."""
         if not self.closing:
             self.closing = True
-            self.pool.dispatcher.safety.closing_server(reason)
+            self.pool.dispatcher.safety.record_server_close(reason)
             self.pool.lost(self)
             self.close_after_write()
 
--- a/ternquay/net/safety.py
+++ b/ternquay/net/safety.py
@@ -11,10 +11,10 @@
 from enum import StrEnum
 from typing import NamedTuple, TypeVar
 
-EVENTS_KEPT = 256
+MAX_EVENTS = 256
 
 
-class Refusal(StrEnum):
+class AttemptRefusal(StrEnum):
     """Why an attempt may not begin."""
 
     ANSWERED = "the request has its answer"
@@ -52,7 +52,7 @@
     REMOVED = "its tenant is gone"
 
 
-class RefuseReason(StrEnum):
+class RequestRefusal(StrEnum):
     """Why a request was refused."""
 
     DECISIONS = "the decisions refused it"
@@ -72,19 +72,19 @@
 
 
 # Where the client is at fault, or memory has to be had, nothing holds the close up.
-UNCONDITIONAL = frozenset(
+UNCONDITIONAL_CLOSES = frozenset(
     {CloseReason.ANSWERS_UNREAD, CloseReason.MEMORY, CloseReason.VALUE_BROKEN, CloseReason.REMOVED}
 )
 # Ordinary ends, which are counted and not logged.
-ROUTINE = frozenset({CloseReason.IDLE, CloseReason.LEAVING})
+ROUTINE_CLOSES = frozenset({CloseReason.IDLE, CloseReason.LEAVING})
 
 
 class Attempt(NamedTuple):
     """What decides whether an attempt may begin. Times are whole nanoseconds, 0 for no bound."""
 
     answered: bool  # the request has its final answer
-    whole: bool  # the last byte of the request has come
-    not_past: int  # the end of the attempt's time
+    fully_received: bool  # the last byte of the request has come
+    deadline: int  # the end of the attempt's time
     begin_by: int  # a repeat is known as one until then
     stale: bool  # the process stood still after it was decided on
 
@@ -94,39 +94,39 @@
     """Something that happened to a connection or a request, for operators: no key and no value."""
 
     at: int
-    what: str
+    kind: str
     reason: str
     request: str = ""
 
 
-def attempt_refusal(attempt: Attempt, now: int, departed: Callable[[], bool]) -> Refusal | None:
+def attempt_refusal(attempt: Attempt, now: int, departed: Callable[[], bool]) -> AttemptRefusal | None:
     """Why the attempt may not begin now, or None. `departed` costs a system call and is asked last."""
     if attempt.answered:
-        return Refusal.ANSWERED
-    if attempt.whole and now >= attempt.not_past:
-        return Refusal.OVERDUE
+        return AttemptRefusal.ANSWERED
+    if attempt.fully_received and now >= attempt.deadline:
+        return AttemptRefusal.OVERDUE
     if attempt.begin_by and now >= attempt.begin_by:
-        return Refusal.FORGOTTEN
+        return AttemptRefusal.FORGOTTEN
     if attempt.stale:
-        return Refusal.STALE
-    return Refusal.DEPARTED if departed() else None
+        return AttemptRefusal.STALE
+    return AttemptRefusal.DEPARTED if departed() else None
 
 
 def may_close(reason: CloseReason, owing: bool, unread: bool = False) -> bool:
     """Whether a client's connection may be ended: not while it is owed an answer, or while bytes lie unread that may
     be a request's last."""
-    return reason in UNCONDITIONAL or not (owing or unread)
+    return reason in UNCONDITIONAL_CLOSES or not (owing or unread)
 
 
 Reason = TypeVar("Reason", bound=StrEnum)
 
 
-def counted(name: str, counts: Mapping[Reason, int], reasons: Iterable[Reason]) -> list[str]:
+def metric_lines(name: str, counts: Mapping[Reason, int], reasons: Iterable[Reason]) -> list[str]:
     """A line for each reason, also for one that has not come up."""
     return [f'ternquay_{name}_total{{reason="{one.name.lower()}"}} {counts.get(one, 0)}' for one in reasons]
 
 
-class Safety:
+class SafetyMonitor:
     """Asks the rules, counts what comes of it, and reports what is done against them.
 
     Requests are named by a function that tells their id, as most of the time nobody wants to know it.
@@ -134,55 +134,57 @@
 
     def __init__(self, now: Callable[[], int], log: Callable[..., None]) -> None:
         self.now, self.log = now, log
-        self.closes: Counter[CloseReason] = Counter()
+        self.client_closes: Counter[CloseReason] = Counter()
         self.server_closes: Counter[ServerCloseReason] = Counter()
-        self.refusals: Counter[Refusal] = Counter()
-        self.refused: Counter[RefuseReason] = Counter()
+        self.attempt_refusals: Counter[AttemptRefusal] = Counter()
+        self.request_refusals: Counter[RequestRefusal] = Counter()
         self.violations: Counter[Violation] = Counter()
         self.retries = 0
-        self.events: deque[Event] = deque(maxlen=EVENTS_KEPT)
+        self.events: deque[Event] = deque(maxlen=MAX_EVENTS)
 
-    def may_begin(self, attempt: Attempt, departed: Callable[[], bool], request: Callable[[], str]) -> Refusal | None:
+    def may_begin(
+        self, attempt: Attempt, departed: Callable[[], bool], request: Callable[[], str]
+    ) -> AttemptRefusal | None:
         """Why the attempt may not begin now, or None: then its first byte has to leave in this very step."""
         refusal = attempt_refusal(attempt, self.now(), departed)
         if refusal is not None:
-            self.refusals[refusal] += 1
-            self._keep("attempt not begun", refusal, request())
+            self.attempt_refusals[refusal] += 1
+            self._record_event("attempt not begun", refusal, request())
         return refusal
 
-    def begun(self, answered: bool, request: Callable[[], str], number: int) -> None:
+    def record_attempt_start(self, answered: bool, request: Callable[[], str], number: int) -> None:
         """An attempt's first byte leaves."""
         if number:
             self.retries += 1
-            self._keep(f"attempt {number + 1}", "begun", request())
+            self._record_event(f"attempt {number + 1}", "begun", request())
         if answered:
-            self._violated(Violation.BEGUN_FORBIDDEN, request())
+            self._record_violation(Violation.BEGUN_FORBIDDEN, request())
 
-    def closing(self, reason: CloseReason, owed: Sequence[str]) -> None:
+    def record_client_close(self, reason: CloseReason, owed: Sequence[str]) -> None:
         """A client's connection is ended on the requests of these ids."""
-        self.closes[reason] += 1
+        self.client_closes[reason] += 1
         if owed and not may_close(reason, True):
-            self._violated(Violation.CLOSED_OWING, owed[0])
-        if reason not in ROUTINE:
-            self._keep("client closed", reason, owed[0] if owed else "")
+            self._record_violation(Violation.CLOSED_OWING, owed[0])
+        if reason not in ROUTINE_CLOSES:
+            self._record_event("client closed", reason, owed[0] if owed else "")
             self.log("INFO", f"a client was closed: {reason.value}")
 
-    def closing_server(self, reason: ServerCloseReason) -> None:
+    def record_server_close(self, reason: ServerCloseReason) -> None:
         """A connection to a cache host is ended."""
         self.server_closes[reason] += 1
         if reason in (ServerCloseReason.BAD_ANSWER, ServerCloseReason.VALUE_STOPPED):
-            self._keep("server connection closed", reason, "")
+            self._record_event("server connection closed", reason, "")
 
-    def refuses(self, reason: RefuseReason, request: Callable[[], str]) -> None:
+    def record_request_refusal(self, reason: RequestRefusal, request: Callable[[], str]) -> None:
         """A request is refused: a retry of it is harmless."""
-        self.refused[reason] += 1
-        if reason is not RefuseReason.DECISIONS:  # those are many, and would leave no room for the rest
-            self._keep("request refused", reason, request())
+        self.request_refusals[reason] += 1
+        if reason is not RequestRefusal.DECISIONS:  # those are many, and would leave no room for the rest
+            self._record_event("request refused", reason, request())
 
-    def answering(self, before: bool, request: Callable[[], str]) -> bool:
+    def may_answer(self, before: bool, request: Callable[[], str]) -> bool:
         """Whether an answer may be given: not if one was before."""
         if before:
-            self._violated(Violation.ANSWERED_TWICE, request())
+            self._record_violation(Violation.ANSWERED_TWICE, request())
         return not before
 
     def metrics(self) -> str:
@@ -190,30 +192,30 @@
         return "\n".join(
             [
                 f"ternquay_attempts_repeated_total {self.retries}",
-                *counted("client_closes", self.closes, CloseReason),
-                *counted("server_closes", self.server_closes, ServerCloseReason),
-                *counted("attempts_not_begun", self.refusals, Refusal),
-                *counted("requests_refused", self.refused, RefuseReason),
-                *counted("violations", self.violations, Violation),
+                *metric_lines("client_closes", self.client_closes, CloseReason),
+                *metric_lines("server_closes", self.server_closes, ServerCloseReason),
+                *metric_lines("attempts_not_begun", self.attempt_refusals, AttemptRefusal),
+                *metric_lines("requests_refused", self.request_refusals, RequestRefusal),
+                *metric_lines("violations", self.violations, Violation),
             ]
         )
 
-    def latest(self) -> str:
+    def recent_events(self) -> str:
         """The latest events as text, a line each, the oldest first: seconds on the monotonic clock come first."""
-        return "\n".join(f"{one.at / 1e9:.6f} {one.what}: {one.reason} {one.request}".rstrip() for one in self.events)
+        return "\n".join(f"{one.at / 1e9:.6f} {one.kind}: {one.reason} {one.request}".rstrip() for one in self.events)
 
     def summary(self) -> str:
         """One line for the log at the end."""
         closes = ", ".join(
             f"{reason.name.lower()} {count}"
-            for reason, count in sorted(self.closes.items(), key=lambda item: item[0].name)
+            for reason, count in sorted(self.client_closes.items(), key=lambda item: item[0].name)
         )
         return f"closed clients: {closes or 'none'}; violations: {sum(self.violations.values())}"
 
-    def _violated(self, rule: Violation, request: str) -> None:
+    def _record_violation(self, rule: Violation, request: str) -> None:
         self.violations[rule] += 1
-        self._keep("violation", rule, request)
+        self._record_event("violation", rule, request)
         self.log("ERROR", f"violation: {rule.value}, request {{}}", request)
 
-    def _keep(self, what: str, reason: str, request: str) -> None:
+    def _record_event(self, what: str, reason: str, request: str) -> None:
         self.events.append(Event(self.now(), what, reason, request))
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -229,7 +229,7 @@
         return self.dispatcher.safety.metrics()
 
     def events(self) -> str:
-        return self.dispatcher.safety.latest()
+        return self.dispatcher.safety.recent_events()
 
     def _undrained(self) -> None:
         self.drained = False
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -25,10 +25,10 @@
     RequestDeadline,
 )
 from ternquay.net.safety import (
-    UNCONDITIONAL,
+    UNCONDITIONAL_CLOSES,
     Attempt,
+    AttemptRefusal,
     CloseReason,
-    Refusal,
     Violation,
     attempt_refusal,
     may_close,
@@ -402,7 +402,7 @@
 
 def test_a_close_waits_for_what_is_owed_and_for_what_lies_unread() -> None:
     for reason in CloseReason:
-        free_to_go = reason in UNCONDITIONAL
+        free_to_go = reason in UNCONDITIONAL_CLOSES
         assert may_close(reason, owing=False)
         assert may_close(reason, owing=True) == may_close(reason, owing=False, unread=True) == free_to_go
 
@@ -411,15 +411,15 @@
     ("attempt", "departed", "why"),
     [
         (Attempt(False, True, 10, 0, False), False, None),
-        (Attempt(True, True, 10, 0, False), False, Refusal.ANSWERED),
-        (Attempt(False, True, 5, 0, False), False, Refusal.OVERDUE),
+        (Attempt(True, True, 10, 0, False), False, AttemptRefusal.ANSWERED),
+        (Attempt(False, True, 5, 0, False), False, AttemptRefusal.OVERDUE),
         (Attempt(False, False, 5, 0, False), False, None),
-        (Attempt(False, True, 10, 5, False), False, Refusal.FORGOTTEN),
-        (Attempt(False, True, 10, 6, True), False, Refusal.STALE),
-        (Attempt(False, True, 10, 6, False), True, Refusal.DEPARTED),
+        (Attempt(False, True, 10, 5, False), False, AttemptRefusal.FORGOTTEN),
+        (Attempt(False, True, 10, 6, True), False, AttemptRefusal.STALE),
+        (Attempt(False, True, 10, 6, False), True, AttemptRefusal.DEPARTED),
     ],
 )
-def test_an_attempt_begins_by_the_rules_alone(attempt: Attempt, departed: bool, why: Refusal | None) -> None:
+def test_an_attempt_begins_by_the_rules_alone(attempt: Attempt, departed: bool, why: AttemptRefusal | None) -> None:
     assert attempt_refusal(attempt, 5, lambda: departed) is why
 
 
@@ -431,11 +431,11 @@
     client.protocol.close(CloseReason.IDLE)
     owed.put(b"SERVER_ERROR busy\r\n")
     owed.put(b"SERVER_ERROR failed\r\n")
-    net.dispatcher.safety.begun(True, lambda: "1", 1)
+    net.dispatcher.safety.record_attempt_start(True, lambda: "1", 1)
     safety = net.dispatcher.safety
     assert safety.violations == {Violation.CLOSED_OWING: 1, Violation.ANSWERED_TWICE: 1, Violation.BEGUN_FORBIDDEN: 1}
     assert 'ternquay_violations_total{reason="closed_owing"} 1' in safety.metrics()
-    assert "violation: a request was answered a second time 1" in safety.latest()
+    assert "violation: a request was answered a second time 1" in safety.recent_events()
     assert "violations: 3" in safety.summary()
 
 
@@ -542,4 +542,4 @@
     monkeypatch.setattr(type(first.protocol), "end_request", ends_both)
     net.run(2700)
     assert first.lost and second.lost and not net.frontend.unfinished
-    assert net.dispatcher.safety.closes == {CloseReason.REQUEST_OVERDUE: 1, CloseReason.MEMORY: 1}
+    assert net.dispatcher.safety.client_closes == {CloseReason.REQUEST_OVERDUE: 1, CloseReason.MEMORY: 1}
