--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -88,7 +88,7 @@
             return
         front = self.frontend
         if not self.unread_since:
-            self.unread_since = self.first_since() or front.loop_timing.before
+            self.unread_since = self.first_since() or front.loop_timing.earliest_arrival
         self.arrived += len(data)
         self.machine.add(data)
         if self.waits or self.stuck:
@@ -138,7 +138,7 @@
         clock = self.frontend.loop.clock
         end = clock() + PIECE
         while True:
-            self.since, self.turn = self.unread_since, self.frontend.loop_timing.count
+            self.since, self.turn = self.unread_since, self.frontend.loop_timing.iteration
             self.frontend.busy(self)
             items = self.machine.read(STEP, self.over)
             self.read(items)
--- a/ternquay/hosted/shared/loop.py
+++ b/ternquay/hosted/shared/loop.py
@@ -98,11 +98,11 @@
         if self.turns.waiting or name in self.held or part is None:
             return False
         now = self.clock()
-        return now - self.loop_timing.began < SLICE and not part.ceiling.wait(now)
+        return now - self.loop_timing.started_at < SLICE and not part.ceiling.wait(now)
 
     def late(self, more: int) -> bool:
         """Whether this turn of the reactor has lasted a slice and so much more."""
-        return self.clock() - self.loop_timing.began > SLICE + more
+        return self.clock() - self.loop_timing.started_at > SLICE + more
 
     def ready(self, name: str, who: str, work: Work) -> None:
         """It waits until its turn comes."""
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -249,7 +249,7 @@
             common.loop, self.id, reactor, self.dispatcher, self.limits, self.sockets, True
         )
         self.loop_timing = TenantLoopTiming(loop_timing, self.limits.turn_duration)
-        self.dispatcher.stood_still = self.loop_timing.stood_still
+        self.dispatcher.stood_still = self.loop_timing.process_stalled
         self.dues = Dues(tenant.limits.txs_a_second, tenant.limits.burst)
         self.frontend = TenantFrontend(
             reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing, common.loop, self.id, self.dues
@@ -299,13 +299,13 @@
         self.limits = limits_of(self.common.process, tenant)
         self.dispatcher.limits = self.pool.limits = self.frontend.limits = self.sockets.limits = self.limits
         self.sockets.hosts_most = tenant.limits.host_connections
-        self.loop_timing.most = self.limits.turn_duration
+        self.loop_timing.max_duration = self.limits.turn_duration
         self.dues.change(tenant.limits.txs_a_second, tenant.limits.burst)
         self.frontend.open_most = tenant.limits.open_txs
 
     def _open(self, prepared: Prepared) -> None:
         for place, port in prepared.ports.items():
-            port.open(self.frontend, self.loop_timing.accepted)
+            port.open(self.frontend, self.loop_timing.accept_ended)
             self.ports[place] = port
 
     def _gate(self, accept: bool) -> None:
@@ -441,20 +441,20 @@
     """One tenant's view of the reactor's turns: when they began is the same for all, what is too long is not."""
 
     def __init__(self, whole: LoopTiming, most: int) -> None:
-        self.whole, self.most, self.behind = whole, most, 0
+        self.whole, self.max_duration, self.accept_backlog_since = whole, most, 0
 
     @property
-    def began(self) -> int:  # type: ignore[override]
-        return self.whole.began
+    def started_at(self) -> int:  # type: ignore[override]
+        return self.whole.started_at
 
     @property
-    def before(self) -> int:  # type: ignore[override]
-        return self.whole.before
+    def earliest_arrival(self) -> int:  # type: ignore[override]
+        return self.whole.earliest_arrival
 
     @property
-    def late(self) -> bool:  # type: ignore[override]
-        return self.whole.late
+    def stalled_before(self) -> bool:  # type: ignore[override]
+        return self.whole.stalled_before
 
     @property
-    def count(self) -> int:  # type: ignore[override]
-        return self.whole.count
+    def iteration(self) -> int:  # type: ignore[override]
+        return self.whole.iteration
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -169,7 +169,7 @@
         if self.moved < self.catch_up_until:
             most = self.moved - self.last_came
             return most if goes_on else min(most, self.receive_idle_ns())
-        most = self.frontend.loop_timing.unread(self.moved, self.first_since())
+        most = self.frontend.loop_timing.max_unread_time(self.moved, self.first_since())
         waited = min(most, self.receive_idle_ns()) if most > UNREAD_NOTICED else 0
         if waited > UNREAD_NOTICED:
             # Much that has waited is read in many turns of the loop, of which only the first came late.
@@ -244,7 +244,7 @@
             self.pours, self.coming = owed, Flow(command.length, self.frontend.limits.chunk_bytes, self.hold)
         now, loop_timing = self.frontend.dispatcher.now(), self.frontend.loop_timing
         # Against more than there is time for: all that is taken makes all else late, past its hard limit too.
-        late = loop_timing.over(now)
+        late = loop_timing.is_overrun(now)
         if late:
             self.frontend.dispatcher.log(
                 "WARNING", "short of CPU: what comes late in a turn of the loop is rolled back"
@@ -254,7 +254,7 @@
             self.frontend.safety.record_request_refusal(why, owed.id)
             owed.roll_back(self.frontend.dispatcher.about(self.frontend.limits.retry_after))
             return
-        self.arrives(command, owed, loop_timing.unread(now, self.first_since()))
+        self.arrives(command, owed, loop_timing.max_unread_time(now, self.first_since()))
 
     def no_room(self, late: bool) -> RequestRefusal | None:
         """Why a request is refused before the decisions are asked."""
@@ -284,7 +284,7 @@
     def first_since(self) -> int:
         """Since when its first bytes may have waited, 0 for no longer than any others."""
         # What came before it was accepted is readable at the very next poll: a client that writes later has not waited.
-        return self.since if self.frontend.loop_timing.count <= self.turn + 1 else 0
+        return self.since if self.frontend.loop_timing.iteration <= self.turn + 1 else 0
 
     def share(self, command: meta.Command) -> str:
         """The name of the share of whoever asks."""
@@ -393,6 +393,6 @@
     def untaken(self, now: int) -> int:
         """For how long the system has taken none of what is queued. What is read or queued meanwhile is no progress."""
         taken = self.transport.taken
-        if not self.untaken_since or taken != self.taken_before or self.frontend.loop_timing.stood_still(now):
+        if not self.untaken_since or taken != self.taken_before or self.frontend.loop_timing.process_stalled(now):
             self.untaken_since, self.taken_before = now, taken
         return now - self.untaken_since
--- a/ternquay/net/frontend.py
+++ b/ternquay/net/frontend.py
@@ -54,8 +54,8 @@
     def came(self, client: ClientConnection) -> None:
         self.all.add(client)
         client.crowded = not self.sockets.client_opened()
-        client.moved, client.since = self.dispatcher.now(), self.loop_timing.waits_since()
-        client.made, client.turn = client.moved, self.loop_timing.count
+        client.moved, client.since = self.dispatcher.now(), self.loop_timing.waiting_since()
+        client.made, client.turn = client.moved, self.loop_timing.iteration
         self.unproven[client] = None
         self.idle(client)
         if self.sockets.full():
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -52,7 +52,7 @@
 
     def mark_turns(self, loop_timing: LoopTiming) -> None:
         """Has the begin of each turn told; the library has no place for it but its poller."""
-        self._poller = TimedPoller(self._poller, time.monotonic_ns, loop_timing.begins)
+        self._poller = TimedPoller(self._poller, time.monotonic_ns, loop_timing.begin)
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Listener:
         listener = Listener(port, factory, backlog, interface, self)
@@ -79,7 +79,7 @@
             reactor, self.dispatcher, self.limits, sockets, launch.start.parallel_hops
         )
         self.loop_timing = LoopTiming(self.limits.turn_duration)
-        self.dispatcher.stood_still = self.loop_timing.stood_still
+        self.dispatcher.stood_still = self.loop_timing.process_stalled
         self.frontend = Frontend(reactor, self.dispatcher, self.limits, sockets, self.loop_timing)
         self.discovery = self._discovery(launch.discovery)
         self.port: Any = None
@@ -139,7 +139,7 @@
             port.stopListening()
             return
         self.port = port
-        port.room, port.accepted, port.failed = self.frontend.room, self.loop_timing.accepted, self.frontend.shed
+        port.room, port.accepted, port.failed = self.frontend.room, self.loop_timing.accept_ended, self.frontend.shed
         self.frontend.gate = lambda accept: port.gate(accept and not self.shut)
         if isinstance(port, Listener):
             self.frontend.waiting = port.waiting
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -64,17 +64,17 @@
 def test_a_client_that_connects_and_writes_later_has_its_whole_time() -> None:
     """What came before it was accepted is read at the next poll; what is read after that has not waited as long."""
     net = Net()
-    net.loop_timing.begins(net.dispatcher.now())
+    net.loop_timing.begin(net.dispatcher.now())
     early = net.client()
     net.run(300)
-    net.loop_timing.begins(net.dispatcher.now())
+    net.loop_timing.begin(net.dispatcher.now())
     early.feed(mg(1, ttl=500))  # it may have lain there for all of that turn
     assert [tx.ttl // 1_000_000 for tx in net.dispatcher.txs.values()] == [200]
-    net.loop_timing.begins(net.dispatcher.now())
+    net.loop_timing.begin(net.dispatcher.now())
     slow = net.client()
     for _ in range(5):
         net.run(100)
-        net.loop_timing.begins(net.dispatcher.now())
+        net.loop_timing.begin(net.dispatcher.now())
     slow.feed(mg(3, ttl=500))
     assert list(net.dispatcher.txs.values())[-1].ttl // 1_000_000 == 400  # one turn, not the five since it came
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -128,9 +128,9 @@
 def test_what_has_lain_unread_is_taken_only_from_a_client_that_is_there() -> None:
     """A client that wrote, and left while it waited to be accepted or read."""
     net = Net()
-    net.loop_timing.begins(net.dispatcher.now())
+    net.loop_timing.begin(net.dispatcher.now())
     net.run(300)
-    net.loop_timing.begins(net.dispatcher.now(), net.dispatcher.now())
+    net.loop_timing.begin(net.dispatcher.now(), net.dispatcher.now())
     client = net.client()
     client.unread = b""
     client.feed(mg(1))
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -455,7 +455,7 @@
     def run(self, turns: int, pause: int = 0) -> None:
         for _ in range(turns):
             self.at += pause
-            self.turn.begins(self.at)
+            self.turn.begin(self.at)
             due = [call for call in self.calls if call[0] <= self.at]
             self.calls = [call for call in self.calls if call[0] > self.at]
             for _, what, terms in due:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -572,18 +572,18 @@
     # Before, a balancer with twice the load that it can carry answered a third of it, much past the hard limit.
     net = Net()
     start = net.dispatcher.now()
-    net.loop_timing.begins(start)
+    net.loop_timing.begin(start)
     client = net.client()
     client.feed(mg(1))
     host = net.accept()
     host.feed(va(1))
-    net.loop_timing.begins(start + 300_000_000)
+    net.loop_timing.begin(start + 300_000_000)
     net.reactor.advance(0.3)
     client.feed(mg(2, ttl=600))  # may have come just after the poll before
     host.feed(va(2))
     net.reactor.advance(net.limits.turn_duration / 1e9 + 0.001)
     client.feed(mg(3))
-    net.loop_timing.begins(net.dispatcher.now())
+    net.loop_timing.begin(net.dispatcher.now())
     client.feed(mg(4))
     host.feed(va(4))
     net.matches("net_long_turn")
@@ -591,26 +591,30 @@
 
 def test_a_client_that_waited_to_be_accepted_has_waited_since_the_last_look_at_all() -> None:
     turn = LoopTiming(10)
-    turn.begins(100)
-    assert (turn.unread(105, 0), turn.waits_since()) == (5, 100)
-    turn.begins(200)
-    turn.accepted(all_that_fit=True)  # there may be more, and they may have come since the poll at 100
-    turn.begins(300)
-    turn.accepted(all_that_fit=True)
-    assert turn.waits_since() == 100 and turn.unread(310, turn.waits_since()) == 210 and turn.unread(310, 0) == 110
-    turn.accepted(all_that_fit=False)
-    assert turn.waits_since() == 200
-    assert not turn.over(310) and turn.over(311)
+    turn.begin(100)
+    assert (turn.max_unread_time(105, 0), turn.waiting_since()) == (5, 100)
+    turn.begin(200)
+    turn.accept_ended(all_that_fit=True)  # there may be more, and they may have come since the poll at 100
+    turn.begin(300)
+    turn.accept_ended(all_that_fit=True)
+    assert (
+        turn.waiting_since() == 100
+        and turn.max_unread_time(310, turn.waiting_since()) == 210
+        and turn.max_unread_time(310, 0) == 110
+    )
+    turn.accept_ended(all_that_fit=False)
+    assert turn.waiting_since() == 200
+    assert not turn.is_overrun(310) and turn.is_overrun(311)
 
 
 def test_what_comes_while_the_loop_stands_idle_has_not_waited() -> None:
     turn = LoopTiming(1_000_000)
-    turn.begins(1_000_000_000)
+    turn.begin(1_000_000_000)
     # The poll had nothing to tell for 250 ms, and came back at once when there was something.
-    turn.begins(1_250_000_000, asked=1_000_200_000)
-    assert turn.unread(1_250_010_000, 0) == 10_000
-    turn.begins(1_253_000_000, asked=1_252_990_000)
-    assert turn.unread(1_253_000_000, 0) == 3_000_000
+    turn.begin(1_250_000_000, asked=1_000_200_000)
+    assert turn.max_unread_time(1_250_010_000, 0) == 10_000
+    turn.begin(1_253_000_000, asked=1_252_990_000)
+    assert turn.max_unread_time(1_253_000_000, 0) == 3_000_000
 
 
 def test_no_more_clients_are_accepted_at_once_than_fit() -> None:
--- a/tests/test_stood_still.py
+++ b/tests/test_stood_still.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from ternquay.net.loop_timing import STOOD, LoopTiming
+from ternquay.net.loop_timing import STALL_NS, LoopTiming
 from tests.helper import FACTS, Listening, Net, member
 from tests.hosted_helper import ROOT
 from tests.test_endings import TurnsAway, begun
@@ -25,47 +25,52 @@
 
 def test_a_poll_that_comes_back_late_tells_of_what_came_while_the_process_stood_still() -> None:
     turn, now = LoopTiming(60 * MS), SECOND
-    turn.begins(now, now - 50 * MS, 250 * MS)
-    assert not turn.stood_still(now)
-    turn.begins(now + 2 * SECOND, now + MS, 250 * MS)
-    assert turn.stood_still(now + 2 * SECOND)
-    assert turn.unread(now + 2 * SECOND, 0) == 2 * SECOND - MS, "it may have come as soon as the poll was asked"
-    turn.begins(now + 2 * SECOND + 3 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
-    assert not turn.stood_still(now + 2 * SECOND + 3 * MS)
+    turn.begin(now, now - 50 * MS, 250 * MS)
+    assert not turn.process_stalled(now)
+    turn.begin(now + 2 * SECOND, now + MS, 250 * MS)
+    assert turn.process_stalled(now + 2 * SECOND)
+    assert turn.max_unread_time(now + 2 * SECOND, 0) == 2 * SECOND - MS, (
+        "it may have come as soon as the poll was asked"
+    )
+    turn.begin(now + 2 * SECOND + 3 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
+    assert not turn.process_stalled(now + 2 * SECOND + 3 * MS)
 
 
 def test_a_poll_that_comes_back_late_with_nothing_leaves_it_to_the_next_one() -> None:
     """As one does that a stop has interrupted, and whose time is over by then."""
     turn, now = LoopTiming(60 * MS), SECOND
-    turn.begins(now, now, 250 * MS)
-    turn.begins(now + 2 * SECOND, now + MS, 250 * MS, False)
-    turn.begins(now + 2 * SECOND + 2 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
-    assert turn.stood_still(now + 2 * SECOND + 2 * MS)
-    assert turn.unread(now + 2 * SECOND + 2 * MS, 0) == 2 * SECOND + MS
-    turn.begins(now + 3 * SECOND, now + 2 * SECOND + 3 * MS, 2 * SECOND)
-    assert not turn.stood_still(now + 3 * SECOND)
+    turn.begin(now, now, 250 * MS)
+    turn.begin(now + 2 * SECOND, now + MS, 250 * MS, False)
+    turn.begin(now + 2 * SECOND + 2 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
+    assert turn.process_stalled(now + 2 * SECOND + 2 * MS)
+    assert turn.max_unread_time(now + 2 * SECOND + 2 * MS, 0) == 2 * SECOND + MS
+    turn.begin(now + 3 * SECOND, now + 2 * SECOND + 3 * MS, 2 * SECOND)
+    assert not turn.process_stalled(now + 3 * SECOND)
 
 
 def test_nothing_is_owed_by_a_poll_that_had_to_wait_again() -> None:
     turn, now = LoopTiming(60 * MS), SECOND
-    turn.begins(now, now, 250 * MS)
-    turn.begins(now + 2 * SECOND, now + MS, 250 * MS, False)
-    turn.begins(now + 2 * SECOND + 50 * MS, now + 2 * SECOND + MS, 250 * MS)
-    assert not turn.stood_still(now + 2 * SECOND + 50 * MS) and turn.unread(now + 2 * SECOND + 50 * MS, 0) == 0
+    turn.begin(now, now, 250 * MS)
+    turn.begin(now + 2 * SECOND, now + MS, 250 * MS, False)
+    turn.begin(now + 2 * SECOND + 50 * MS, now + 2 * SECOND + MS, 250 * MS)
+    assert (
+        not turn.process_stalled(now + 2 * SECOND + 50 * MS)
+        and turn.max_unread_time(now + 2 * SECOND + 50 * MS, 0) == 0
+    )
 
 
 def test_a_turn_that_lasts_is_one_in_which_the_process_stood_still_and_so_is_the_next() -> None:
     turn, now = LoopTiming(60 * MS), SECOND
-    turn.begins(now, now, 250 * MS)
-    assert not turn.stood_still(now + STOOD) and turn.stood_still(now + STOOD + 1)
-    turn.begins(now + STOOD + 2 * MS, now + STOOD + MS, 250 * MS)
-    assert turn.stood_still(now + STOOD + 2 * MS)
+    turn.begin(now, now, 250 * MS)
+    assert not turn.process_stalled(now + STALL_NS) and turn.process_stalled(now + STALL_NS + 1)
+    turn.begin(now + STALL_NS + 2 * MS, now + STALL_NS + MS, 250 * MS)
+    assert turn.process_stalled(now + STALL_NS + 2 * MS)
 
 
 def test_a_poll_that_waits_for_ever_is_never_late() -> None:
     turn = LoopTiming(60 * MS)
-    turn.begins(100 * SECOND, SECOND, -1)
-    assert not turn.stood_still(100 * SECOND) and turn.unread(100 * SECOND, 0) == 0
+    turn.begin(100 * SECOND, SECOND, -1)
+    assert not turn.process_stalled(100 * SECOND) and turn.max_unread_time(100 * SECOND, 0) == 0
 
 
 def test_a_hop_waits_for_the_next_poll_of_a_process_that_stood_still() -> None:
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -241,7 +241,7 @@
 def late_reader(waited: int, silent_ms: int) -> tuple[Net, Wire]:
     """A client of a process that polled so long ago; its last byte came as long ago as the system says."""
     net = Net()
-    net.loop_timing.begins(net.dispatcher.now(), net.dispatcher.now() - waited, most=0)
+    net.loop_timing.begin(net.dispatcher.now(), net.dispatcher.now() - waited, most=0)
     client = net.client()
     client.silent_ms = silent_ms
     return net, client
@@ -272,7 +272,7 @@
     client.feed(b"ms k 100000 O1 Pc=once,d=900\r\n" + b"x" * 20000)
     for _ in range(3):
         net.run(1)
-        net.loop_timing.begins(net.dispatcher.now())
+        net.loop_timing.begin(net.dispatcher.now())
         client.silent_ms = 0  # the system had no room for the rest before
         client.feed(b"x" * 20000)
     net.run(VALUE_PAUSE // MS - 2000 + 60)
@@ -283,7 +283,7 @@
     net, client = late_reader(2 * SECOND, 1500)
     client.feed(b"ms k 1")
     net.run(2)
-    net.loop_timing.begins(net.dispatcher.now())
+    net.loop_timing.begin(net.dispatcher.now())
     client.feed(b"000 O1 Pc=once,d=900\r\nxx")
     net.run(VALUE_PAUSE // MS - 1500 + 60)
     assert client.closing or client.lost
@@ -293,7 +293,7 @@
     net, client = late_reader(3 * SECOND, 2000)
     client.feed(b"mg k")
     net.run(10)
-    net.loop_timing.begins(net.dispatcher.now())
+    net.loop_timing.begin(net.dispatcher.now())
     client.silent_ms = 0
     client.feed(mg(1, profile="nobody")[4:] + b"mg k")  # ends that line, and begins another
     net.run(LINE_MOST // MS - 60)
@@ -307,7 +307,7 @@
     client.silent_ms = 0
     for _ in range(4):
         net.run(300)
-        net.loop_timing.begins(net.dispatcher.now())
+        net.loop_timing.begin(net.dispatcher.now())
         assert not client.closing and not client.lost
         client.feed(b"x" * 20000)
     net.run(VALUE_PAUSE // MS - 100)
@@ -492,9 +492,9 @@
     client.stuck = True
     client.feed(mg(1, profile="nobody"))
     net.run(1000)
-    net.loop_timing.late = True  # the process was stopped for long
+    net.loop_timing.stalled_before = True  # the process was stopped for long
     net.reactor.advance(20.0)
-    net.loop_timing.late = False
+    net.loop_timing.stalled_before = False
     assert not client.lost
     net.run(5300)
     assert client.lost
