--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -257,7 +257,7 @@
         lame = serve_on = leave = flush = 0
         for tenancy in self.tenancies.values():
             limits = tenancy.limits
-            tenancy.dispatcher.ends_at = now + limits.last_answer_after
+            tenancy.dispatcher.answer_deadline = now + limits.last_answer_after
             lame, leave = max(lame, limits.accept_grace), max(leave, limits.stop_after)
             serve_on, flush = max(serve_on, limits.leave_after), max(flush, limits.flush_timeout)
         self.flush = flush
@@ -266,7 +266,9 @@
         self.reactor.callLater(leave / SECOND, self._stop)
 
     def _open(self) -> int:
-        return sum(not tx.answered for tenancy in self.tenancies.values() for tx in tenancy.dispatcher.txs.values())
+        return sum(
+            not tx.answered for tenancy in self.tenancies.values() for tx in tenancy.dispatcher.open_txs.values()
+        )
 
     def _close(self) -> None:
         closed = [tenancy.close_ports(not tenancy.frontend.leaving) for tenancy in self.tenancies.values()]
--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -178,7 +178,7 @@
     def arrives(self, command: meta.Command, owed: Owed, unread: int) -> None:
         if self.frontend.full(self):
             self.frontend.safety.record_request_refusal(RequestRefusal.SHARE, owed.id)
-            owed.roll_back(self.frontend.dispatcher.about(self.frontend.limits.retry_after))
+            owed.roll_back(self.frontend.dispatcher.jittered(self.frontend.limits.retry_after))
             return
         owed.counted = True
         self.open += 1
@@ -298,7 +298,7 @@
     def over(self, client: TenantClient) -> int:
         """Nought, or how long its next command is told to wait, without being read."""
         shut = self.shut or (self.fenced() if self.fenced is not None else 0)
-        return self.dispatcher.about(shut) or self.dues.take(self.dispatcher.now(), client.address)
+        return self.dispatcher.jittered(shut) or self.dues.take(self.dispatcher.now(), client.address)
 
     def full(self, client: TenantClient) -> bool:
         """Whether the tenant has as many open as it may, and this client its part of them."""
--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/tenancy.py
@@ -177,17 +177,17 @@
         super().__init__(*terms)
         self.shared: dict[int, Endpoint] = {}
 
-    def list_told(self, whole: bool, members: tuple[Member, ...]) -> None:
+    def update_hosts(self, whole: bool, members: tuple[Member, ...]) -> None:
         self.told(whole, members)
 
     def settled(self, members: tuple[Member, ...], shared: Mapping[str, Endpoint]) -> None:
         """The list as the decisions are to have it."""
-        super().list_told(True, members)
-        self.shared = {self.hosts[id]: place for id, place in shared.items() if id in self.hosts}
+        super().update_hosts(True, members)
+        self.shared = {self.host_indices[id]: place for id, place in shared.items() if id in self.host_indices}
 
-    def _ended(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
+    def _finish_hop(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
         place = self.shared.get(hop.host) if self.shared else None
-        super()._ended(hop, end, answer, note)
+        super()._finish_hop(hop, end, answer, note)
         if place is not None:
             self.machine_ended(place, end)
 
@@ -249,7 +249,7 @@
             common.loop, self.id, reactor, self.dispatcher, self.limits, self.sockets, True
         )
         self.loop_timing = TenantLoopTiming(loop_timing, self.limits.turn_duration)
-        self.dispatcher.stood_still = self.loop_timing.process_stalled
+        self.dispatcher.process_stalled = self.loop_timing.process_stalled
         self.dues = Dues(tenant.limits.txs_a_second, tenant.limits.burst)
         self.frontend = TenantFrontend(
             reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing, common.loop, self.id, self.dues
@@ -284,7 +284,7 @@
             self._limited(new)
         if (old.profiles, old.rules, old.shares) != (new.profiles, new.rules, new.shares):
             start, names = started_of(self.common.process, new), names_of(new, self.zones)
-            self.dispatcher.refigured(start, names, self.limits)
+            self.dispatcher.reconfigure(start, names, self.limits)
         if old.listeners != new.listeners:
             for place in set(old.listeners) - set(new.listeners):
                 if place in self.ports:
@@ -337,7 +337,7 @@
             return False
         longest = max(one.profile.hard_limit for one in self.entry.tenant.profiles)
         waited = self.dispatcher.now() - self.ending_since
-        return (not self.frontend.all and not self.dispatcher.txs) or waited > longest + SECOND
+        return (not self.frontend.all and not self.dispatcher.open_txs) or waited > longest + SECOND
 
     def end(self) -> None:
         """It is no more: nothing of it stays."""
@@ -360,7 +360,7 @@
         if tenant.source is not None and self.discovery is None:
             where = Address(tenant.source.host, tenant.source.port)
             self.discovery = Discovery(self.common.reactor, self.dispatcher, self.limits, where, self.start_times, old)
-            self.dispatcher.watch = self.discovery.watch
+            self.dispatcher.request_list = self.discovery.watch
             self.discovery.watch()
         elif tenant.source is None:
             members = tuple(self._member(server) for server in tenant.servers)
@@ -419,14 +419,14 @@
 
     def held(self) -> int:
         """Bytes that it has in memory of half-read and unanswered things."""
-        return self.dispatcher.held + self.frontend.kept + self.frontend.queued + self.pool.kept
+        return self.dispatcher.buffered_bytes + self.frontend.kept + self.frontend.queued + self.pool.kept
 
     def use(self) -> dict[str, Any]:
         part = self.common.loop.parts.get(self.id)
         return {
             "clients": self.sockets.clients,
             "host_connections": self.sockets.hosts,
-            "open": len(self.dispatcher.txs),
+            "open": len(self.dispatcher.open_txs),
             "held_bytes": self.held(),
             "cpu_s": round(part.spent / SECOND, 3) if part else 0.0,
             "servers": len(self.members),
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -55,7 +55,7 @@
     def abandon(self) -> None:
         self.put(meta.ABANDONED)
 
-    def left(self) -> bool:
+    def has_left(self) -> bool:
         return self.client.ended or self.client.peer_closed()
 
     def put(self, text: bytes) -> None:
@@ -114,7 +114,7 @@
             if isinstance(one, Owed) and one.flow is not None:
                 one.flow.leave()
             elif isinstance(one, Owed) and one.text is None:
-                one.dispatcher.gone(one.tx)
+                one.dispatcher.client_gone(one.tx)
 
     def rawDataReceived(self, data: bytes) -> None:
         if self.ended or self.closing:
@@ -201,7 +201,7 @@
             self.owed.append(item.line + b"\r\n")
             return
         # A large value that does not end where it should: what was passed on of it is cut off, and never whole.
-        owed.dispatcher.gone(owed.tx)
+        owed.dispatcher.client_gone(owed.tx)
         owed.put(item.line + b"\r\n")
 
     def hold(self, back: bool) -> None:
@@ -221,7 +221,7 @@
         owed, flow = self.pours, self.coming
         self.pours = self.coming = None
         if owed is not None and flow is not None:
-            owed.dispatcher.whole(owed.tx)
+            owed.dispatcher.tx_fully_received(owed.tx)
             flow.finish()
 
     def swallow(self) -> None:
@@ -252,7 +252,7 @@
         why = self.no_room(late)
         if why is not None:
             self.frontend.safety.record_request_refusal(why, owed.id)
-            owed.roll_back(self.frontend.dispatcher.about(self.frontend.limits.retry_after))
+            owed.roll_back(self.frontend.dispatcher.jittered(self.frontend.limits.retry_after))
             return
         self.arrives(command, owed, loop_timing.max_unread_time(now, self.first_since()))
 
@@ -277,7 +277,7 @@
             self.coming,
             unread,
         )
-        owed.tx = self.frontend.dispatcher.arrived(arrival, owed)
+        owed.tx = self.frontend.dispatcher.tx_arrived(arrival, owed)
         if owed.tx < 0:
             owed.put(b"CLIENT_ERROR unknown profile\r\n")
 
--- a/ternquay/net/discovery.py
+++ b/ternquay/net/discovery.py
@@ -112,7 +112,7 @@
         pool.maxPersistentPerHost = 1
         self.agent = Agent.usingEndpointFactory(reactor, Straight(reactor, where), pool)
         self.revision = -1  # no list of this address is known yet
-        self.schedule = WatchSchedule(limits, dispatcher.draw, not dispatcher.start.watch_list)
+        self.schedule = WatchSchedule(limits, dispatcher.random, not dispatcher.config.watch_list)
         self.ended = self.last = False  # last: no further call, but what is out is still good
         self.call: Called | None = None
         self.kept: Called | None = None  # one that was silent for longer than it may, and may yet be answered
@@ -152,7 +152,7 @@
         if revision < self.revision:
             raise ToldWrong(f"revision: {revision} is older than {self.revision}, which is known")
         self.revision = revision  # before the decisions hear of it, as they may ask for the next at once
-        self.dispatcher.list_told(whole, self.start_times.dated(whole, members, self.dispatcher.now()))
+        self.dispatcher.update_hosts(whole, self.start_times.dated(whole, members, self.dispatcher.now()))
 
     def _call(self) -> None:
         if self.ended or self.last:
--- a/ternquay/net/frontend.py
+++ b/ternquay/net/frontend.py
@@ -63,14 +63,14 @@
             self.held_up = True
             self.gate(False)
             if self.admission is None:
-                self.admission = self.dispatcher.later(client.made + INTERVAL, self._admit)
+                self.admission = self.dispatcher.call_at(client.made + INTERVAL, self._admit)
 
     def _admit(self) -> None:
         """Places for those that wait to be accepted, as long as all are taken."""
         self.admission = None
         if not self.held_up:
             return
-        self.admission = self.dispatcher.later(self.dispatcher.now() + INTERVAL, self._admit)
+        self.admission = self.dispatcher.call_at(self.dispatcher.now() + INTERVAL, self._admit)
         evict(self, self.waiting())
 
     def room(self) -> int:
@@ -106,7 +106,7 @@
         """One timer serves all requests that are not whole."""
         cancel_call(self.expiry)
         self.expires_at = at
-        self.expiry = self.dispatcher.later(at, self._expire)
+        self.expiry = self.dispatcher.call_at(at, self._expire)
 
     def _expire(self) -> None:
         """Ends the requests that are overdue, and looks again when the next one is."""
@@ -149,7 +149,7 @@
                 self.close_resting(client)
             elif client.answered and (client.crowded or self.held_up):
                 # Not in this step: what a client has written behind its request may be on its way.
-                self.dispatcher.later(client.moved + SETTLE, self._close_settled, client, client.moved)
+                self.dispatcher.call_at(client.moved + SETTLE, self._close_settled, client, client.moved)
 
     def _close_settled(self, client: ClientConnection, moved: int) -> None:
         """Closes one that was idle then and has been since."""
--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -94,7 +94,7 @@
             self.settle()
 
     def begin(self, hop: OutgoingHop) -> None:
-        left = max(1, (hop.not_past - self.pool.dispatcher.now()) // MS)
+        left = max(1, (hop.deadline - self.pool.dispatcher.now()) // MS)
         self.pool.dispatcher.safety.record_attempt_start(hop.tx.answered, hop.tx.requester.id, hop.number)
         self.writing = hop
         self.hops.append(hop)
--- a/ternquay/net/replace.py
+++ b/ternquay/net/replace.py
@@ -74,7 +74,7 @@
         self._ceiling(None)
         if self.other:
             logger.info("another process of this balancer is here, to be replaced")
-            self.service.dispatcher.beside(0.5)
+            self.service.dispatcher.set_cold_fraction(0.5)
         self.look()
 
     def look(self) -> None:
@@ -87,7 +87,7 @@
         if other != self.other:
             self.other, self.second, self.since = other, False, now
             logger.info("another process of this balancer has come beside" if other else "this process is alone again")
-            service.dispatcher.beside(0.5 if other else 1.0)
+            service.dispatcher.set_cold_fraction(0.5 if other else 1.0)
         # A clock's tick early, as both may look in the same one.
         note = self.slots.read(self.since - MS) if other else None
         self._ceiling(note)
@@ -96,9 +96,9 @@
         if self.then is not None and (note is not None or not self.second or now - self.since > PATIENCE):
             then, self.then = self.then, None
             if note is not None and self.second:
-                learned = learned_read(note.learned, service.dispatcher.hosts)
+                learned = learned_read(note.learned, service.dispatcher.host_indices)
                 if learned is not None:
-                    service.dispatcher.happened(learned)
+                    service.dispatcher.handle_event(learned)
             elif self.second:
                 logger.warning("the other process told nothing: this one serves by the list that it was given")
             then()
@@ -128,7 +128,7 @@
         if (same and note.revision > discovery.revision) or (not same and self.then is not None):
             if same:
                 discovery.revision = note.revision
-            self.service.dispatcher.list_told(True, note.members)
+            self.service.dispatcher.update_hosts(True, note.members)
 
     def _tell(self, now: int) -> None:
         service = self.service
@@ -137,7 +137,7 @@
         if told == self.told and now - self.wrote < FRESH:
             return
         self.told, self.wrote = told, now
-        names = {index: name for name, index in dispatcher.hosts.items()}
+        names = {index: name for name, index in dispatcher.host_indices.items()}
         self.slots.write(
             Note(
                 now,
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -79,7 +79,7 @@
             reactor, self.dispatcher, self.limits, sockets, launch.start.parallel_hops
         )
         self.loop_timing = LoopTiming(self.limits.turn_duration)
-        self.dispatcher.stood_still = self.loop_timing.process_stalled
+        self.dispatcher.process_stalled = self.loop_timing.process_stalled
         self.frontend = Frontend(reactor, self.dispatcher, self.limits, sockets, self.loop_timing)
         self.discovery = self._discovery(launch.discovery)
         self.port: Any = None
@@ -91,7 +91,7 @@
 
     def _discovery(self, where: Address, instead: Discovery | None = None) -> Discovery:
         discovery = Discovery(self.reactor, self.dispatcher, self.limits, where, self.start_times, instead)
-        self.dispatcher.watch = discovery.watch
+        self.dispatcher.request_list = discovery.watch
         return discovery
 
     def begin(self) -> None:
@@ -200,7 +200,7 @@
             return "out of service"
         if self.port is None:
             return "waits for the process that it replaces"
-        return "" if self.dispatcher.hosts else "no cache host is known"
+        return "" if self.dispatcher.host_indices else "no cache host is known"
 
     def out_of_service(self) -> str:
         """Drains: an `mn` is told at once, clients are served for a moment, then each is closed after its answer."""
@@ -213,7 +213,7 @@
                     (self.limits.drain_cutoff_after, self.frontend.cut_off),
                 )
             ]
-            logger.info("out of service, {} transactions open", len(self.dispatcher.txs))
+            logger.info("out of service, {} transactions open", len(self.dispatcher.open_txs))
         return ""
 
     def in_service(self) -> str:
@@ -248,13 +248,13 @@
             return
         self.ending = True
         self._undrained()
-        logger.info("told to end, {} transactions open", len(self.dispatcher.txs))
+        logger.info("told to end, {} transactions open", len(self.dispatcher.open_txs))
         if self.replacement is not None and self.replacement.other_serves:
             # What comes now is the other process's, and so is who has its answer.
             self._close_door()
             self.frontend.leave(self.limits.new_client_grace)
             self._wait()
-        self.dispatcher.ends_at = self.dispatcher.now() + self.limits.last_answer_after
+        self.dispatcher.answer_deadline = self.dispatcher.now() + self.limits.last_answer_after
         self.reactor.callLater(self.limits.accept_grace / SECOND, self._close_door)
         self.reactor.callLater(self.limits.leave_after / SECOND, self._leave)
         self.reactor.callLater(self.limits.stop_after / SECOND, self._stop)
@@ -299,7 +299,7 @@
             if self.replacement is not None:
                 self.replacement.end()
             logger.info(self.dispatcher.safety.summary())
-            logger.info("ended, {} transactions open", sum(not tx.answered for tx in self.dispatcher.txs.values()))
+            logger.info("ended, {} transactions open", sum(not tx.answered for tx in self.dispatcher.open_txs.values()))
             self.reactor.stop()
 
 
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -299,7 +299,7 @@
         )
         self.loop_timing = LoopTiming(self.limits.turn_duration)
         self.frontend = Frontend(self.reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing)
-        self.dispatcher.watch = lambda: self.say("the list is asked for")
+        self.dispatcher.request_list = lambda: self.say("the list is asked for")
         self.pool.sweep()
         self.frontend.sweep()
         self.list(*(member(h) for h in range(1, hosts + 1)), whole=True)
@@ -309,7 +309,7 @@
 
     def list(self, *members: dict[str, Any], whole: bool = False) -> None:
         told = {"revision": 1, "complete": whole, "members": list(members)}
-        self.dispatcher.list_told(*read_list(told, 0)[1:])
+        self.dispatcher.update_hosts(*read_list(told, 0)[1:])
 
     def client(self) -> Wire:
         count = sum(w.name.startswith("client") for w in self.wires)
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -122,7 +122,10 @@
     [w for w in net.wires if w.name == "host 1" and not w.lost][-1].feed(va(2))
     net.run(FORGET // 1_000_000 + 3000)
     assert (
-        not net.dispatcher.hosts and not net.dispatcher.members and not net.dispatcher.doubted and not net.pool.places
+        not net.dispatcher.host_indices
+        and not net.dispatcher.members
+        and not net.dispatcher.missing_since
+        and not net.pool.places
     )
     assert not net.dispatcher.balancer.hosts
     net.list(member(1))
@@ -130,4 +133,4 @@
     client = net.client()
     client.feed(mg(3))
     net.accept().feed(va(3))
-    assert not net.dispatcher.doubted
+    assert not net.dispatcher.missing_since
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -69,14 +69,14 @@
     net.run(300)
     net.loop_timing.begin(net.dispatcher.now())
     early.feed(mg(1, ttl=500))  # it may have lain there for all of that turn
-    assert [tx.ttl // 1_000_000 for tx in net.dispatcher.txs.values()] == [200]
+    assert [tx.ttl // 1_000_000 for tx in net.dispatcher.open_txs.values()] == [200]
     net.loop_timing.begin(net.dispatcher.now())
     slow = net.client()
     for _ in range(5):
         net.run(100)
         net.loop_timing.begin(net.dispatcher.now())
     slow.feed(mg(3, ttl=500))
-    assert list(net.dispatcher.txs.values())[-1].ttl // 1_000_000 == 400  # one turn, not the five since it came
+    assert list(net.dispatcher.open_txs.values())[-1].ttl // 1_000_000 == 400  # one turn, not the five since it came
 
 
 def test_it_listens_when_the_loop_runs_and_not_before(tmp_path: Path) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -56,7 +56,7 @@
         net.accept()
     net.run(5)
     assert not begun(net), net.trace
-    assert not net.dispatcher.txs
+    assert not net.dispatcher.open_txs
 
 
 @pytest.mark.parametrize("waits", [60, 200])
@@ -69,7 +69,7 @@
     net.run(waits)
     net.accept()
     assert not begun(net), net.trace
-    assert not net.dispatcher.txs
+    assert not net.dispatcher.open_txs
 
 
 def test_a_client_that_is_still_there_gets_its_late_hop() -> None:
@@ -137,7 +137,7 @@
     if net.reactor.tcpClients:
         net.accept()
     assert not begun(net), net.trace
-    assert not net.dispatcher.txs
+    assert not net.dispatcher.open_txs
 
 
 # ---- a call to discovery that ends ----
@@ -161,7 +161,7 @@
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
-    watch.revision, net.dispatcher.watch = 0, watch.watch
+    watch.revision, net.dispatcher.request_list = 0, watch.watch
     watch.watch()
     return net, agent, watch
 
@@ -517,7 +517,7 @@
     while net.reactor.tcpClients:
         net.accept()
     net.run(1000)
-    assert len(begun(net)) == 1 and not net.dispatcher.txs, net.trace
+    assert len(begun(net)) == 1 and not net.dispatcher.open_txs, net.trace
 
 
 def test_what_comes_in_one_read_with_the_end_behind_it_begins_at_once_or_never() -> None:
@@ -529,7 +529,7 @@
     while net.reactor.tcpClients:
         net.accept()
     net.run(1000)
-    assert not begun(net) and not net.dispatcher.txs and not net.pool.kept
+    assert not begun(net) and not net.dispatcher.open_txs and not net.pool.kept
 
 
 @pytest.mark.parametrize("back", [True, False])
@@ -642,14 +642,14 @@
 from ternquay.net.dispatcher import Dispatcher
 from ternquay.net.launch import read_launch
 
-happened = Dispatcher.happened
+handle_event = Dispatcher.handle_event
 
 def held(dispatcher, event):
-    happened(dispatcher, event)
-    if isinstance(event, m.HopEnded) and event.end is m.HopOutcome.FULL:
+    handle_event(dispatcher, event)
+    if isinstance(event, m.HopEnded) and event.outcome is m.HopOutcome.FULL:
         time.sleep(0.3)
 
-Dispatcher.happened = held
+Dispatcher.handle_event = held
 serve.run(read_launch(sys.argv[1]))
 """
 
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -101,12 +101,12 @@
     first.feed(b"VA 30 O1 h1\r\n")
     assert not written(net, "client 0")
     first.feed(b"0123456789")
-    assert written(net, "client 0") == b"VA 30 O1\r\n0123456789" and len(net.dispatcher.txs) == 1
+    assert written(net, "client 0") == b"VA 30 O1\r\n0123456789" and len(net.dispatcher.open_txs) == 1
     second.feed(va(2))
     net.run(2000)  # past its hard limit
     first.feed(b"0123456789" * 2 + b"\r\n")
     assert written(net, "client 0") == b"VA 30 O1\r\n" + b"0123456789" * 3 + b"\r\n" + va(2).replace(b" h1", b"")
-    assert not net.dispatcher.txs and not first.lost and net.pool.places[0].idle
+    assert not net.dispatcher.open_txs and not first.lost and net.pool.places[0].idle
     client.feed(mg(3))
     net.matches("net_large_read")
 
@@ -145,7 +145,7 @@
         host.feed(b"0123456789" * 2 + b"xx")
     net.take()
     assert client.lost and host.lost and not written(net, "client 0").endswith(b"\r\n")
-    assert not net.dispatcher.txs and net.sockets.clients == net.sockets.hosts == 0
+    assert not net.dispatcher.open_txs and net.sockets.clients == net.sockets.hosts == 0
 
 
 def test_what_is_small_is_not_put_behind_what_is_large() -> None:
@@ -187,7 +187,7 @@
     assert net.dispatcher.balancer.inflight > 0
     net.run(300)
     host.feed(b"HD O1 cabc\r\n")
-    assert written(net, "client 0") == b"HD O1 cabc\r\n" and not net.dispatcher.txs
+    assert written(net, "client 0") == b"HD O1 cabc\r\n" and not net.dispatcher.open_txs
     assert net.dispatcher.balancer.usual < 400_000_000  # what its writer took is not its cache host's
 
 
@@ -246,7 +246,7 @@
         client.feed(put(number, b"0123456789" * 4)[:-20])
         host = net.accept()
         client.end()
-        assert host.lost and not net.dispatcher.txs
+        assert host.lost and not net.dispatcher.open_txs
     [one] = net.dispatcher.balancer.hosts.values()
     assert not one.fails and not one.inflight and not one.out_until and not net.sockets.hosts
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -121,7 +121,7 @@
         net.run(20)
         host.feed(va(number))
     old = net.dispatcher.balancer
-    names = {index: name for name, index in net.dispatcher.hosts.items()}
+    names = {index: name for name, index in net.dispatcher.host_indices.items()}
     told = learned_text(old.learned(), names)
     learned = learned_read(told | {"hosts": told["hosts"] | {"unheard": told["hosts"]["h1"]}}, {"h1": 7, "h2": 3})
     assert learned is not None and {h.host for h in learned.hosts} == {7, 3}
@@ -146,11 +146,11 @@
 def test_a_cold_host_takes_half_from_each_while_there_are_two() -> None:
     net = Net(hosts=1)
     net.list(member(2, since=1_000_000))
-    net.dispatcher.beside(0.5)
+    net.dispatcher.set_cold_fraction(0.5)
     assert [h.part for h in net.dispatcher.balancer.hosts.values()] == [0.5, 0.5]
     net.list(member(3, since=1_000_000))
     net.list(member(1, "removed"))
-    net.dispatcher.beside(1.0)
+    net.dispatcher.set_cold_fraction(1.0)
     assert [h.part for h in net.dispatcher.balancer.hosts.values()] == [1.0, 1.0] and set(net.dispatcher.members) == {
         "h2",
         "h3",
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -98,7 +98,7 @@
     client.feed(mg(1))
     net.accept()
     client.end()
-    assert not net.dispatcher.txs
+    assert not net.dispatcher.open_txs
     net.matches("net_client_gone")
 
 
@@ -111,7 +111,7 @@
     second.feed(mg(2))
     net.run(150)
     host.feed(va(1, b"late") + va(2))
-    assert not net.dispatcher.txs and not host.lost
+    assert not net.dispatcher.open_txs and not host.lost
     net.matches("net_shared")
 
 
@@ -124,7 +124,7 @@
     net.run(350)
     assert not host.lost
     net.run(100)
-    assert host.lost and not net.dispatcher.txs
+    assert host.lost and not net.dispatcher.open_txs
 
 
 def test_where_no_second_copy_is_allowed_nothing_is_shared() -> None:
@@ -270,7 +270,7 @@
     monkeypatch.setattr(net.dispatcher.balancer, "decide", lambda now, event: [])
     client.feed(mg(1))
     net.run(801)
-    assert not net.dispatcher.txs
+    assert not net.dispatcher.open_txs
 
     def broken(*_: object) -> None:
         raise ValueError("broken on purpose")
@@ -293,7 +293,10 @@
     assert idle.lost and list(net.pool.places) == [0, 38]
     busy.feed(va(1))
     net.run(1)
-    assert busy.lost and len(net.pool.places) == len(net.dispatcher.hosts) == len(net.dispatcher.balancer.hosts) == 1
+    assert (
+        busy.lost
+        and len(net.pool.places) == len(net.dispatcher.host_indices) == len(net.dispatcher.balancer.hosts) == 1
+    )
     assert net.sockets.hosts == 0
     net.matches("net_gone")
 
@@ -418,7 +421,7 @@
     calls = agent.calls
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
-    watch.revision, net.dispatcher.watch = 0, watch.watch
+    watch.revision, net.dispatcher.request_list = 0, watch.watch
     watch.watch()
     good = {"revision": 5, "complete": False, "members": [member(2)]}
     calls[-1].callback(Response(200, orjson.dumps(good)))
@@ -514,7 +517,7 @@
     assert not moved.ended and len(service.pool.places) == 1
     told_anew = {"revision": 2, "complete": True, "members": [member(2)]}
     agent.calls[1].callback(Response(200, orjson.dumps(told_anew)))
-    assert list(service.pool.places) == [1] and list(service.dispatcher.hosts) == ["h2"]
+    assert list(service.pool.places) == [1] and list(service.dispatcher.host_indices) == ["h2"]
     agent.calls[-1].errback(connectionDone)
     net.run(1500)
     path.write_bytes(orjson.dumps(TOLD))
--- a/tests/test_review_gaps.py
+++ b/tests/test_review_gaps.py
@@ -23,7 +23,7 @@
     net = Net(limits={"pipelined": 3, "sockets": 9})
     client = net.client()
     client.feed(b"".join(mg(n, key=f"k{n}") for n in range(5)))
-    assert len(net.dispatcher.txs) == 3
+    assert len(net.dispatcher.open_txs) == 3
     while net.reactor.tcpClients:
         net.accept()
     for wire in net.wires[1:]:
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -150,7 +150,7 @@
     kept = [text for text in lines if "the old one is kept" in text]
     assert len(kept) == len(bad) and all(text.count("\n") == 1 for text in kept), len(kept)
     answers = [one for one in net.trace if "client 0 < b'VA" in one]
-    assert len(answers) == len(bad) and not service.dispatcher.txs
+    assert len(answers) == len(bad) and not service.dispatcher.open_txs
 
 
 def test_two_reloads_at_once_and_a_discovery_that_never_answers_leave_what_is_in_force(
@@ -181,7 +181,7 @@
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
-    net.dispatcher.watch = watch.watch
+    net.dispatcher.request_list = watch.watch
     watch.watch()
     return watch, agent
 
@@ -208,17 +208,17 @@
     agent.calls[0].callback(told(5, member(1), member(2)))
     client = net.client()
     client.feed(mg(1))
-    before = dict(net.dispatcher.hosts)
+    before = dict(net.dispatcher.host_indices)
     agent.calls[1].callback(Response(200, json.dumps(change["known"]).encode()))
     net.accept().feed(va(1))
     logger.remove(handler)
-    assert net.dispatcher.hosts == before and "client 0 < b'VA 3 O1" in "".join(net.trace)
+    assert net.dispatcher.host_indices == before and "client 0 < b'VA 3 O1" in "".join(net.trace)
     assert sum(named.replace("known.", "") in text for text in lines) == 1, lines
     until_asked(net, agent, 3)
     asked = [one for one in net.trace if " GET " in one]
     assert asked[-1].endswith("/api/targets")  # the whole list, as what changed may be lost
     agent.calls[2].callback(told(7, member(3)))
-    assert set(net.dispatcher.hosts) == {"h3"}
+    assert set(net.dispatcher.host_indices) == {"h3"}
 
 
 def test_an_older_revision_changes_nothing_and_a_discovery_that_went_back_is_believed_when_asked_anew(
@@ -230,12 +230,12 @@
     agent.calls[1].callback(told(4, member(1, "draining"), complete=False))
     assert (
         watch.revision == -1
-        and net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].standing is m.HostStatus.READY
+        and net.dispatcher.balancer.hosts[net.dispatcher.host_indices["h1"]].standing is m.HostStatus.READY
     )
     until_asked(net, agent, 3)
     agent.calls[2].callback(told(4, member(1, "draining"), member(2)))
     assert watch.revision == 4
-    assert net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].standing is m.HostStatus.DRAINING
+    assert net.dispatcher.balancer.hosts[net.dispatcher.host_indices["h1"]].standing is m.HostStatus.DRAINING
 
 
 @pytest.mark.parametrize("stays", [True, False])
@@ -251,7 +251,9 @@
     agent.calls[2].callback(told(6, member(1), *([member(2)] if stays else [])))
     assert watch.revision == 6
     left = {"h1", "h2"} if stays else {"h1"}
-    assert set(net.dispatcher.hosts) == left and len(net.dispatcher.balancer.hosts) == len(net.pool.places) == len(left)
+    assert set(net.dispatcher.host_indices) == left and len(net.dispatcher.balancer.hosts) == len(
+        net.pool.places
+    ) == len(left)
 
 
 def test_a_whole_list_that_is_empty_counts_as_told_and_the_next_one_mends_it() -> None:
@@ -270,7 +272,7 @@
     net.list(member(1), member(2), whole=True)
     client.feed(mg(4))
     net.accept().feed(va(4))
-    assert "VA 3 O4" in net.trace[-1] and not net.dispatcher.txs
+    assert "VA 3 O4" in net.trace[-1] and not net.dispatcher.open_txs
 
 
 def test_a_host_that_was_gone_and_is_told_again_gets_its_keys_back() -> None:
--- a/tests/test_review_links.py
+++ b/tests/test_review_links.py
@@ -122,7 +122,7 @@
 
     monkeypatch.setattr(net.dispatcher.balancer, "decide", both)
     first.feed(mg(1))
-    asker = net.dispatcher.txs[0].requester
+    asker = net.dispatcher.open_txs[0].requester
     monkeypatch.setattr(type(asker), "roll_back", lambda self, wait: 1 / 0 if self is asker else self.put(b"x\r\n"))
     second.feed(mg(2))
     assert answers(net, 1) == ["b'x\\r\\n'"]
@@ -142,7 +142,7 @@
         broken.setattr(Balancer, "_route", routed)
         net.client().feed(mg(1))
     net.run(1000)
-    assert not balancer.txs and not net.dispatcher.txs and balancer.inflight == 0
+    assert not balancer.txs and not net.dispatcher.open_txs and balancer.inflight == 0
     assert all(host.inflight == 0 for host in balancer.hosts.values())
     assert len(answers(net)) == 1
 
@@ -155,8 +155,8 @@
     client = net.client()
     for n in range(200):  # each is to be looked at again a little sooner than the one before, and than the next tick
         client.feed(mg(n, key=f"k{n}", ttl=240 - n))
-    assert len(net.dispatcher.txs) > 100
-    left = [call for call in net.reactor.getDelayedCalls() if call.func == net.dispatcher.happened]
+    assert len(net.dispatcher.open_txs) > 100
+    left = [call for call in net.reactor.getDelayedCalls() if call.func == net.dispatcher.handle_event]
     assert len(left) == 1, len(left)
 
 
@@ -170,7 +170,7 @@
     client.feed(ms(1))
     host = net.accept()
     client.end()
-    assert host.lost and not net.dispatcher.txs and net.sockets.hosts == net.sockets.clients == 0
+    assert host.lost and not net.dispatcher.open_txs and net.sockets.hosts == net.sockets.clients == 0
 
 
 def test_a_client_that_is_gone_silently_holds_one_socket_until_that_is_wanted() -> None:
@@ -208,7 +208,7 @@
     client = net.client()
     client.feed(mg(1))
     net.run(600)  # the reactor of this test never gives up a dial: the hop's own time does
-    assert not net.dispatcher.txs and "busy" in answers(net)[0]
+    assert not net.dispatcher.open_txs and "busy" in answers(net)[0]
     while net.reactor.tcpClients:
         *_, factory, _, _ = net.reactor.tcpClients.pop(0)
         factory.clientConnectionFailed(None, connectionDone)
@@ -223,7 +223,7 @@
         if net.reactor.tcpClients:
             net.accept()
     net.run(1000)
-    assert net.sockets.hosts == 0 and not net.dispatcher.txs and not net.pool.kept
+    assert net.sockets.hosts == 0 and not net.dispatcher.open_txs and not net.pool.kept
     assert "".join(answers(net)).count("SERVER_ERROR failed") + "".join(answers(net)).count("busy") == 4
 
 
--- a/tests/test_stood_still.py
+++ b/tests/test_stood_still.py
@@ -75,12 +75,12 @@
 
 def test_a_hop_waits_for_the_next_poll_of_a_process_that_stood_still() -> None:
     net = Net(hosts=2)
-    net.dispatcher.stood_still = lambda now: True
+    net.dispatcher.process_stalled = lambda now: True
     client = net.client()
     client.feed(mg(1))
     assert not net.reactor.tcpClients
     net.list(member(1, "draining"))
-    net.dispatcher.stood_still = lambda now: False
+    net.dispatcher.process_stalled = lambda now: False
     net.run(2)
     while net.reactor.tcpClients:
         net.accept()
@@ -92,11 +92,11 @@
     client = net.client()
     client.feed(mg(1))
     first = net.reactor.tcpClients[0][0]
-    net.dispatcher.stood_still = lambda now: True
+    net.dispatcher.process_stalled = lambda now: True
     net.accept()
     assert not begun(net)
     net.list(member(int(first[-1]), "draining"))
-    net.dispatcher.stood_still = lambda now: False
+    net.dispatcher.process_stalled = lambda now: False
     net.run(2)
     while net.reactor.tcpClients:
         net.accept()
@@ -105,7 +105,7 @@
 
 def test_a_loop_that_is_late_in_each_turn_still_sends() -> None:
     net = Net(hosts=2)
-    net.dispatcher.stood_still = lambda now: True
+    net.dispatcher.process_stalled = lambda now: True
     client = net.client()
     for number in range(5):
         client.feed(mg(number))
@@ -120,12 +120,12 @@
 
 def test_a_hop_that_waits_for_the_next_poll_ends_with_its_client() -> None:
     net = Net()
-    net.dispatcher.stood_still = lambda now: True
+    net.dispatcher.process_stalled = lambda now: True
     client = net.client()
     client.feed(mg(1))
     client.end()
     net.run(5)
-    assert not net.reactor.tcpClients and not net.dispatcher.txs
+    assert not net.reactor.tcpClients and not net.dispatcher.open_txs
 
 
 class Discovery(Listening):
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -360,7 +360,7 @@
     first, second = net.accept(), net.accept()
     first.feed(va(1)) if "O1" in net.trace[-2] + net.trace[-1] else second.feed(va(1))
     net.run(2600)
-    assert client.lost and all(wire.lost for wire in net.wires[2:]) and not net.dispatcher.txs, net.trace
+    assert client.lost and all(wire.lost for wire in net.wires[2:]) and not net.dispatcher.open_txs, net.trace
     assert OVERDUE.decode() in "".join(net.trace)
 
 
