--- a/ternquay/hosted/tenants/tenancy.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -10,11 +10,11 @@
 
 from ternquay import model as m
 from ternquay.facts import Names
-from ternquay.hosted.shared.fairness import Dues, Lent
+from ternquay.hosted.shared.fairness import ClientLimiter, SharedCapacity
 from ternquay.hosted.shared.front import CROWDING, TenantFrontend, TenantListener, TenantSockets
-from ternquay.hosted.shared.loop import Loop
-from ternquay.hosted.tenants.ledger import Ledger, Named
+from ternquay.hosted.shared.scheduler import FairScheduler
 from ternquay.hosted.tenants.registry import TenantEntry
+from ternquay.hosted.tenants.shared_hosts import ListEntry, SharedHostTable
 from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Server, State, Tenant
 from ternquay.net.closing import accept_all_waiting
 from ternquay.net.discovery import Discovery
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Process:
+class ProcessConfig:
     """What the process gives all tenants together, and its place among others like it."""
 
     sockets: int
@@ -43,14 +43,14 @@
 
 
 @dataclass(slots=True)
-class Common:
+class ProcessResources:
     """What all tenants of a process share."""
 
     reactor: Any
-    process: Process
-    loop: Loop
-    ledger: Ledger
-    sockets: Lent
+    process: ProcessConfig
+    scheduler: FairScheduler
+    shared_hosts: SharedHostTable
+    sockets: SharedCapacity
     difference: Callable[[], int]  # the wall clock less ours
     retell: Callable[[set[str]], None] = lambda names: None
     wait: Callable[[str], int] | None = None  # of a member of a fleet: how long a tenant's new txs are told to wait
@@ -72,7 +72,7 @@
         return self[name]
 
 
-def started_of(process: Process, tenant: Tenant) -> m.Config:
+def started_of(process: ProcessConfig, tenant: Tenant) -> m.Config:
     """What the tenant's decisions are told. Its last share is of those who crowd others: beyond it from the first."""
     rules = tenant.rules
     return m.Config(
@@ -109,7 +109,7 @@
     return names
 
 
-def limits_of(process: Process, tenant: Tenant) -> Limits:
+def limits_of(process: ProcessConfig, tenant: Tenant) -> Limits:
     """The sizes, counts and times of one tenant; its own limits, within what the process has."""
     own = tenant.limits
     facts = {
@@ -147,18 +147,18 @@
 
     def rawDataReceived(self, data: bytes) -> None:
         assert isinstance(self.pool, TenantPool)
-        loop = self.pool.loop
-        began = loop.clock()
+        scheduler = self.pool.scheduler
+        began = scheduler.clock()
         super().rawDataReceived(data)
-        loop.charge_since(self.pool.name, began)
+        scheduler.charge_since(self.pool.name, began)
 
 
 class TenantPool(Pool):
     connects = TenantConnection
 
-    def __init__(self, loop: Loop, name: str, *terms: Any) -> None:
+    def __init__(self, scheduler: FairScheduler, name: str, *terms: Any) -> None:
         super().__init__(*terms)
-        self.loop, self.name = loop, name
+        self.scheduler, self.name = scheduler, name
 
     def end(self) -> None:
         """Closes all there is, at once."""
@@ -193,7 +193,7 @@
 
 
 @dataclass(slots=True)
-class Prepared:
+class PreparedListeners:
     """Listeners that a change needs, bound but not accepting yet."""
 
     ports: dict[Endpoint, Any] = field(default_factory=dict)
@@ -218,9 +218,9 @@
         self.startReading()
 
 
-def bound(reactor: Any, places: tuple[Endpoint, ...], own: str = "", backlog: int = 1024) -> Prepared:
+def bound(reactor: Any, places: tuple[Endpoint, ...], own: str = "", backlog: int = 1024) -> PreparedListeners:
     """`own` stands for 0.0.0.0 here. Raises InvalidField, with nothing left bound, if one of them can't be."""
-    prepared = Prepared()
+    prepared = PreparedListeners()
     for i, place in enumerate(places):
         host = own if own and place.host == "0.0.0.0" else place.host
         port = Held(place.port, Factory(), backlog, host, reactor)
@@ -233,8 +233,8 @@
     return prepared
 
 
-class Tenancy:
-    def __init__(self, common: Common, entry: TenantEntry, loop_timing: LoopTiming) -> None:
+class TenantRuntime:
+    def __init__(self, common: ProcessResources, entry: TenantEntry, loop_timing: LoopTiming) -> None:
         self.common, self.entry = common, entry
         self.id = f"{entry.tenant.name}.{entry.incarnation}"  # one made again under the name is another one
         tenant, reactor = entry.tenant, common.reactor
@@ -246,13 +246,13 @@
         )
         self.dispatcher.told, self.dispatcher.machine_ended = self._told, self._machine_ended
         self.pool = self.dispatcher.pool = TenantPool(
-            common.loop, self.id, reactor, self.dispatcher, self.limits, self.sockets, True
+            common.scheduler, self.id, reactor, self.dispatcher, self.limits, self.sockets, True
         )
         self.loop_timing = TenantLoopTiming(loop_timing, self.limits.turn_duration)
         self.dispatcher.process_stalled = self.loop_timing.process_stalled
-        self.dues = Dues(tenant.limits.txs_a_second, tenant.limits.burst)
+        self.dues = ClientLimiter(tenant.limits.txs_a_second, tenant.limits.burst)
         self.frontend = TenantFrontend(
-            reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing, common.loop, self.id, self.dues
+            reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing, common.scheduler, self.id, self.dues
         )
         self.frontend.open_most = tenant.limits.open_txs
         self.frontend.gate = self._gate
@@ -265,12 +265,12 @@
 
     # ---- its beginning, changes and end ----
 
-    def begin(self, prepared: Prepared) -> None:
+    def begin(self, prepared: PreparedListeners) -> None:
         self._open(prepared)
         self._sourced(self.entry.tenant)
         self._stand(self.entry.tenant.state)
 
-    def change(self, entry: TenantEntry, prepared: Prepared) -> None:
+    def change(self, entry: TenantEntry, prepared: PreparedListeners) -> None:
         """The tenant is this from now on; transactions that are open end by what they were taken with."""
         before, self.entry = self.entry, entry
         try:
@@ -279,7 +279,7 @@
             self.entry = before  # so that the next change makes up for all that differs
             raise
 
-    def _change(self, old: Tenant, new: Tenant, prepared: Prepared) -> None:
+    def _change(self, old: Tenant, new: Tenant, prepared: PreparedListeners) -> None:
         if old.limits != new.limits or old.profiles != new.profiles:
             self._limited(new)
         if (old.profiles, old.rules, old.shares) != (new.profiles, new.rules, new.shares):
@@ -303,7 +303,7 @@
         self.dues.change(tenant.limits.txs_a_second, tenant.limits.burst)
         self.frontend.open_most = tenant.limits.open_txs
 
-    def _open(self, prepared: Prepared) -> None:
+    def _open(self, prepared: PreparedListeners) -> None:
         for place, port in prepared.ports.items():
             port.open(self.frontend, self.loop_timing.accept_ended)
             self.ports[place] = port
@@ -347,7 +347,7 @@
         for client in list(self.frontend.all):
             self.frontend.drop(client, CloseReason.REMOVED)
         self.pool.end()
-        self.common.retell(self.common.ledger.left(self.dispatcher.now(), self.id))
+        self.common.retell(self.common.shared_hosts.remove_tenant(self.dispatcher.now(), self.id))
 
     # ---- its cache hosts ----
 
@@ -385,9 +385,11 @@
         # Where two lines have one place, the machine there is the one that is still listed.
         self.members = {id: member for id, member in kept.items() if id not in gone}
         taken = {_place(member.where) for member in self.members.values()}
-        named = {id: Named(_place(member.where), member.standing, member.since) for id, member in self.members.items()}
+        named = {
+            id: ListEntry(_place(member.where), member.standing, member.since) for id, member in self.members.items()
+        }
         source = self.entry.tenant.source is not None
-        told = self.common.ledger.told(
+        told = self.common.shared_hosts.update_list(
             self.dispatcher.now(), self.id, named, [place for place in places if source and place not in taken]
         )
         self.settle()
@@ -395,17 +397,21 @@
 
     def settle(self) -> None:
         """Its list as the ledger has it goes to the decisions."""
-        lines = self.common.ledger.lines(self.dispatcher.now(), self.id)
+        lines = self.common.shared_hosts.views(self.dispatcher.now(), self.id)
         members = tuple(
             replace(
-                member, standing=lines[id].standing, since=lines[id].since, part=lines[id].part, zone=member.zone or id
+                member,
+                standing=lines[id].status,
+                since=lines[id].started_at,
+                part=lines[id].cold_fraction,
+                zone=member.zone or id,
             )
             for id, member in self.members.items()
         )
-        self.dispatcher.settled(members, {id: line.place for id, line in lines.items() if line.shared})
+        self.dispatcher.settled(members, {id: line.endpoint for id, line in lines.items() if line.shared})
 
     def _machine_ended(self, place: Endpoint, end: m.HopOutcome) -> None:
-        told = self.common.ledger.ended(self.dispatcher.now(), place, end)
+        told = self.common.shared_hosts.hop_ended(self.dispatcher.now(), place, end)
         if told:
             self.common.retell(told)
 
@@ -422,13 +428,13 @@
         return self.dispatcher.buffered_bytes + self.frontend.kept + self.frontend.queued + self.pool.kept
 
     def use(self) -> dict[str, Any]:
-        part = self.common.loop.parts.get(self.id)
+        queue = self.common.scheduler.queues.get(self.id)
         return {
             "clients": self.sockets.clients,
             "host_connections": self.sockets.hosts,
             "open": len(self.dispatcher.open_txs),
             "held_bytes": self.held(),
-            "cpu_s": round(part.spent / SECOND, 3) if part else 0.0,
+            "cpu_s": round(queue.total_ns / SECOND, 3) if queue else 0.0,
             "servers": len(self.members),
         }
 
