--- a/ternquay/hosted/service.py
+++ b/ternquay/hosted/service.py
@@ -13,19 +13,19 @@
 from ternquay.hosted.tenants.documents import (
     Document,
     EndpointText,
-    Millis,
+    Milliseconds,
     Name,
     TenantDocument,
-    Wall,
+    WallClockMilliseconds,
+    convert_document,
     parse_endpoint,
-    plain,
-    read,
-    state_of,
-    tenant_of,
+    parse_state,
+    tenant_from_document,
+    to_json_value,
 )
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.runtime import ProcessConfig
-from ternquay.hosted.tenants.tenant import Endpoint, InvalidField, Key, Scope, Tenant, check_endpoint
+from ternquay.hosted.tenants.tenant import ApiKey, Endpoint, InvalidField, Scope, Tenant, check_endpoint
 from ternquay.net.launch import descriptors
 from ternquay.peers.frames import MIN_KEY_BYTES
 
@@ -59,8 +59,8 @@
 class OperatorDocument(Document, frozen=True):
     name: Name
     digest: Annotated[str, msgspec.Meta(pattern="^[0-9a-f]{64}$")]
-    since_ms: Wall = 0
-    until_ms: Wall = 0
+    since_ms: WallClockMilliseconds = 0
+    until_ms: WallClockMilliseconds = 0
 
 
 class ApiDocument(Document, frozen=True):
@@ -71,7 +71,7 @@
     burst: Bounded = 100
     connections: Bounded = 32
     body_bytes: Bounded = 1 << 19
-    idle_ms: Millis = 10_000
+    idle_ms: Milliseconds = 10_000
 
 
 class LogDocument(Document, frozen=True):
@@ -138,7 +138,7 @@
     store: str
     api: ApiDocument | None
     listen: Endpoint | None
-    operators: tuple[Key, ...]
+    operators: tuple[ApiKey, ...]
     log: LogDocument
     registry: Registry  # of the file, where there is no store
     fellows: FleetConfig | None = None
@@ -162,7 +162,7 @@
 def read_service(path: Path) -> ServiceConfig:
     """Raises ServiceConfigError."""
     try:
-        return _service(path, read(ServiceDocument, read_tables(path)))
+        return _service(path, convert_document(ServiceDocument, read_tables(path)))
     except InvalidField as fault:
         raise ServiceConfigError(f"{path}: {fault.field}: {fault.reason}") from fault
 
@@ -270,12 +270,12 @@
     return place
 
 
-def _operators(told: ApiDocument | None) -> tuple[Key, ...]:
+def _operators(told: ApiDocument | None) -> tuple[ApiKey, ...]:
     found = []
     for i, one in enumerate(told.operators if told is not None else ()):
         if one.until_ms and one.until_ms <= one.since_ms:
             raise InvalidField(f"api.operators[{i}].until_ms", "is not after it begins")
-        found.append(Key(one.name, bytes.fromhex(one.digest), Scope.OPERATOR, one.since_ms * MS, one.until_ms * MS))
+        found.append(ApiKey(one.name, bytes.fromhex(one.digest), Scope.OPERATOR, one.since_ms * MS, one.until_ms * MS))
     names = [key.name for key in found]
     if len(set(names)) != len(names):
         raise InvalidField("api.operators", "a name stands there twice")
@@ -283,8 +283,10 @@
 
 
 def tenant_from_listed(told: ListedTenantDocument) -> Tenant:
-    document = read(TenantDocument, {name: value for name, value in plain(told).items() if name != "state"})
-    return replace(tenant_of(document), state=state_of(told.state))
+    document = convert_document(
+        TenantDocument, {name: value for name, value in to_json_value(told).items() if name != "state"}
+    )
+    return replace(tenant_from_document(document), state=parse_state(told.state))
 
 
 def registry_of(tenants: tuple[ListedTenantDocument, ...]) -> Registry:
--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from ternquay import model as m
-from ternquay.balance import FORGET, Balancer
+from ternquay.balance import FORGET_HOST_AFTER_NS, Balancer
 from ternquay.facts import Names
 from ternquay.net.flow import Flow
 from ternquay.net.limits import SECOND, Limits
@@ -442,9 +442,9 @@
             self.host_indices.keys() - named if whole else set()
         )
         for name in named:
-            self.missing_since.pop(name, None)
-        if lacks and not self.missing_since:
-            self.call_at(self.now() + FORGET + SECOND, self._remove_missing)
+            self.doubted.pop(name, None)
+        if lacks and not self.doubted:
+            self.later(self.now() + FORGET_HOST_AFTER_NS + SECOND, self._forget)
         for name in lacks:
             self.missing_since.setdefault(name, self.now())
         lines = tuple(
@@ -454,12 +454,12 @@
 
     def _remove_missing(self) -> None:
         """Hosts that the list has lacked for so long that the decisions have forgotten them."""
-        before = self.now() - FORGET - SECOND
-        for name in [name for name, since in self.missing_since.items() if since <= before]:
-            del self.missing_since[name], self.members[name]
-            self.pool.unlisted(self.host_indices.pop(name))
-        if self.missing_since:
-            self.call_at(min(self.missing_since.values()) + FORGET + SECOND, self._remove_missing)
+        before = self.now() - FORGET_HOST_AFTER_NS - SECOND
+        for name in [name for name, since in self.doubted.items() if since <= before]:
+            del self.doubted[name], self.members[name]
+            self.pool.unlisted(self.hosts.pop(name))
+        if self.doubted:
+            self.later(min(self.doubted.values()) + FORGET_HOST_AFTER_NS + SECOND, self._forget)
 
     def set_cold_fraction(self, part: float) -> None:
         """Another process of this balancer sends to the same cache hosts, or does no more."""
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ternquay import model as m
-from ternquay.balance import FORGET, SECOND
+from ternquay.balance import FORGET_HOST_AFTER_NS, SECOND
 from ternquay.facts import read_start
 from ternquay.net.launch import LaunchError, read_launch
 from tests.helper import FACTS, Net, Play, line, member
@@ -70,7 +70,7 @@
     play.list(*(line(h) for h in range(4)), whole=True)
     assert sent(play) == {0, 1, 3}
     play.list(line(2, since=play.now - SECOND))  # started again: another process than the one that drained
-    assert play.balancer.hosts[2].standing is m.HostStatus.READY
+    assert play.balancer.hosts[2].status is m.HostStatus.READY
 
 
 def test_where_gone_binds_an_up_after_a_draining_counts_at_once() -> None:
@@ -98,13 +98,13 @@
         tx = play.arrive(key=f"x{number}")
         for hop, host in enumerate(play.hops.get(tx, [])):
             play.end(tx, m.HopOutcome.UNREACHABLE if host == 5 else m.HopOutcome.DONE, hop)
-    assert play.balancer.hosts[5].out_until > play.now and sent(play) <= {0, 1, 2, 3, 4}
+    assert play.balancer.hosts[5].ejected_until > play.now and sent(play) <= {0, 1, 2, 3, 4}
 
 
 def test_no_host_is_remembered_for_longer_than_the_bound() -> None:
     play = Play(4, **ADVICE)
     play.list(line(0), line(1), whole=True)
-    play.run(FORGET // 1_000_000 - 1000)
+    play.run(FORGET_HOST_AFTER_NS // 1_000_000 - 1000)
     assert len(play.balancer.hosts) == 4
     play.run(3500)
     assert set(play.balancer.hosts) == {0, 1} and sent(play) == {0, 1}
@@ -120,7 +120,7 @@
     net.list(whole=True)
     client.feed(mg(2))
     [w for w in net.wires if w.name == "host 1" and not w.lost][-1].feed(va(2))
-    net.run(FORGET // 1_000_000 + 3000)
+    net.run(FORGET_HOST_AFTER_NS // 1_000_000 + 3000)
     assert (
         not net.dispatcher.host_indices
         and not net.dispatcher.members
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -23,14 +23,21 @@
     TimeCeiling,
 )
 from ternquay.hosted.shared.scheduler import FairScheduler
-from ternquay.hosted.tenants.documents import TenantDocument, decoded, document_of, plain, read, tenant_of
+from ternquay.hosted.tenants.documents import (
+    TenantDocument,
+    convert_document,
+    decode_document,
+    tenant_from_document,
+    tenant_to_document,
+    to_json_value,
+)
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.shared_hosts import FAILURES_TO_EJECT, GONE_RETENTION_NS, ListEntry, SharedHostTable
-from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, InvalidField, Key, Scope
+from ternquay.hosted.tenants.tenant import ApiKey, Endpoint, Guarantee, InvalidField, Scope
 from ternquay.net.loop_timing import LoopTiming
 from tests.helper import START, T0
 from tests.hosted_helper import document
-from tests.test_registry import LIMITS, made, tenant
+from tests.test_registry import LIMITS, registry_of, tenant
 
 MS = 1_000_000
 
@@ -215,10 +222,10 @@
 
 
 def test_a_tenant_goes_through_its_document_and_back_unchanged() -> None:
-    one = tenant_of(read(TenantDocument, TOLD))
-    again = tenant_of(decoded(TenantDocument, msgspec.json.encode(document_of(one))))
+    one = tenant_from_document(convert_document(TenantDocument, TOLD))
+    again = tenant_from_document(decode_document(TenantDocument, msgspec.json.encode(tenant_to_document(one))))
     assert again == one and one.servers[1].endpoint == Endpoint("::1", 81)
-    assert plain(document_of(one))["limits"]["cpu"] == {"least": 0.1, "most": 0.8}
+    assert to_json_value(tenant_to_document(one))["limits"]["cpu"] == {"least": 0.1, "most": 0.8}
 
 
 @pytest.mark.parametrize(
@@ -238,7 +245,7 @@
 )
 def test_what_is_no_tenant_names_its_field(change: dict[str, Any], field: str) -> None:
     with pytest.raises(InvalidField) as fault:
-        tenant_of(read(TenantDocument, TOLD | change))
+        tenant_from_document(convert_document(TenantDocument, TOLD | change))
     assert fault.value.field == field
 
 
@@ -248,7 +255,7 @@
 @pytest.mark.parametrize("body", [b"", b"{", b"\xff\xfe", b"[" * 100_000, DEEP, b"null"])
 def test_what_can_not_be_read_is_unfit_and_nothing_worse(body: bytes) -> None:
     with pytest.raises(InvalidField):
-        decoded(TenantDocument, body)
+        decode_document(TenantDocument, body)
 
 
 # ---- keys and calls ----
@@ -257,7 +264,7 @@
 NOW = 1_800_000_000 * SECOND
 OPERATOR = keys.made("", "main")
 ADMINISTRATOR, READER, OLD = (keys.made("sur", name) for name in ("admin", "reader", "old"))
-OPERATORS = (Key("main", keys.digest_of(OPERATOR), Scope.OPERATOR, 0),)
+OPERATORS = (ApiKey("main", keys.digest_of(OPERATOR), Scope.OPERATOR, 0),)
 
 
 LITTLE = Guarantee(0.01, 1.0)
@@ -266,11 +273,11 @@
 
 def world() -> tuple[Api, Registry]:
     its = (
-        Key("admin", keys.digest_of(ADMINISTRATOR), Scope.ADMINISTRATOR, 0),
-        Key("reader", keys.digest_of(READER), Scope.READER, 0),
-        Key("old", keys.digest_of(OLD), Scope.ADMINISTRATOR, 0, NOW),
+        ApiKey("admin", keys.digest_of(ADMINISTRATOR), Scope.ADMINISTRATOR, 0),
+        ApiKey("reader", keys.digest_of(READER), Scope.READER, 0),
+        ApiKey("old", keys.digest_of(OLD), Scope.ADMINISTRATOR, 0, NOW),
     )
-    return Api(OPERATORS), made(tenant("sur", 1, keys=its), tenant("norte", 2))
+    return Api(OPERATORS), registry_of(tenant("sur", 1, keys=its), tenant("norte", 2))
 
 
 def handled(method: str, path: str, token: str = OPERATOR, body: Any = None, **headers: str) -> Any:
@@ -362,7 +369,7 @@
 
 
 def test_a_change_wants_the_version_that_it_is_meant_for() -> None:
-    path, body = "/v1/tenants/sur/limits", plain(document_of(tenant("sur")))["limits"]
+    path, body = "/v1/tenants/sur/limits", to_json_value(tenant_to_document(tenant("sur")))["limits"]
     assert handled("PUT", path, body=body).status == 428
     stale = handled("PUT", path, body=body, if_match='"99"')
     assert stale.status == 412 and stale.headers["etag"] == '"1"'
@@ -439,8 +446,8 @@
 
 
 def test_a_plan_shows_what_differs_and_nothing_where_nothing_does() -> None:
-    file = read(TenantDocument, TOLD)
-    there = [{"version": 4, "state": "active", "tenant": plain(document_of(tenant_of(file)))}]
+    file = convert_document(TenantDocument, TOLD)
+    there = [{"version": 4, "state": "active", "tenant": to_json_value(tenant_to_document(tenant_from_document(file)))}]
     assert planned([(file, "active")], there) == []
     there[0]["tenant"]["servers"][0]["started_ms"] = 77  # stamped by the API; the file does not tell of it
     there[0]["tenant"]["limits"]["burst"] = 3
@@ -605,7 +612,7 @@
 def test_tenants_that_share_a_cold_host_send_it_together_what_one_might() -> None:
     def sent(part: float) -> int:
         balancer = Balancer(replace(START, balancer_count=1, overload_window=10 * SECOND, warm_up_time=100 * SECOND))
-        balancer.unit_rate = 20.0
+        balancer.rate_per_weight = 20.0
         line = m.ListedHost(0, "a", 0, 0, 0, m.HostStatus.READY, 1.0, T0 - 1, part)
         balancer.decide(T0, m.ListChanged(True, (line,)))
         hops = 0
