--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -442,9 +442,9 @@
             self.host_indices.keys() - named if whole else set()
         )
         for name in named:
-            self.doubted.pop(name, None)
-        if lacks and not self.doubted:
-            self.later(self.now() + FORGET_HOST_AFTER_NS + SECOND, self._forget)
+            self.missing_since.pop(name, None)
+        if lacks and not self.missing_since:
+            self.call_at(self.now() + FORGET_HOST_AFTER_NS + SECOND, self._remove_missing)
         for name in lacks:
             self.missing_since.setdefault(name, self.now())
         lines = tuple(
@@ -455,11 +455,11 @@
     def _remove_missing(self) -> None:
         """Hosts that the list has lacked for so long that the decisions have forgotten them."""
         before = self.now() - FORGET_HOST_AFTER_NS - SECOND
-        for name in [name for name, since in self.doubted.items() if since <= before]:
-            del self.doubted[name], self.members[name]
-            self.pool.unlisted(self.hosts.pop(name))
-        if self.doubted:
-            self.later(min(self.doubted.values()) + FORGET_HOST_AFTER_NS + SECOND, self._forget)
+        for name in [name for name, since in self.missing_since.items() if since <= before]:
+            del self.missing_since[name], self.members[name]
+            self.pool.unlisted(self.host_indices.pop(name))
+        if self.missing_since:
+            self.call_at(min(self.missing_since.values()) + FORGET_HOST_AFTER_NS + SECOND, self._remove_missing)
 
     def set_cold_fraction(self, part: float) -> None:
         """Another process of this balancer sends to the same cache hosts, or does no more."""
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -187,7 +187,7 @@
     assert net.dispatcher.balancer.in_flight > 0
     net.run(300)
     host.feed(b"HD O1 cabc\r\n")
-    assert written(net, "client 0") == b"HD O1 cabc\r\n" and not net.dispatcher.txs
+    assert written(net, "client 0") == b"HD O1 cabc\r\n" and not net.dispatcher.open_txs
     assert net.dispatcher.balancer.mean_duration < 400_000_000  # what its writer took is not its cache host's
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -150,11 +150,11 @@
 def test_a_cold_host_takes_half_from_each_while_there_are_two() -> None:
     net = Net(hosts=1)
     net.list(member(2, since=1_000_000))
-    net.dispatcher.beside(0.5)
+    net.dispatcher.set_cold_fraction(0.5)
     assert [h.cold_fraction for h in net.dispatcher.balancer.hosts.values()] == [0.5, 0.5]
     net.list(member(3, since=1_000_000))
     net.list(member(1, "removed"))
-    net.dispatcher.beside(1.0)
+    net.dispatcher.set_cold_fraction(1.0)
     assert [h.cold_fraction for h in net.dispatcher.balancer.hosts.values()] == [1.0, 1.0] and set(
         net.dispatcher.members
     ) == {
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -229,12 +229,13 @@
     agent.calls[0].callback(told(9, member(1), member(2)))
     agent.calls[1].callback(told(4, member(1, "draining"), complete=False))
     assert (
-        watch.revision == -1 and net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].status is m.HostStatus.READY
+        watch.revision == -1
+        and net.dispatcher.balancer.hosts[net.dispatcher.host_indices["h1"]].status is m.HostStatus.READY
     )
     until_asked(net, agent, 3)
     agent.calls[2].callback(told(4, member(1, "draining"), member(2)))
     assert watch.revision == 4
-    assert net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].status is m.HostStatus.DRAINING
+    assert net.dispatcher.balancer.hosts[net.dispatcher.host_indices["h1"]].status is m.HostStatus.DRAINING
 
 
 @pytest.mark.parametrize("stays", [True, False])
--- a/tests/test_review_links.py
+++ b/tests/test_review_links.py
@@ -142,7 +142,7 @@
         broken.setattr(Balancer, "_route", routed)
         net.client().feed(mg(1))
     net.run(1000)
-    assert not balancer.txs and not net.dispatcher.txs and balancer.in_flight == 0
+    assert not balancer.txs and not net.dispatcher.open_txs and balancer.in_flight == 0
     assert all(host.in_flight == 0 for host in balancer.hosts.values())
     assert len(answers(net)) == 1
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -124,6 +124,6 @@
     clocks.wall -= HOUR
     told = {"revision": 2, "complete": False, "members": [member(2, since=clocks.told(1) // MS)]}
     members = clocks.times.dated(False, read_list(told, 0)[2], net.dispatcher.now())
-    net.dispatcher.list_told(False, members)
-    host = net.dispatcher.balancer.hosts[net.dispatcher.hosts["h2"]]
+    net.dispatcher.update_hosts(False, members)
+    host = net.dispatcher.balancer.hosts[net.dispatcher.host_indices["h2"]]
     assert 0 <= net.dispatcher.now() - host.started_at <= 2 * SECOND
