--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -212,7 +212,7 @@
         held = {tenancy: tenancy.held() for tenancy in self.runtimes.values()}
         while sum(held.values()) > self.memory:
             tenancy = max(held, key=lambda t: held[t] - t.entry.tenant.limits.memory.least * self.memory)
-            clients = [client for client in tenancy.frontend.all if client.kept or client.queued]
+            clients = [client for client in tenancy.frontend.clients if client.kept or client.queued]
             if not clients:
                 break
             tenancy.frontend.drop(max(clients, key=lambda client: client.kept + client.queued), CloseReason.MEMORY)
@@ -278,7 +278,7 @@
         self._wait()
 
     def _wait(self) -> None:
-        if any(tenancy.frontend.all for tenancy in self.runtimes.values()):
+        if any(tenancy.frontend.clients for tenancy in self.runtimes.values()):
             self.reactor.callLater(0.01, self._wait)
         else:
             self._stop()
@@ -289,7 +289,7 @@
             after_answers_sent(self.reactor, self._owes, self.flush, self._stopped)
 
     def _owes(self) -> bool:
-        return any(tenancy.frontend.owes() for tenancy in self.runtimes.values())
+        return any(tenancy.frontend.has_unsent_answers() for tenancy in self.runtimes.values())
 
     def _stopped(self) -> None:
         if self.reactor.running:
--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -102,7 +102,7 @@
 
     def wait(self) -> None:
         self._await_turn()
-        self.frontend.busy(self)  # against closing it as one that rests, with a whole command in hand
+        self.frontend.mark_busy(self)  # against closing it as one that rests, with a whole command in hand
         self.keep()
         self.hold_back()
         self.frontend.scheduler.enqueue(self.frontend.name, self.address, self)
@@ -139,7 +139,7 @@
         end = clock() + PIECE_NS
         while True:
             self.since, self.turn = self.unread_since, self.frontend.loop_timing.iteration
-            self.frontend.busy(self)
+            self.frontend.mark_busy(self)
             items = self.machine.read(STEP, self.over)
             self.read(items)
             if self.ended or self.closing:
@@ -222,14 +222,14 @@
 
     # ---- connections ----
 
-    def came(self, client: ClientConnection) -> None:
+    def client_connected(self, client: ClientConnection) -> None:
         assert isinstance(client, TenantClient)
         mine = self.by_address.get(client.address, {})
         if self.sockets.clients >= self.limits.clients and not self._make_room(len(mine)):
             client.abort(CloseReason.NO_REQUEST)
             return
         self.by_address.setdefault(client.address, mine)[client] = None
-        super().came(client)
+        super().client_connected(client)
 
     def crowded(self) -> bool:
         """Whether all places are taken."""
@@ -246,7 +246,7 @@
         many = self.by_address.get(address, {})
         if mine + 1 >= len(many):
             return False
-        resting = (client for client in many if client in self.resting)
+        resting = (client for client in many if client in self.idle_clients)
         return self._close_some(resting, 1) > 0 or self._close_some(self._half(many), 1) > 0
 
     def _half(self, clients: "Iterable[TenantClient]") -> "Iterable[TenantClient]":
@@ -254,7 +254,7 @@
         return (
             client
             for client in clients
-            if client not in self.resting
+            if client not in self.idle_clients
             and not client.owed
             and not client.queued
             and not client.ended
@@ -266,32 +266,32 @@
         closed = 0
         for client in list(islice(clients, LOOKS * most)):
             if closed < most:
-                if client in self.resting:
-                    closed += self.close_resting(client)
+                if client in self.idle_clients:
+                    closed += self.close_idle(client)
                 elif client.nothing_unread():
                     self.drop(client, CloseReason.NO_REQUEST)
                     closed += 1
         return closed
 
-    def left(self, client: ClientConnection) -> None:
-        if client in self.all and isinstance(client, TenantClient):
+    def client_disconnected(self, client: ClientConnection) -> None:
+        if client in self.clients and isinstance(client, TenantClient):
             mine = self.by_address.get(client.address, {})
             mine.pop(client, None)
             if not mine:
                 self.by_address.pop(client.address, None)
             self.scheduler.remove(self.name, client.address, client)
-        super().left(client)
+        super().client_disconnected(client)
 
     def give_back(self, many: int) -> None:
         """Places that were lent are wanted back: what rests goes first, then what only takes up room."""
-        own = [client for client in self.resting if isinstance(client, TenantClient)]
-        half = self._half([client for client in self.all if isinstance(client, TenantClient)])
+        own = [client for client in self.idle_clients if isinstance(client, TenantClient)]
+        half = self._half([client for client in self.clients if isinstance(client, TenantClient)])
         for some in ([c for c in own if c.answered], list(half), [c for c in own if not c.answered]):
             many -= self._close_some(some, many)
 
-    def shed_kept(self, client: ClientConnection) -> None:
+    def relieve_buffers(self, client: ClientConnection) -> None:
         # Not whoever comes last, but whoever has most.
-        self.drop(max(self.all, key=lambda one: one.kept), CloseReason.MEMORY)
+        self.drop(max(self.clients, key=lambda one: one.kept), CloseReason.MEMORY)
 
     # ---- transactions ----
 
@@ -327,7 +327,7 @@
     paused = False
 
     def room(self) -> int:
-        return min(STEP, self.frontend.room())
+        return min(STEP, self.frontend.accept_room())
 
     def doRead(self) -> None:
         if self.frontend.scheduler.may_run_now(self.frontend.name):
@@ -342,7 +342,7 @@
         self.paused = False
         if self.connected and not self.disconnecting:
             self.accept()
-            if not self.frontend.held_up and self.pause is None:
+            if not self.frontend.accepting_paused and self.pause is None:
                 self.startReading()
         return False
 
--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -255,7 +255,7 @@
             reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing, common.scheduler, self.id, self.dues
         )
         self.frontend.open_most = tenant.limits.open_txs
-        self.frontend.gate = self._gate
+        self.frontend.set_accepting = self._gate
         self.frontend.fenced = partial(common.wait, tenant.name) if common.wait is not None else None
         self.ports: dict[Endpoint, Any] = {}
         self.members: dict[str, Member] = {}
@@ -324,7 +324,7 @@
         for place in list(self.ports):
             self._close_port(place, waits)
         if self.ports:
-            self.frontend.shed()
+            self.frontend.close_longest_idle()
         return not self.ports
 
     def _close_port(self, place: Endpoint, waits: bool = False) -> None:
@@ -337,14 +337,14 @@
             return False
         longest = max(one.profile.hard_limit for one in self.entry.tenant.profiles)
         waited = self.dispatcher.now() - self.ending_since
-        return (not self.frontend.all and not self.dispatcher.open_txs) or waited > longest + SECOND
+        return (not self.frontend.clients and not self.dispatcher.open_txs) or waited > longest + SECOND
 
     def end(self) -> None:
         """It is no more: nothing of it stays."""
         self.close_ports()
         if self.discovery is not None:
             self.discovery.end()
-        for client in list(self.frontend.all):
+        for client in list(self.frontend.clients):
             self.frontend.drop(client, CloseReason.REMOVED)
         self.pool.end()
         self.common.retell(self.common.shared_hosts.remove_tenant(self.dispatcher.now(), self.id))
@@ -420,12 +420,14 @@
     def swept(self) -> None:
         if self.sockets.hosts:
             self.pool.swept()
-        if self.frontend.all:
+        if self.frontend.clients:
             self.frontend.swept()
 
     def held(self) -> int:
         """Bytes that it has in memory of half-read and unanswered things."""
-        return self.dispatcher.buffered_bytes + self.frontend.kept + self.frontend.queued + self.pool.kept
+        return (
+            self.dispatcher.buffered_bytes + self.frontend.buffered_bytes + self.frontend.queued_bytes + self.pool.kept
+        )
 
     def use(self) -> dict[str, Any]:
         queue = self.common.scheduler.queues.get(self.id)
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -103,11 +103,11 @@
     def connectionMade(self) -> None:
         super().connectionMade()
         self.transport.registerProducer(self, False)
-        self.frontend.came(self)
+        self.frontend.client_connected(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.ended = self.transport_closed = True
-        self.frontend.left(self)
+        self.frontend.client_disconnected(self)
         self.frontend.sockets.descriptor_freed(self)
         owed, self.owed = self.owed, deque()
         for one in owed:
@@ -120,19 +120,19 @@
         if self.ended or self.closing:
             return
         self.arrived += len(data)
-        self.frontend.busy(self)
+        self.frontend.mark_busy(self)
         self.read(self.machine.feed(data))
 
     def read(self, items: "list[meta.Item]") -> None:
         """Takes what was read, and writes what is answered by then."""
         self.reading = True
         if items or not self.machine.unproven():
-            self.frontend.unproven.pop(self, None)
+            self.frontend.awaiting_first_command.pop(self, None)
         for item in items:
             if isinstance(item, meta.Command):
                 self.taken(item)
             elif isinstance(item, meta.Hello):
-                self.owed.append(self.frontend.hello)
+                self.owed.append(self.frontend.noop_answer)
             elif isinstance(item, meta.Piece):
                 if self.coming is not None:
                     self.coming.offer(item.data)
@@ -159,7 +159,7 @@
         if self.moved < self.catch_up_until and arrived >= BLOCKED:
             # The system may have had no room for more: whoever was kept from writing is given a moment to go on.
             self.deadline.spare(self.moved + GO_ON)
-        self.frontend.waits_for(self)
+        self.frontend.deadline_changed(self)
 
     def lay_unread(self, goes_on: bool) -> int:
         """How long the last of what was read now had waited for that: before it was accepted, or in a process that was
@@ -232,10 +232,10 @@
 
     def keep(self) -> None:
         """Counts what is kept unread."""
-        self.frontend.kept += len(self.machine.buffer) - self.kept
+        self.frontend.buffered_bytes += len(self.machine.buffer) - self.kept
         self.kept = len(self.machine.buffer)
-        if self.frontend.kept > self.frontend.limits.buffered_bytes:
-            self.frontend.shed_kept(self)
+        if self.frontend.buffered_bytes > self.frontend.limits.buffered_bytes:
+            self.frontend.relieve_buffers(self)
 
     def taken(self, command: meta.Command) -> None:
         owed = Owed(self, command)
@@ -311,7 +311,7 @@
             if self.closing:
                 self.close(self.closes_for)
             else:
-                self.frontend.idle(self)
+                self.frontend.mark_idle(self)
 
     def pass_on(self, owed: Owed, flow: Flow) -> bool:
         """Writes what has come of a large value, once the system has taken the last of it; whether that is all."""
@@ -340,11 +340,11 @@
     def write(self, text: bytes) -> None:
         self.queued += len(text)
         self.owing += len(text)
-        self.frontend.queued += len(text)
+        self.frontend.queued_bytes += len(text)
         self.moved = self.frontend.dispatcher.now()
         if self.queued > self.frontend.limits.queued_bytes:
             self.abort(CloseReason.ANSWERS_UNREAD)
-        elif self.frontend.queued > self.frontend.limits.buffered_bytes:
+        elif self.frontend.queued_bytes > self.frontend.limits.buffered_bytes:
             self.abort(CloseReason.MEMORY)
         else:
             self.transport.write(text)
@@ -370,14 +370,14 @@
     def resumeProducing(self) -> None:
         """The system has taken all answers written so far."""
         if self.queued:
-            self.frontend.queued -= self.owing
+            self.frontend.queued_bytes -= self.owing
             self.queued = self.owing = self.untaken_since = 0
             self.moved = self.frontend.dispatcher.now()
             first = self.owed[0] if self.owed else None
             if isinstance(first, Owed) and first.flow is not None:
                 self.flush()
             else:
-                self.frontend.idle(self)
+                self.frontend.mark_idle(self)
 
     def stopProducing(self) -> None:
         pass
--- a/ternquay/net/eviction.py
+++ b/ternquay/net/eviction.py
@@ -30,13 +30,13 @@
 
 def _evicted(frontend: "Frontend") -> Iterator["ClientConnection"]:
     now = frontend.dispatcher.now()
-    for client in [one for one in frontend.resting if one.answered or now - one.moved >= SILENT]:
-        if client in frontend.resting and frontend.close_resting(client):
+    for client in [one for one in frontend.idle_clients if one.answered or now - one.moved >= SILENT]:
+        if client in frontend.idle_clients and frontend.close_idle(client):
             yield client
-    stopped = [one for one in frontend.unfinished if _stopped(one, now)]
+    stopped = [one for one in frontend.partial_requests if _stopped(one, now)]
     for client in sorted(stopped, key=lambda one: one.deadline.last):
         # The end of one may set off that of another.
-        if client in frontend.unfinished and not client.has_unread_bytes():
+        if client in frontend.partial_requests and not client.has_unread_bytes():
             client.end_request(CloseReason.STOPPED)
             yield client
 
--- a/ternquay/net/frontend.py
+++ b/ternquay/net/frontend.py
@@ -14,8 +14,8 @@
 from ternquay.net.safety import CloseReason, may_close
 from ternquay.net.sockets import Sockets
 
-LOOK_AGAIN = 50 * MS  # between two looks for requests that are overdue, at least
-SETTLE = 20 * MS  # between an answer and the close of a connection that is one too many
+MIN_DEADLINE_CHECK_NS = 50 * MS  # between two looks for requests that are overdue, at least
+CLOSE_DELAY_NS = 20 * MS  # between an answer and the close of a connection that is one too many
 
 
 class Frontend(Factory):
@@ -31,144 +31,146 @@
             sockets,
             loop_timing,
         )
-        self.all: set[ClientConnection] = set()
-        self.queued = self.kept = 0  # bytes of all clients
-        self.resting: dict[ClientConnection, None] = {}  # idle ones, the longest first
-        self.asked: dict[ClientConnection, None] = {}  # those of them that had an answer
-        self.unproven: dict[ClientConnection, None] = {}  # no whole command line has come yet; the oldest first
-        self.unfinished: dict[ClientConnection, None] = {}  # a request has begun to arrive and is not whole
-        self.expiry: DelayedCall | None = None  # the next look at those
-        self.expires_at = 0  # when that is
+        self.clients: set[ClientConnection] = set()
+        self.queued_bytes = self.buffered_bytes = 0  # bytes of all clients
+        self.idle_clients: dict[ClientConnection, None] = {}  # idle ones, the longest first
+        self.answered_idle: dict[ClientConnection, None] = {}  # those of them that had an answer
+        self.awaiting_first_command: dict[
+            ClientConnection, None
+        ] = {}  # no whole command line has come yet; the oldest first
+        self.partial_requests: dict[ClientConnection, None] = {}  # a request has begun to arrive and is not whole
+        self.deadline_call: DelayedCall | None = None  # the next look at those
+        self.next_deadline_check = 0  # when that is
         self.safety = dispatcher.safety
-        self.leaving = self.held_up = False
-        self.spared = 0  # how long one that has said nothing yet is left while they leave
-        self.hello = meta.HELLO  # what an `mn` is answered with
-        self.gate: Callable[[bool], None] = lambda accept: None
-        self.waiting: Callable[[], int] = lambda: 0  # how many clients wait to be accepted
-        self.admission: DelayedCall | None = None  # the next look for places for those
-        sockets.close_idle_client, sockets.on_room = self.shed, self.has_room
+        self.leaving = self.accepting_paused = False
+        self.new_client_grace = 0  # how long one that has said nothing yet is left while they leave
+        self.noop_answer = meta.HELLO  # what an `mn` is answered with
+        self.set_accepting: Callable[[bool], None] = lambda accept: None
+        self.accept_queue_length: Callable[[], int] = lambda: 0  # how many clients wait to be accepted
+        self.eviction_call: DelayedCall | None = None  # the next look for places for those
+        sockets.close_idle_client, sockets.on_room = self.close_longest_idle, self.resume_accepting
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
         return ClientConnection(self)
 
-    def came(self, client: ClientConnection) -> None:
-        self.all.add(client)
+    def client_connected(self, client: ClientConnection) -> None:
+        self.clients.add(client)
         client.crowded = not self.sockets.client_opened()
         client.moved, client.since = self.dispatcher.now(), self.loop_timing.waiting_since()
         client.made, client.turn = client.moved, self.loop_timing.iteration
-        self.unproven[client] = None
-        self.idle(client)
+        self.awaiting_first_command[client] = None
+        self.mark_idle(client)
         if self.sockets.full():
             # Against closing one that has just written its transaction: the next ones wait to be accepted.
-            self.held_up = True
-            self.gate(False)
-            if self.admission is None:
-                self.admission = self.dispatcher.call_at(client.made + INTERVAL, self._admit)
+            self.accepting_paused = True
+            self.set_accepting(False)
+            if self.eviction_call is None:
+                self.eviction_call = self.dispatcher.call_at(client.made + INTERVAL, self._evict_for_waiting)
 
-    def _admit(self) -> None:
+    def _evict_for_waiting(self) -> None:
         """Places for those that wait to be accepted, as long as all are taken."""
-        self.admission = None
-        if not self.held_up:
+        self.eviction_call = None
+        if not self.accepting_paused:
             return
-        self.admission = self.dispatcher.call_at(self.dispatcher.now() + INTERVAL, self._admit)
-        evict(self, self.waiting())
+        self.eviction_call = self.dispatcher.call_at(self.dispatcher.now() + INTERVAL, self._evict_for_waiting)
+        evict(self, self.accept_queue_length())
 
-    def room(self) -> int:
+    def accept_room(self) -> int:
         """How many clients may be accepted at once without passing the limit on sockets."""
         return max(1, min(self.limits.accepts_per_turn, self.sockets.remaining()))
 
-    def left(self, client: ClientConnection) -> None:
-        if client not in self.all:
+    def client_disconnected(self, client: ClientConnection) -> None:
+        if client not in self.clients:
             return
-        self.all.discard(client)
-        self.unproven.pop(client, None)
-        self.unfinished.pop(client, None)
-        self.busy(client)
+        self.clients.discard(client)
+        self.awaiting_first_command.pop(client, None)
+        self.partial_requests.pop(client, None)
+        self.mark_busy(client)
         self.sockets.client_closed()
         if not client.transport_closed:
             self.sockets.closing.add(client)
-        self.queued -= client.owing
-        self.kept -= client.kept
-        self.has_room()
+        self.queued_bytes -= client.owing
+        self.buffered_bytes -= client.kept
+        self.resume_accepting()
 
-    def waits_for(self, client: ClientConnection) -> None:
+    def deadline_changed(self, client: ClientConnection) -> None:
         """What was read of that client has moved the deadline of its request, or ended it."""
         due = client.deadline.due()
         if due is None or client.ended:
-            self.unfinished.pop(client, None)
+            self.partial_requests.pop(client, None)
             return
-        self.unfinished[client] = None
+        self.partial_requests[client] = None
         # Most requests that begin are due after all others that are under way; not one whose bytes waited to be read.
-        if self.expiry is None or due < self.expires_at:
-            self._look_for_overdue(due)
+        if self.deadline_call is None or due < self.next_deadline_check:
+            self._schedule_deadline_check(due)
 
-    def _look_for_overdue(self, at: int) -> None:
+    def _schedule_deadline_check(self, at: int) -> None:
         """One timer serves all requests that are not whole."""
-        cancel_call(self.expiry)
-        self.expires_at = at
-        self.expiry = self.dispatcher.call_at(at, self._expire)
+        cancel_call(self.deadline_call)
+        self.next_deadline_check = at
+        self.deadline_call = self.dispatcher.call_at(at, self._fail_overdue_requests)
 
-    def _expire(self) -> None:
+    def _fail_overdue_requests(self) -> None:
         """Ends the requests that are overdue, and looks again when the next one is."""
-        self.expiry = None
+        self.deadline_call = None
         now = self.dispatcher.now()
         try:
-            for client in [one for one in self.unfinished if one.overdue(now)]:
+            for client in [one for one in self.partial_requests if one.overdue(now)]:
                 # The end of one may set off that of another, which was to be ended here too.
-                if self.unfinished.pop(client, self) is None:
+                if self.partial_requests.pop(client, self) is None:
                     client.end_request()
         finally:
-            dues = [due for one in self.unfinished if (due := one.deadline.due()) is not None]
+            dues = [due for one in self.partial_requests if (due := one.deadline.due()) is not None]
             if dues:
-                self._look_for_overdue(max(min(dues), now + LOOK_AGAIN))
+                self._schedule_deadline_check(max(min(dues), now + MIN_DEADLINE_CHECK_NS))
 
-    def owes(self) -> bool:
+    def has_unsent_answers(self) -> bool:
         """Whether a client is owed an answer, or bytes of one."""
-        return any(client.owed or client.queued for client in self.all)
+        return any(client.owed or client.queued for client in self.clients)
 
-    def has_room(self) -> None:
+    def resume_accepting(self) -> None:
         """Clients are accepted again once there is room for them."""
-        if self.held_up and not self.sockets.full():
-            self.held_up = False
-            self.gate(True)
+        if self.accepting_paused and not self.sockets.full():
+            self.accepting_paused = False
+            self.set_accepting(True)
 
-    def busy(self, client: ClientConnection) -> None:
-        self.resting.pop(client, None)
-        self.asked.pop(client, None)
+    def mark_busy(self, client: ClientConnection) -> None:
+        self.idle_clients.pop(client, None)
+        self.answered_idle.pop(client, None)
 
-    def idle(self, client: ClientConnection) -> None:
+    def mark_idle(self, client: ClientConnection) -> None:
         if not client.owed and not client.queued and not client.ended and client.machine.quiet():
-            self.resting[client] = None
+            self.idle_clients[client] = None
             if client.answered:
-                self.asked[client] = None
-                if len(self.asked) > self.limits.idle_clients:
+                self.answered_idle[client] = None
+                if len(self.answered_idle) > self.limits.idle_clients:
                     # Against clients that ask once and keep the connection: the others would get none.
-                    self.close_resting(next(iter(self.asked)))
+                    self.close_idle(next(iter(self.answered_idle)))
             # At a drain one that has just come is about to write: it is closed after its answer.
-            if self.leaving and (client.answered or not self.spared):
-                self.close_resting(client)
-            elif client.answered and (client.crowded or self.held_up):
+            if self.leaving and (client.answered or not self.new_client_grace):
+                self.close_idle(client)
+            elif client.answered and (client.crowded or self.accepting_paused):
                 # Not in this step: what a client has written behind its request may be on its way.
-                self.dispatcher.call_at(client.moved + SETTLE, self._close_settled, client, client.moved)
+                self.dispatcher.call_at(client.moved + CLOSE_DELAY_NS, self._close_if_still_idle, client, client.moved)
 
-    def _close_settled(self, client: ClientConnection, moved: int) -> None:
+    def _close_if_still_idle(self, client: ClientConnection, moved: int) -> None:
         """Closes one that was idle then and has been since."""
-        if client in self.resting and client.moved == moved:
-            self.close_resting(client)
+        if client in self.idle_clients and client.moved == moved:
+            self.close_idle(client)
 
-    def shed(self) -> bool:
+    def close_longest_idle(self) -> bool:
         """Closes the client connection that has been idle longest."""
         now = self.dispatcher.now()
-        for client in self.resting:
+        for client in self.idle_clients:
             if client.answered or now - client.moved > self.limits.new_client_grace:
-                return self.close_resting(client)
-        return self._close_unproven(1) > 0
+                return self.close_idle(client)
+        return self._close_without_command(1) > 0
 
-    def _close_unproven(self, most: int) -> int:
+    def _close_without_command(self, most: int) -> int:
         """Closes the oldest that have sent nothing whole for longer than a true one takes; how many."""
         before = self.dispatcher.now() - self.limits.first_command_timeout
         old: list[ClientConnection] = []
-        for client in self.unproven:
+        for client in self.awaiting_first_command:
             if client.made > before or len(old) >= most:
                 break
             if may_close(CloseReason.NO_REQUEST, owing=False, unread=client.has_unread_bytes()):
@@ -177,22 +179,22 @@
             self.drop(client, CloseReason.NO_REQUEST)
         return len(old)
 
-    def close_resting(self, client: ClientConnection) -> bool:
+    def close_idle(self, client: ClientConnection) -> bool:
         if not client.close_if_nothing_unread():
             return False
         idle = CloseReason.IDLE if client.answered else CloseReason.NO_REQUEST
         self.safety.record_client_close(CloseReason.LEAVING if self.leaving else idle, client.owed_ids())
         client.ended = True
-        self.left(client)
+        self.client_disconnected(client)
         return True
 
     def drop(self, client: ClientConnection, reason: CloseReason) -> None:
         """Closes it now, and counts it no longer."""
         client.abort(reason)
-        self.left(client)
+        self.client_disconnected(client)
         client.queued = client.owing = client.kept = 0
 
-    def shed_kept(self, client: ClientConnection) -> None:
+    def relieve_buffers(self, client: ClientConnection) -> None:
         """More is kept of half-read commands than there is room for."""
         client.abort(CloseReason.MEMORY)
 
@@ -204,28 +206,28 @@
     def swept(self) -> None:
         """Closes clients that take up room and do not go on."""
         # After a stop of the process, or a long turn, this comes before the reading of what came meanwhile.
-        for client in [c for c in self.all if c.stalled() and (c.queued or not c.has_unread_bytes())]:
+        for client in [c for c in self.clients if c.stalled() and (c.queued or not c.has_unread_bytes())]:
             client.abort(CloseReason.ANSWERS_UNREAD if client.queued or client.ended else CloseReason.VALUE_BROKEN)
-        if self.held_up:
-            self.shed()
+        if self.accepting_paused:
+            self.close_longest_idle()
         if 2 * self.sockets.clients > self.limits.clients:
-            self._close_unproven(len(self.unproven))
+            self._close_without_command(len(self.awaiting_first_command))
         if self.leaving:
-            self._close_still()
+            self._close_idle_clients()
 
     def leave(self, spared: int = 0) -> None:
         """From now on connections are closed between transactions, new ones too."""
-        self.leaving, self.spared = True, spared
-        self._close_still()
+        self.leaving, self.new_client_grace = True, spared
+        self._close_idle_clients()
 
-    def _close_still(self) -> None:
-        before = self.dispatcher.now() - self.spared
-        for client in [c for c in self.resting if c.answered or c.moved <= before]:
-            self.close_resting(client)
+    def _close_idle_clients(self) -> None:
+        before = self.dispatcher.now() - self.new_client_grace
+        for client in [c for c in self.idle_clients if c.answered or c.moved <= before]:
+            self.close_idle(client)
 
-    def cut_off(self) -> None:
+    def close_inactive(self) -> None:
         """Closes what owes nothing and does not move: half a command, for one."""
         before = self.dispatcher.now() - self.limits.new_client_grace
-        for client in [c for c in self.all if not c.owed and not c.queued and c.moved <= before]:
+        for client in [c for c in self.clients if not c.owed and not c.queued and c.moved <= before]:
             if may_close(CloseReason.LEAVING, owing=False, unread=client.has_unread_bytes()):
                 client.abort(CloseReason.LEAVING)
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -139,10 +139,14 @@
             port.stopListening()
             return
         self.port = port
-        port.room, port.accepted, port.failed = self.frontend.room, self.loop_timing.accept_ended, self.frontend.shed
-        self.frontend.gate = lambda accept: port.gate(accept and not self.shut)
+        port.room, port.accepted, port.failed = (
+            self.frontend.accept_room,
+            self.loop_timing.accept_ended,
+            self.frontend.close_longest_idle,
+        )
+        self.frontend.set_accepting = lambda accept: port.gate(accept and not self.shut)
         if isinstance(port, Listener):
-            self.frontend.waiting = port.waiting
+            self.frontend.accept_queue_length = port.waiting
         logger.info("{} serves on {}", self.launch.name, self.launch.listen)
 
     def _beside(self, then: Callable[[], None]) -> None:
@@ -167,8 +171,8 @@
         shut = self.replacement.other_serves and (self.drained or self.ending)
         if shut != self.shut and self.port is not None:
             self.shut = shut
-            self.frontend.gate(not self.frontend.held_up)
-        self.frontend.has_room()  # as the ceiling may have risen
+            self.frontend.set_accepting(not self.frontend.accepting_paused)
+        self.frontend.resume_accepting()  # as the ceiling may have risen
 
     def reload(self) -> None:
         """SIGHUP: the file is read again; where it can't be used, all stays as it is."""
@@ -205,12 +209,12 @@
     def out_of_service(self) -> str:
         """Drains: an `mn` is told at once, clients are served for a moment, then each is closed after its answer."""
         if not self.drained:
-            self.drained, self.frontend.hello = True, meta.OUT_OF_SERVICE
+            self.drained, self.frontend.noop_answer = True, meta.OUT_OF_SERVICE
             self.leaves = [
                 self.reactor.callLater(at / SECOND, step)
                 for at, step in (
                     (self.limits.accept_grace, lambda: self.frontend.leave(self.limits.new_client_grace)),
-                    (self.limits.drain_cutoff_after, self.frontend.cut_off),
+                    (self.limits.drain_cutoff_after, self.frontend.close_inactive),
                 )
             ]
             logger.info("out of service, {} transactions open", len(self.dispatcher.open_txs))
@@ -221,7 +225,7 @@
             return "ending"
         if self.drained:
             self._undrained()
-            self.frontend.leaving, self.frontend.hello = False, meta.HELLO
+            self.frontend.leaving, self.frontend.noop_answer = False, meta.HELLO
             logger.info("in service")
         return ""
 
@@ -260,8 +264,8 @@
         self.reactor.callLater(self.limits.stop_after / SECOND, self._stop)
 
     def _close_door(self) -> None:
-        self.frontend.gate = lambda accept: None
-        self.frontend.waiting = lambda: 0
+        self.frontend.set_accepting = lambda accept: None
+        self.frontend.accept_queue_length = lambda: 0
         port = self.port
         # The other process, if there may be one, has the same queue.
         ours = self.replacement is None and isinstance(port, Listener)
@@ -271,7 +275,7 @@
             and not accept_all_waiting(port, self.sockets)
             and not self.frontend.leaving
         ):
-            self.frontend.shed()
+            self.frontend.close_longest_idle()
             self.reactor.callLater(0.01, self._close_door)
             return
         self.port = None
@@ -283,7 +287,7 @@
         self._wait()
 
     def _wait(self) -> None:
-        if self.frontend.all:
+        if self.frontend.clients:
             self.reactor.callLater(0.01, self._wait)
         else:
             self._stop()
@@ -291,7 +295,7 @@
     def _stop(self) -> None:
         if not self.stopping:
             self.stopping = True
-            after_answers_sent(self.reactor, self.frontend.owes, self.limits.flush_timeout, self._stopped)
+            after_answers_sent(self.reactor, self.frontend.has_unsent_answers, self.limits.flush_timeout, self._stopped)
 
     def _stopped(self) -> None:
         if self.reactor.running:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -58,7 +58,7 @@
     fourth.feed(mg(4))
     net.accept().feed(va(4))
     assert not fourth.lost
-    assert net.sockets.clients == 2 and not net.frontend.kept - len(b"mg k")
+    assert net.sockets.clients == 2 and not net.frontend.buffered_bytes - len(b"mg k")
 
 
 def test_a_client_that_connects_and_writes_later_has_its_whole_time() -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -418,7 +418,7 @@
         one.feed(b"mg k v O1 Pc=re")
     client.unread = b"a"
     stopped(net, 1.5)
-    net.frontend.cut_off()
+    net.frontend.close_inactive()
     assert silent.lost and not client.lost
 
 
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -127,7 +127,7 @@
     client.take()
     assert not host.paused
     host.feed(b"abcd" * ((80 - sent) // 4) + b"\r\n")
-    assert written(net, "client 0") == b"VA 80 O1\r\n" + b"abcd" * 20 + b"\r\n" and not net.frontend.queued
+    assert written(net, "client 0") == b"VA 80 O1\r\n" + b"abcd" * 20 + b"\r\n" and not net.frontend.queued_bytes
 
 
 @pytest.mark.parametrize("how", ["breaks", "wrong end", "silent"])
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -122,9 +122,9 @@
     elif way == "leave":
         net.frontend.leave()
     elif way == "shed":
-        net.frontend.shed()
-        net.frontend.shed()
-        net.frontend.shed()
+        net.frontend.close_longest_idle()
+        net.frontend.close_longest_idle()
+        net.frontend.close_longest_idle()
     else:
         net.turn_begins()
         net.client("127.0.0.9")
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -176,7 +176,7 @@
     written.feed(b"mn\r\n")
     first, second = net.accept(), net.accept()
     written.unread = b"m"  # it has written, and that was not read yet
-    net.frontend.hello = meta.OUT_OF_SERVICE
+    net.frontend.noop_answer = meta.OUT_OF_SERVICE
     net.frontend.leave(net.limits.new_client_grace)
     net.take()
     assert idle.lost and not busy.lost and not written.lost
@@ -194,7 +194,7 @@
     [w for w in net.wires if w.name.startswith("host") and not w.lost][-1].feed(va(3))
     assert late.lost
     net.run(1000)
-    assert silent.lost and not net.frontend.all
+    assert silent.lost and not net.frontend.clients
     net.matches("net_out_of_service")
 
 
@@ -209,7 +209,7 @@
     net.frontend.leave(net.limits.new_client_grace)
     net.run(80)
     moving.feed(b"mg k")
-    net.frontend.cut_off()
+    net.frontend.close_inactive()
     assert half.lost and not busy.lost and not moving.lost
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -178,7 +178,7 @@
 
 def test_at_the_limit_idle_sockets_go_first_and_then_work_is_turned_away() -> None:
     net = Net(limits={"sockets": 4, "clients": 2, "spare": 1})
-    net.frontend.gate = lambda accept: net.say("accepts on" if accept else "accepts no more")
+    net.frontend.set_accepting = lambda accept: net.say("accepts on" if accept else "accepts no more")
     first, second = net.client(), net.client()
     first.feed(mg(1))
     net.accept().feed(va(1))
@@ -196,7 +196,7 @@
     assert fourth.lost
     fifth = net.client()
     net.run(1300)  # silent for so long that it is closed for the next one
-    net.frontend.shed()
+    net.frontend.close_longest_idle()
     net.take()
     assert fifth.lost
     net.matches("net_full")
@@ -235,7 +235,7 @@
     client.feed(mg(1))
     net.accept().feed(va(1, b"x" * 65536))
     net.run(5500)
-    assert client.lost and not net.frontend.queued
+    assert client.lost and not net.frontend.queued_bytes
     many = net.client()
     many.take = lambda: None  # type: ignore[method-assign]
     for number in range(2, 8):
@@ -244,7 +244,7 @@
             net.accept()
         hosts = [w for w in net.wires if w.name.startswith("host") and not w.lost]
         hosts[-1].feed(va(number, b"x" * 65536)) if not many.lost else None
-    assert many.lost and not net.frontend.queued
+    assert many.lost and not net.frontend.queued_bytes
 
 
 def test_half_a_command_does_not_hold_its_place_for_ever() -> None:
@@ -254,7 +254,7 @@
     big.feed(b"ms k 2000 O1 Pc=once,d=9\r\n" + b"x" * 1500)
     assert big.lost and not slow.lost
     net.run(5500)
-    assert slow.lost and not net.frontend.kept
+    assert slow.lost and not net.frontend.buffered_bytes
 
 
 def test_more_held_than_there_is_room_for_is_turned_away() -> None:
@@ -365,7 +365,7 @@
         host.feed(va(10 + number))
         net.run(100)
     assert [client.lost for client in clients] == [False, True, True, False]
-    assert len(net.frontend.asked) == len(net.frontend.resting) == 2
+    assert len(net.frontend.answered_idle) == len(net.frontend.idle_clients) == 2
 
 
 def test_an_unreadable_list_changes_nothing() -> None:
@@ -624,10 +624,10 @@
     net = Net(sockets=64)
     most = net.limits.sockets + net.limits.spare
     while not net.sockets.full():
-        for _ in range(net.frontend.room()):
+        for _ in range(net.frontend.accept_room()):
             net.client()
         assert net.sockets.clients <= most
-    assert net.sockets.clients == most and net.frontend.room() == 1
+    assert net.sockets.clients == most and net.frontend.accept_room() == 1
 
 
 def test_a_drain_told_while_a_hop_is_half_written_lets_it_end_and_sends_nothing_new() -> None:
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -541,5 +541,5 @@
 
     monkeypatch.setattr(type(first.protocol), "end_request", ends_both)
     net.run(2700)
-    assert first.lost and second.lost and not net.frontend.unfinished
+    assert first.lost and second.lost and not net.frontend.partial_requests
     assert net.dispatcher.safety.client_closes == {CloseReason.REQUEST_OVERDUE: 1, CloseReason.MEMORY: 1}
