--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -212,10 +212,12 @@
         held = {tenancy: tenancy.held() for tenancy in self.runtimes.values()}
         while sum(held.values()) > self.memory:
             tenancy = max(held, key=lambda t: held[t] - t.entry.tenant.limits.memory.least * self.memory)
-            clients = [client for client in tenancy.frontend.clients if client.kept or client.queued]
+            clients = [client for client in tenancy.frontend.clients if client.buffered_bytes or client.queued_bytes]
             if not clients:
                 break
-            tenancy.frontend.drop(max(clients, key=lambda client: client.kept + client.queued), CloseReason.MEMORY)
+            tenancy.frontend.drop(
+                max(clients, key=lambda client: client.buffered_bytes + client.queued_bytes), CloseReason.MEMORY
+            )
             held[tenancy] = tenancy.held()
 
     def process(self) -> dict[str, Any]:
--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -12,7 +12,7 @@
 from ternquay.hosted.shared.fairness import ClientLimiter, SharedCapacity
 from ternquay.hosted.shared.scheduler import PIECE_NS, FairScheduler
 from ternquay.net import meta
-from ternquay.net.client import ClientConnection, Owed
+from ternquay.net.client import ClientConnection, PendingAnswer
 from ternquay.net.dispatcher import Dispatcher
 from ternquay.net.frontend import Frontend
 from ternquay.net.limits import Limits
@@ -78,9 +78,9 @@
         self.turn_wait = 0  # how long it has just waited for that
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        for one in self.owed:
-            if isinstance(one, Owed) and one.text is None:
-                self.owes_less(one)
+        for one in self.pending:
+            if isinstance(one, PendingAnswer) and one.answer is None:
+                self.answer_ready(one)
         super().connectionLost(reason)
 
     def rawDataReceived(self, data: bytes) -> None:
@@ -88,11 +88,11 @@
             return
         front = self.frontend
         if not self.unread_since:
-            self.unread_since = self.first_since() or front.loop_timing.earliest_arrival
-        self.arrived += len(data)
-        self.machine.add(data)
+            self.unread_since = self.first_byte_since() or front.loop_timing.earliest_arrival
+        self.unreported_bytes += len(data)
+        self.parser.add(data)
         if self.waits or self.stuck:
-            self.keep()
+            self.count_buffered()
             self.hold_back()
         elif front.scheduler.may_run_now(front.name):
             if front.scheduler.run_charged(front.name, self.run_piece):
@@ -103,29 +103,29 @@
     def wait(self) -> None:
         self._await_turn()
         self.frontend.mark_busy(self)  # against closing it as one that rests, with a whole command in hand
-        self.keep()
+        self.count_buffered()
         self.hold_back()
         self.frontend.scheduler.enqueue(self.frontend.name, self.address, self)
 
     def _await_turn(self) -> None:
         self.waits, self.waits_since = True, self.frontend.dispatcher.now()
 
-    def held_by_us(self) -> bool:
-        return self.waits or self.stuck or super().held_by_us()
+    def reading_held(self) -> bool:
+        return self.waits or self.stuck or super().reading_held()
 
-    def stalled(self) -> bool:
+    def is_stalled(self) -> bool:
         # Who waits for a turn to be read is not held back by a cache host: it would go on if it could.
-        held = (self.waits or self.stuck) and not self.queued and not self.ended
-        return not held and super().stalled()
+        held = (self.waits or self.stuck) and not self.queued_bytes and not self.ended
+        return not held and super().is_stalled()
 
     def hold_back(self) -> None:
-        if not self.reading_paused and not self.ended and (len(self.machine.buffer) > BACKLOG or self.stuck):
+        if not self.reading_paused and not self.ended and (len(self.parser.buffer) > BACKLOG or self.stuck):
             self.reading_paused, self.paused_at = True, self.frontend.dispatcher.now()
             self.transport.pauseProducing()
 
-    def lay_unread(self, goes_on: bool) -> int:
+    def unread_time(self, goes_on: bool) -> int:
         # That it waits for its turn is no doing of the client's.
-        return max(0, super().lay_unread(goes_on) - self.turn_wait)
+        return max(0, super().unread_time(goes_on) - self.turn_wait)
 
     def run_piece(self) -> bool:
         self.turn_wait = 0
@@ -138,13 +138,13 @@
         clock = self.frontend.scheduler.clock
         end = clock() + PIECE_NS
         while True:
-            self.since, self.turn = self.unread_since, self.frontend.loop_timing.iteration
+            self.readable_since, self.accepted_iteration = self.unread_since, self.frontend.loop_timing.iteration
             self.frontend.mark_busy(self)
-            items = self.machine.read(STEP, self.over)
-            self.read(items)
+            items = self.parser.read(STEP, self.over)
+            self.handle_items(items)
             if self.ended or self.closing:
                 return False
-            if len(self.owed) > OWED_MOST:
+            if len(self.pending) > OWED_MOST:
                 self.stuck = True
                 self.hold_back()
                 return False
@@ -168,29 +168,29 @@
 
     def flush(self) -> None:
         super().flush()
-        if self.stuck and len(self.owed) < OWED_MOST // 2 and not self.ended:
+        if self.stuck and len(self.pending) < OWED_MOST // 2 and not self.ended:
             self.stuck = False
             self._await_turn()
             self.frontend.scheduler.enqueue(self.frontend.name, self.address, self)
 
     # ---- transactions ----
 
-    def arrives(self, command: meta.Command, owed: Owed, unread: int) -> None:
+    def begin_transaction(self, command: meta.Command, owed: PendingAnswer, unread: int) -> None:
         if self.frontend.full(self):
             self.frontend.safety.record_request_refusal(RequestRefusal.SHARE, owed.id)
             owed.roll_back(self.frontend.dispatcher.jittered(self.frontend.limits.retry_after))
             return
-        owed.counted = True
+        owed.counted_open = True
         self.open += 1
         self.frontend.opened(self)
-        super().arrives(command, owed, unread)
+        super().begin_transaction(command, owed, unread)
 
-    def share(self, command: meta.Command) -> str:
+    def share_name(self, command: meta.Command) -> str:
         return CROWDING if self.frontend.crowds(self) else command.names.get("tenant", "")
 
-    def owes_less(self, owed: Owed) -> None:
-        if owed.counted:
-            owed.counted = False
+    def answer_ready(self, owed: PendingAnswer) -> None:
+        if owed.counted_open:
+            owed.counted_open = False
             self.open -= 1
             self.frontend.closed(self)
 
@@ -255,8 +255,8 @@
             client
             for client in clients
             if client not in self.idle_clients
-            and not client.owed
-            and not client.queued
+            and not client.pending
+            and not client.queued_bytes
             and not client.ended
             and not client.waits
         )
@@ -291,7 +291,7 @@
 
     def relieve_buffers(self, client: ClientConnection) -> None:
         # Not whoever comes last, but whoever has most.
-        self.drop(max(self.clients, key=lambda one: one.kept), CloseReason.MEMORY)
+        self.drop(max(self.clients, key=lambda one: one.buffered_bytes), CloseReason.MEMORY)
 
     # ---- transactions ----
 
--- a/ternquay/net/eviction.py
+++ b/ternquay/net/eviction.py
@@ -30,17 +30,22 @@
 
 def _evicted(frontend: "Frontend") -> Iterator["ClientConnection"]:
     now = frontend.dispatcher.now()
-    for client in [one for one in frontend.idle_clients if one.answered or now - one.moved >= SILENT]:
+    for client in [one for one in frontend.idle_clients if one.answered or now - one.last_activity >= SILENT]:
         if client in frontend.idle_clients and frontend.close_idle(client):
             yield client
     stopped = [one for one in frontend.partial_requests if _stopped(one, now)]
     for client in sorted(stopped, key=lambda one: one.deadline.last):
         # The end of one may set off that of another.
         if client in frontend.partial_requests and not client.has_unread_bytes():
-            client.end_request(CloseReason.STOPPED)
+            client.fail_request(CloseReason.STOPPED)
             yield client
 
 
 def _stopped(client: "ClientConnection", now: int) -> bool:
     """Whether it stands in the middle of a request by its own doing, and no other of its requests is open."""
-    return not client.owed and not client.queued and not client.held_by_us() and now - client.deadline.last >= STOPPED
+    return (
+        not client.pending
+        and not client.queued_bytes
+        and not client.reading_held()
+        and now - client.deadline.last >= STOPPED
+    )
--- a/ternquay/net/frontend.py
+++ b/ternquay/net/frontend.py
@@ -55,9 +55,9 @@
 
     def client_connected(self, client: ClientConnection) -> None:
         self.clients.add(client)
-        client.crowded = not self.sockets.client_opened()
-        client.moved, client.since = self.dispatcher.now(), self.loop_timing.waiting_since()
-        client.made, client.turn = client.moved, self.loop_timing.iteration
+        client.over_limit = not self.sockets.client_opened()
+        client.last_activity, client.readable_since = self.dispatcher.now(), self.loop_timing.waiting_since()
+        client.accepted_at, client.accepted_iteration = client.last_activity, self.loop_timing.iteration
         self.awaiting_first_command[client] = None
         self.mark_idle(client)
         if self.sockets.full():
@@ -65,7 +65,7 @@
             self.accepting_paused = True
             self.set_accepting(False)
             if self.eviction_call is None:
-                self.eviction_call = self.dispatcher.call_at(client.made + INTERVAL, self._evict_for_waiting)
+                self.eviction_call = self.dispatcher.call_at(client.accepted_at + INTERVAL, self._evict_for_waiting)
 
     def _evict_for_waiting(self) -> None:
         """Places for those that wait to be accepted, as long as all are taken."""
@@ -89,8 +89,8 @@
         self.sockets.client_closed()
         if not client.transport_closed:
             self.sockets.closing.add(client)
-        self.queued_bytes -= client.owing
-        self.buffered_bytes -= client.kept
+        self.queued_bytes -= client.counted_bytes
+        self.buffered_bytes -= client.buffered_bytes
         self.resume_accepting()
 
     def deadline_changed(self, client: ClientConnection) -> None:
@@ -115,10 +115,10 @@
         self.deadline_call = None
         now = self.dispatcher.now()
         try:
-            for client in [one for one in self.partial_requests if one.overdue(now)]:
+            for client in [one for one in self.partial_requests if one.is_overdue(now)]:
                 # The end of one may set off that of another, which was to be ended here too.
                 if self.partial_requests.pop(client, self) is None:
-                    client.end_request()
+                    client.fail_request()
         finally:
             dues = [due for one in self.partial_requests if (due := one.deadline.due()) is not None]
             if dues:
@@ -126,7 +126,7 @@
 
     def has_unsent_answers(self) -> bool:
         """Whether a client is owed an answer, or bytes of one."""
-        return any(client.owed or client.queued for client in self.clients)
+        return any(client.pending or client.queued_bytes for client in self.clients)
 
     def resume_accepting(self) -> None:
         """Clients are accepted again once there is room for them."""
@@ -139,7 +139,7 @@
         self.answered_idle.pop(client, None)
 
     def mark_idle(self, client: ClientConnection) -> None:
-        if not client.owed and not client.queued and not client.ended and client.machine.quiet():
+        if not client.pending and not client.queued_bytes and not client.ended and client.parser.quiet():
             self.idle_clients[client] = None
             if client.answered:
                 self.answered_idle[client] = None
@@ -149,20 +149,22 @@
             # At a drain one that has just come is about to write: it is closed after its answer.
             if self.leaving and (client.answered or not self.new_client_grace):
                 self.close_idle(client)
-            elif client.answered and (client.crowded or self.accepting_paused):
+            elif client.answered and (client.over_limit or self.accepting_paused):
                 # Not in this step: what a client has written behind its request may be on its way.
-                self.dispatcher.call_at(client.moved + CLOSE_DELAY_NS, self._close_if_still_idle, client, client.moved)
+                self.dispatcher.call_at(
+                    client.last_activity + CLOSE_DELAY_NS, self._close_if_still_idle, client, client.last_activity
+                )
 
     def _close_if_still_idle(self, client: ClientConnection, moved: int) -> None:
         """Closes one that was idle then and has been since."""
-        if client in self.idle_clients and client.moved == moved:
+        if client in self.idle_clients and client.last_activity == moved:
             self.close_idle(client)
 
     def close_longest_idle(self) -> bool:
         """Closes the client connection that has been idle longest."""
         now = self.dispatcher.now()
         for client in self.idle_clients:
-            if client.answered or now - client.moved > self.limits.new_client_grace:
+            if client.answered or now - client.last_activity > self.limits.new_client_grace:
                 return self.close_idle(client)
         return self._close_without_command(1) > 0
 
@@ -171,7 +173,7 @@
         before = self.dispatcher.now() - self.limits.first_command_timeout
         old: list[ClientConnection] = []
         for client in self.awaiting_first_command:
-            if client.made > before or len(old) >= most:
+            if client.accepted_at > before or len(old) >= most:
                 break
             if may_close(CloseReason.NO_REQUEST, owing=False, unread=client.has_unread_bytes()):
                 old.append(client)
@@ -183,7 +185,7 @@
         if not client.close_if_nothing_unread():
             return False
         idle = CloseReason.IDLE if client.answered else CloseReason.NO_REQUEST
-        self.safety.record_client_close(CloseReason.LEAVING if self.leaving else idle, client.owed_ids())
+        self.safety.record_client_close(CloseReason.LEAVING if self.leaving else idle, client.pending_ids())
         client.ended = True
         self.client_disconnected(client)
         return True
@@ -192,7 +194,7 @@
         """Closes it now, and counts it no longer."""
         client.abort(reason)
         self.client_disconnected(client)
-        client.queued = client.owing = client.kept = 0
+        client.queued_bytes = client.counted_bytes = client.buffered_bytes = 0
 
     def relieve_buffers(self, client: ClientConnection) -> None:
         """More is kept of half-read commands than there is room for."""
@@ -206,8 +208,10 @@
     def swept(self) -> None:
         """Closes clients that take up room and do not go on."""
         # After a stop of the process, or a long turn, this comes before the reading of what came meanwhile.
-        for client in [c for c in self.clients if c.stalled() and (c.queued or not c.has_unread_bytes())]:
-            client.abort(CloseReason.ANSWERS_UNREAD if client.queued or client.ended else CloseReason.VALUE_BROKEN)
+        for client in [c for c in self.clients if c.is_stalled() and (c.queued_bytes or not c.has_unread_bytes())]:
+            client.abort(
+                CloseReason.ANSWERS_UNREAD if client.queued_bytes or client.ended else CloseReason.VALUE_BROKEN
+            )
         if self.accepting_paused:
             self.close_longest_idle()
         if 2 * self.sockets.clients > self.limits.clients:
@@ -222,12 +226,12 @@
 
     def _close_idle_clients(self) -> None:
         before = self.dispatcher.now() - self.new_client_grace
-        for client in [c for c in self.idle_clients if c.answered or c.moved <= before]:
+        for client in [c for c in self.idle_clients if c.answered or c.last_activity <= before]:
             self.close_idle(client)
 
     def close_inactive(self) -> None:
         """Closes what owes nothing and does not move: half a command, for one."""
         before = self.dispatcher.now() - self.limits.new_client_grace
-        for client in [c for c in self.clients if not c.owed and not c.queued and c.moved <= before]:
+        for client in [c for c in self.clients if not c.pending and not c.queued_bytes and c.last_activity <= before]:
             if may_close(CloseReason.LEAVING, owing=False, unread=client.has_unread_bytes()):
                 client.abort(CloseReason.LEAVING)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -50,11 +50,11 @@
     net.run(500)
     second.feed(b"mg k")
     third = net.client()
-    assert third.protocol.crowded and not first.lost  # no place: the oldest could still end
+    assert third.protocol.over_limit and not first.lost  # no place: the oldest could still end
     third.end()
     net.run(600)
     fourth = net.client()
-    assert first.lost and not second.lost and not fourth.protocol.crowded
+    assert first.lost and not second.lost and not fourth.protocol.over_limit
     fourth.feed(mg(4))
     net.accept().feed(va(4))
     assert not fourth.lost
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -397,7 +397,7 @@
     net = Net()
     client = net.client()
     client.feed(b"mg k v O1 Pc=re")
-    client.protocol.hold(True)
+    client.protocol.hold_stream(True)
     client.unread = b"a"
     stopped(net, 6.0)
     assert client.lost
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ternquay.net import meta
-from ternquay.net.client import OVERDUE
+from ternquay.net.client import OVERDUE_ANSWER
 from ternquay.net.launch import LaunchError, read_launch
 from ternquay.net.management import answered
 from tests.helper import Net, member
@@ -148,7 +148,7 @@
         assert resting.recv(100) == b""
         time.sleep(0.1)
         assert says(listen) == meta.OUT_OF_SERVICE  # it goes on saying no
-        assert half.recv(100) == OVERDUE + b"\r\n" and half.recv(100) == b""  # its request was not whole in time
+        assert half.recv(100) == OVERDUE_ANSWER + b"\r\n" and half.recv(100) == b""  # its request was not whole in time
         assert process.poll() is None
         assert call(at, BACK) == call(at, BACK) == 200 and call(at, READY) == 200 and says(listen) == meta.HELLO
         # Out, in and out again: the steps of the first drain are not those of the last.
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from ternquay.net.client import OVERDUE
+from ternquay.net.client import OVERDUE_ANSWER
 from ternquay.net.limits import MS, SECOND
 from ternquay.net.meta import ClientSide
 from ternquay.net.request_deadline import (
@@ -343,10 +343,10 @@
     net = Net(limits={"stream_above_bytes": 8, "chunk_bytes": 4, "stall_timeout": 9 * SECOND})
     client = net.client()
     client.feed(b"ms k 20 O1 Pc=once,d=800\r\n")
-    client.protocol.hold(True)
+    client.protocol.hold_stream(True)
     net.run(4000)
     assert not client.lost
-    client.protocol.hold(False)
+    client.protocol.hold_stream(False)
     net.run(int(VALUE_PAUSE // MS) - 100)
     assert not client.lost
     net.run(300)
@@ -361,7 +361,7 @@
     first.feed(va(1)) if "O1" in net.trace[-2] + net.trace[-1] else second.feed(va(1))
     net.run(2600)
     assert client.lost and all(wire.lost for wire in net.wires[2:]) and not net.dispatcher.open_txs, net.trace
-    assert OVERDUE.decode() in "".join(net.trace)
+    assert OVERDUE_ANSWER.decode() in "".join(net.trace)
 
 
 def test_bytes_that_lie_unread_keep_a_request_until_they_are_read() -> None:
@@ -427,10 +427,10 @@
     net = Net()
     client = net.client()
     client.feed(mg(1))
-    owed = client.protocol.owed[0]
+    owed = client.protocol.pending[0]
     client.protocol.close(CloseReason.IDLE)
-    owed.put(b"SERVER_ERROR busy\r\n")
-    owed.put(b"SERVER_ERROR failed\r\n")
+    owed.set_answer(b"SERVER_ERROR busy\r\n")
+    owed.set_answer(b"SERVER_ERROR failed\r\n")
     net.dispatcher.safety.record_attempt_start(True, lambda: "1", 1)
     safety = net.dispatcher.safety
     assert safety.violations == {Violation.CLOSED_OWING: 1, Violation.ANSWERED_TWICE: 1, Violation.BEGUN_FORBIDDEN: 1}
@@ -533,13 +533,13 @@
     first, second = net.client(), net.client()
     for one in (first, second):
         one.feed(b"mg k v")
-    real = type(first.protocol).end_request
+    real = type(first.protocol).fail_request
 
     def ends_both(client: Any) -> None:
         real(client)
         net.frontend.drop(second.protocol, CloseReason.MEMORY)
 
-    monkeypatch.setattr(type(first.protocol), "end_request", ends_both)
+    monkeypatch.setattr(type(first.protocol), "fail_request", ends_both)
     net.run(2700)
     assert first.lost and second.lost and not net.frontend.partial_requests
     assert net.dispatcher.safety.client_closes == {CloseReason.REQUEST_OVERDUE: 1, CloseReason.MEMORY: 1}
