--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -90,7 +90,7 @@
         if not self.unread_since:
             self.unread_since = self.first_byte_since() or front.loop_timing.earliest_arrival
         self.unreported_bytes += len(data)
-        self.parser.add(data)
+        self.parser.buffer_data(data)
         if self.waits or self.stuck:
             self.count_buffered()
             self.hold_back()
@@ -140,7 +140,7 @@
         while True:
             self.readable_since, self.accepted_iteration = self.unread_since, self.frontend.loop_timing.iteration
             self.frontend.mark_busy(self)
-            items = self.parser.read(STEP, self.over)
+            items = self.parser.parse(STEP, self.over)
             self.handle_items(items)
             if self.ended or self.closing:
                 return False
@@ -186,7 +186,7 @@
         super().begin_transaction(command, owed, unread)
 
     def share_name(self, command: meta.Command) -> str:
-        return CROWDING if self.frontend.crowds(self) else command.names.get("tenant", "")
+        return CROWDING if self.frontend.crowds(self) else command.params.get("tenant", "")
 
     def answer_ready(self, owed: PendingAnswer) -> None:
         if owed.counted_open:
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -43,7 +43,7 @@
     def commit(self, answer: bytes | Flow) -> None:
         if isinstance(answer, Flow):
             self.flow, answer.sink = answer, self.client.flush
-            self.set_answer(meta.begun(self.command, answer.length))
+            self.set_answer(meta.value_header(self.command, answer.length))
         else:
             self.set_answer(meta.committed(self.command, answer))
 
@@ -79,7 +79,7 @@
 
     def __init__(self, frontend: "Frontend") -> None:
         self.frontend = frontend
-        self.parser = meta.ClientSide(
+        self.parser = meta.RequestParser(
             frontend.limits.line_bytes, frontend.limits.value_bytes, frontend.limits.stream_above_bytes
         )
         self.pending: deque[PendingAnswer | bytes] = deque()  # bytes: an answer that needed no transaction
@@ -125,22 +125,22 @@
         self.frontend.mark_busy(self)
         self.handle_items(self.parser.feed(data))
 
-    def handle_items(self, items: "list[meta.Item]") -> None:
+    def handle_items(self, items: "list[meta.RequestItem]") -> None:
         """Takes what was read, and writes what is answered by then."""
         self.in_read = True
-        if items or not self.parser.unproven():
+        if items or not self.parser.awaits_no_value():
             self.frontend.awaiting_first_command.pop(self, None)
         for item in items:
             if isinstance(item, meta.Command):
                 self.accept_command(item)
-            elif isinstance(item, meta.Hello):
+            elif isinstance(item, meta.NoOp):
                 self.pending.append(self.frontend.noop_answer)
-            elif isinstance(item, meta.Piece):
+            elif isinstance(item, meta.ValueChunk):
                 if self.incoming is not None:
                     self.incoming.offer(item.data)
-            elif isinstance(item, meta.Finish):
+            elif isinstance(item, meta.ValueEnd):
                 self.value_received()
-            elif isinstance(item, meta.Over):
+            elif isinstance(item, meta.OverLimit):
                 self.pending.append(meta.rolled_back(item.wait // MS))
             else:
                 self.answer_error(item)
@@ -154,7 +154,7 @@
     def update_deadline(self) -> None:
         """Begins or ends the time in which the request that is not whole has to be."""
         arrived, self.unreported_bytes = self.unreported_bytes, 0
-        if self.parser.quiet() and self.deadline.due() is None:
+        if self.parser.is_idle() and self.deadline.due() is None:
             return  # as most of the time: all that came was whole
         position = self.parser.position()
         self.deadline.read(self.last_activity - self.unread_time(position == self.deadline.position), position, arrived)
@@ -193,10 +193,10 @@
     def fail_request(self, reason: CloseReason = CloseReason.REQUEST_OVERDUE) -> None:
         """Its request was not whole in time: an error in its place behind the answers that are owed, and the close."""
         self.close_reason = reason
-        self.answer_error(meta.Bad(OVERDUE_ANSWER, fatal=True))
+        self.answer_error(meta.InvalidCommand(OVERDUE_ANSWER, fatal=True))
         self.flush()
 
-    def answer_error(self, item: meta.Bad) -> None:
+    def answer_error(self, item: meta.InvalidCommand) -> None:
         self.closing = self.closing or item.fatal
         owed = self.streaming
         if owed is None or owed.answer is not None:
@@ -242,10 +242,10 @@
     def accept_command(self, command: meta.Command) -> None:
         owed = PendingAnswer(self, command)
         self.pending.append(owed)
-        if command.length:
+        if command.stream_length:
             self.streaming, self.incoming = (
                 owed,
-                Flow(command.length, self.frontend.limits.chunk_bytes, self.hold_stream),
+                Flow(command.stream_length, self.frontend.limits.chunk_bytes, self.hold_stream),
             )
         now, loop_timing = self.frontend.dispatcher.now(), self.frontend.loop_timing
         # Against more than there is time for: all that is taken makes all else late, past its hard limit too.
@@ -270,14 +270,14 @@
         return RequestRefusal.LATE_TURN if late else None
 
     def begin_transaction(self, command: meta.Command, owed: PendingAnswer, unread: int) -> None:
-        names, left = command.names, max(0, command.ttl_ms * MS - unread)
+        names, left = command.params, max(0, command.ttl_ms * MS - unread)
         arrival = IncomingTx(
             names["c"],
             self.share_name(command),
             command.key.decode("latin-1"),
             left,
             names.get("r") == "1",
-            command.write,
+            command.is_write,
             command,
             self.incoming,
             unread,
@@ -293,7 +293,7 @@
 
     def share_name(self, command: meta.Command) -> str:
         """The name of the share of whoever asks."""
-        return command.names.get("tenant", "")
+        return command.params.get("tenant", "")
 
     def answer_ready(self, owed: PendingAnswer) -> None:
         """One more is answered, though maybe not written yet."""
@@ -392,7 +392,7 @@
         now = self.frontend.dispatcher.now()
         if self.queued_bytes:
             return self.unsent_for(now) > self.frontend.limits.stall_timeout
-        half = self.ended or (self.reading_paused and not self.parser.quiet())
+        half = self.ended or (self.reading_paused and not self.parser.is_idle())
         return half and now - self.last_activity > self.frontend.limits.stall_timeout
 
     def unsent_for(self, now: int) -> int:
--- a/ternquay/net/frontend.py
+++ b/ternquay/net/frontend.py
@@ -44,7 +44,7 @@
         self.safety = dispatcher.safety
         self.leaving = self.accepting_paused = False
         self.new_client_grace = 0  # how long one that has said nothing yet is left while they leave
-        self.noop_answer = meta.HELLO  # what an `mn` is answered with
+        self.noop_answer = meta.NOOP_ANSWER  # what an `mn` is answered with
         self.set_accepting: Callable[[bool], None] = lambda accept: None
         self.accept_queue_length: Callable[[], int] = lambda: 0  # how many clients wait to be accepted
         self.eviction_call: DelayedCall | None = None  # the next look for places for those
@@ -139,7 +139,7 @@
         self.answered_idle.pop(client, None)
 
     def mark_idle(self, client: ClientConnection) -> None:
-        if not client.pending and not client.queued_bytes and not client.ended and client.parser.quiet():
+        if not client.pending and not client.queued_bytes and not client.ended and client.parser.is_idle():
             self.idle_clients[client] = None
             if client.answered:
                 self.answered_idle[client] = None
--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -18,7 +18,7 @@
 from ternquay.net.driver import Driver
 from ternquay.net.flow import Flow, nothing
 from ternquay.net.limits import MS
-from ternquay.net.meta import Answer, Begun, HostSide, Piece
+from ternquay.net.meta import Answer, ResponseParser, ValueChunk, ValueHeader
 from ternquay.net.safety import ServerCloseReason
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
         self.pool, self.host = pool, host
         self.address = host.address  # where it leads; the host may go on at another
         self.connector: Any = None
-        self.machine = HostSide(pool.limits.line_bytes, pool.limits.answer_bytes, pool.limits.stream_above_bytes)
+        self.machine = ResponseParser(pool.limits.line_bytes, pool.limits.answer_bytes, pool.limits.stream_above_bytes)
         self.kept = 0  # bytes of an answer that is not whole
         self.to_write: deque[OutgoingHop] = deque()
         self.writing: OutgoingHop | None = None
@@ -146,9 +146,9 @@
                 return  # an answer before this one ended the rest
             if isinstance(item, Answer):
                 self.answered(item)
-            elif isinstance(item, Begun):
+            elif isinstance(item, ValueHeader):
                 self.begins(item)
-            elif isinstance(item, Piece):
+            elif isinstance(item, ValueChunk):
                 self.comes(item.data)
             else:
                 self.came()
@@ -166,18 +166,18 @@
         if hop is self.writing and not hop.written:
             # Before its last byte was written it can't have run, whatever the cache host says.
             self.pool.dispatcher.hop_ended(
-                hop, answer.end if answer.end is m.HopOutcome.FULL else m.HopOutcome.UNREACHABLE
+                hop, answer.outcome if answer.outcome is m.HopOutcome.FULL else m.HopOutcome.UNREACHABLE
             )
             return self.drop(ServerCloseReason.BAD_ANSWER)
         # Before the door hears of it, as what that sets free may go to the same cache host.
         if not self.machine.fault:
             self.settle()
-        self.pool.dispatcher.hop_ended(hop, answer.end, answer.body, answer.note)
+        self.pool.dispatcher.hop_ended(hop, answer.outcome, answer.body, answer.cache_result)
 
     # ---- a large value ----
 
-    def begins(self, begun: Begun) -> None:
-        self.note, self.moved = begun.note, self.pool.dispatcher.now()
+    def begins(self, begun: ValueHeader) -> None:
+        self.note, self.moved = begun.cache_result, self.pool.dispatcher.now()
         self.flow = Flow(begun.length, self.pool.limits.chunk_bytes, self.hold, self.unwanted)
         self.hand_back()  # against what is small behind what is large
 
--- a/ternquay/net/meta.py
+++ b/ternquay/net/meta.py
@@ -17,11 +17,11 @@
 from ternquay import model as m
 from ternquay.net.request_deadline import Part, Position
 
-KEY_MOST = 250
-PLAIN = re.compile(rb"[!-~]+")
-TTL_MOST = 10**9
-ANSWER_WORDS = {b"VA", b"HD", b"EN", b"MN", b"NF", b"EX", b"ERROR", b"CLIENT_ERROR", b"SERVER_ERROR"}
-NOTES = {(b"h1", False): 1, (b"h0", False): 2, (b"h0", True): 3}
+MAX_KEY_BYTES = 250
+PRINTABLE = re.compile(rb"[!-~]+")
+MAX_TTL_MS = 10**9
+KNOWN_ANSWERS = {b"VA", b"HD", b"EN", b"MN", b"NF", b"EX", b"ERROR", b"CLIENT_ERROR", b"SERVER_ERROR"}
+CACHE_RESULTS = {(b"h1", False): 1, (b"h0", False): 2, (b"h0", True): 3}
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,15 +31,15 @@
     verb: bytes
     key: bytes
     flags: tuple[bytes, ...]  # as they came, with the names under P at place `names_at`
-    names_at: int
+    params_at: int
     id: bytes
-    names: dict[str, str]
+    params: dict[str, str]
     ttl_ms: int
     value: bytes | None
-    length: int = 0  # of a value that is not kept, whose pieces follow
+    stream_length: int = 0  # of a value that is not kept, whose pieces follow
 
     @property
-    def write(self) -> bool:
+    def is_write(self) -> bool:
         return self.verb == b"ms"
 
     def size(self) -> int:
@@ -48,11 +48,11 @@
     def forward(self, wait_ms: int) -> bytes:
         """The command for a cache host: all as it came but how long its answer is waited for."""
         flags = list(self.flags)
-        names = flags[self.names_at][1:].split(b",")
+        names = flags[self.params_at][1:].split(b",")
         told = [b"d=%d" % wait_ms if name.startswith(b"d=") else name for name in names]
-        flags[self.names_at] = b"P" + b",".join(told)
-        if self.length:
-            return b" ".join((self.verb, self.key, b"%d" % self.length, *flags)) + b"\r\n"
+        flags[self.params_at] = b"P" + b",".join(told)
+        if self.stream_length:
+            return b" ".join((self.verb, self.key, b"%d" % self.stream_length, *flags)) + b"\r\n"
         if self.value is None:
             return b" ".join((self.verb, self.key, *flags)) + b"\r\n"
         head = b" ".join((self.verb, self.key, b"%d" % len(self.value), *flags))
@@ -60,12 +60,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Hello:
+class NoOp:
     """A client asks if the balancer serves."""
 
 
 @dataclass(slots=True, frozen=True)
-class Bad:
+class InvalidCommand:
     """What is no command; after a fatal one the stream can't be followed."""
 
     line: bytes
@@ -73,55 +73,55 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Over:
+class OverLimit:
     """A command that was read no further than where it ends: whoever wrote it is over a limit."""
 
     wait: int  # until it is not, in nanoseconds
 
 
 @dataclass(slots=True, frozen=True)
-class Piece:
+class ValueChunk:
     """Some of a value that is not kept."""
 
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Finish:
+class ValueEnd:
     """A value that is not kept has ended as its length said."""
 
 
-Item = Command | Hello | Bad | Over | Piece | Finish
+RequestItem = Command | NoOp | InvalidCommand | OverLimit | ValueChunk | ValueEnd
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    end: m.HopOutcome
+    outcome: m.HopOutcome
     body: bytes = b""  # the value or the receipt
-    note: int = 0
+    cache_result: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Begun:
+class ValueHeader:
     """The line of an answer whose value is not kept."""
 
     length: int
-    note: int = 0
+    cache_result: int = 0
 
 
-class Broken(Exception):
+class ProtocolError(Exception):
     """A cache host wrote what is no answer to what it was sent."""
 
 
-def begun(command: Command, length: int) -> bytes:
+def value_header(command: Command, length: int) -> bytes:
     """The line of a committed read, before its value."""
     return b"VA %d O%b\r\n" % (length, command.id)
 
 
 def committed(command: Command, body: bytes) -> bytes:
-    if command.write:
+    if command.is_write:
         return b"HD O%b c%b\r\n" % (command.id, body)
-    return begun(command, len(body)) + body + b"\r\n"
+    return value_header(command, len(body)) + body + b"\r\n"
 
 
 def rolled_back(wait_ms: int) -> bytes:
@@ -129,22 +129,22 @@
 
 
 ABANDONED = b"SERVER_ERROR failed\r\n"
-HELLO = b"MN\r\n"
+NOOP_ANSWER = b"MN\r\n"
 OUT_OF_SERVICE = b"SERVER_ERROR out of service\r\n"
 
 
-def length_of(word: bytes) -> int:
+def parse_length(word: bytes) -> int:
     """A length as written, or -1."""
     return int(word) if word.isdigit() and len(word) < 10 else -1
 
 
-def line_end(buffer: bytearray, at: int, most: int) -> int:
+def find_line_end(buffer: bytearray, at: int, most: int) -> int:
     """Where the line that begins at `at` ends; -1: not yet; -2: it is longer than it may be."""
     end = buffer.find(b"\r\n", at, at + most + 2)
     return -2 if end < 0 and len(buffer) - at >= most + 2 else end
 
 
-def value_end(buffer: bytearray, at: int, length: int) -> int:
+def find_value_end(buffer: bytearray, at: int, length: int) -> int:
     """Where the value that begins at `at` ends; -1: not yet; -2: its end is not where it should be."""
     end = at + length
     if len(buffer) < end + 2:
@@ -152,158 +152,162 @@
     return end if buffer[end : end + 2] == b"\r\n" else -2
 
 
-def piece_of(buffer: bytearray, at: int, left: int) -> bytes:
+def next_chunk(buffer: bytearray, at: int, left: int) -> bytes:
     """What has come of a value that wants `left` more bytes."""
     return bytes(memoryview(buffer)[at : at + min(left, len(buffer) - at)])
 
 
-def unexpected(verb: bytes, size: int) -> str:
+def describe_unexpected(verb: bytes, size: int) -> str:
     """What a line is called that is no answer, without any of its bytes: they may be of a value."""
-    return f"unexpected {verb.decode()}, {size} bytes" if verb in ANSWER_WORDS else f"unexpected line of {size} bytes"
+    return f"unexpected {verb.decode()}, {size} bytes" if verb in KNOWN_ANSWERS else f"unexpected line of {size} bytes"
 
 
-def read_command(words: list[bytes]) -> Command | Bad:
+def parse_command(words: list[bytes]) -> Command | InvalidCommand:
     """A command line; the value of a write is added when it has come."""
-    if len(words) < 2 or not 0 < len(words[1]) <= KEY_MOST:
-        return Bad(b"CLIENT_ERROR bad key")
+    if len(words) < 2 or not 0 < len(words[1]) <= MAX_KEY_BYTES:
+        return InvalidCommand(b"CLIENT_ERROR bad key")
     flags = tuple(words[3:] if words[0] == b"ms" else words[2:])
     # What a cache host can't read costs the connection that it goes out on, and counts against that host.
     strange = any(f != b"v" and f[:1] not in (b"O", b"P") for f in flags)
-    if strange or flags.count(b"v") != (words[0] == b"mg") or not PLAIN.fullmatch(b"".join(words)):
-        return Bad(b"CLIENT_ERROR bad flags")
+    if strange or flags.count(b"v") != (words[0] == b"mg") or not PRINTABLE.fullmatch(b"".join(words)):
+        return InvalidCommand(b"CLIENT_ERROR bad flags")
     ids = [f[1:] for f in flags if f[:1] == b"O"]
     places = [i for i, f in enumerate(flags) if f[:1] == b"P"]
     if len(ids) != 1 or not ids[0]:
-        return Bad(b"CLIENT_ERROR bad id")
+        return InvalidCommand(b"CLIENT_ERROR bad id")
     if len(places) != 1:
-        return Bad(b"CLIENT_ERROR bad names")
+        return InvalidCommand(b"CLIENT_ERROR bad names")
     try:
         text = flags[places[0]][1:].decode("ascii")
         pairs = [pair.split("=", 1) for pair in text.split(",")]
         names = {name: value for name, value in pairs}
     except ValueError:
-        return Bad(b"CLIENT_ERROR bad names")
+        return InvalidCommand(b"CLIENT_ERROR bad names")
     if len(names) != len(pairs) or not names.get("c"):
-        return Bad(b"CLIENT_ERROR bad profile")
-    ttl = length_of(names.get("d", "").encode())
-    if not 0 < ttl <= TTL_MOST:
-        return Bad(b"CLIENT_ERROR bad time")
+        return InvalidCommand(b"CLIENT_ERROR bad profile")
+    ttl = parse_length(names.get("d", "").encode())
+    if not 0 < ttl <= MAX_TTL_MS:
+        return InvalidCommand(b"CLIENT_ERROR bad time")
     return Command(words[0], words[1], flags, places[0], ids[0], names, ttl, None)
 
 
 @dataclass(slots=True)
-class ClientSide:
+class RequestParser:
     """Reads what one client writes."""
 
-    line_most: int
-    value_most: int
-    whole: int = sys.maxsize  # a longer value is not kept
+    max_line_bytes: int
+    max_value_bytes: int
+    stream_above_bytes: int = sys.maxsize  # a longer value is not kept
     buffer: bytearray = field(default_factory=bytearray)
-    wanted: Command | Bad | Over | None = None  # a write whose value is still to come
-    left: int = -1  # of a value that is not kept
-    length: int = 0
-    dead: bool = False
-    over: Callable[[], int] | None = None
-    lines: int = 0  # command lines that were read
-
-    def feed(self, data: bytes) -> list[Item]:
-        self.add(data)
-        return self.read()
-
-    def add(self, data: bytes) -> None:
-        if not self.dead:
+    awaiting_value: Command | InvalidCommand | OverLimit | None = None  # a write whose value is still to come
+    stream_left: int = -1  # of a value that is not kept
+    value_length: int = 0
+    failed: bool = False
+    limit_wait: Callable[[], int] | None = None
+    line_count: int = 0  # command lines that were read
+
+    def feed(self, data: bytes) -> list[RequestItem]:
+        self.buffer_data(data)
+        return self.parse()
+
+    def buffer_data(self, data: bytes) -> None:
+        if not self.failed:
             self.buffer += data
 
-    def read(self, most: int = sys.maxsize, over: Callable[[], int] | None = None) -> list[Item]:
+    def parse(self, most: int = sys.maxsize, over: Callable[[], int] | None = None) -> list[RequestItem]:
         """The next `most` commands that are whole. `over` is asked before each is read further than its end: if
         it tells a time to wait, no more than that is found of it."""
-        found: list[Item] = []
-        at, self.over = 0, over
-        while not self.dead and len(found) < most:
-            if self.left >= 0:
-                step = self._piece(at, found)
+        found: list[RequestItem] = []
+        at, self.limit_wait = 0, over
+        while not self.failed and len(found) < most:
+            if self.stream_left >= 0:
+                step = self._parse_chunk(at, found)
             else:
-                step = self._value(at, found) if self.wanted is not None else self._line(at, found)
+                step = self._parse_value(at, found) if self.awaiting_value is not None else self._parse_line(at, found)
             if step < 0:
                 break
             at = step
-        if self.dead:
+        if self.failed:
             self.buffer.clear()
         elif at:
             del self.buffer[:at]
         return found
 
-    def unproven(self) -> bool:
+    def awaits_no_value(self) -> bool:
         """No command line of a write is known whose value is still to come."""
-        return self.wanted is None
+        return self.awaiting_value is None
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Nothing of a command has come."""
-        return not self.buffer and self.wanted is None
+        return not self.buffer and self.awaiting_value is None
 
     def position(self) -> Position:
         """How far the request has come that is not whole."""
-        if self.dead or self.quiet():
-            return Position(Part.NONE, self.lines)
-        return Position(Part.LINE if self.wanted is None else Part.VALUE, self.lines)
+        if self.failed or self.is_idle():
+            return Position(Part.NONE, self.line_count)
+        return Position(Part.LINE if self.awaiting_value is None else Part.VALUE, self.line_count)
 
-    def _fatal(self, line: bytes, found: list[Item]) -> int:
-        found.append(Bad(line, True))
-        self.dead = True
+    def _fail(self, line: bytes, found: list[RequestItem]) -> int:
+        found.append(InvalidCommand(line, True))
+        self.failed = True
         return -1
 
-    def _words(self, words: list[bytes]) -> Command | Bad | Over:
-        wait = self.over() if self.over is not None else 0
-        return Over(wait) if wait else read_command(words)
+    def _parse_words(self, words: list[bytes]) -> Command | InvalidCommand | OverLimit:
+        wait = self.limit_wait() if self.limit_wait is not None else 0
+        return OverLimit(wait) if wait else parse_command(words)
 
-    def _line(self, at: int, found: list[Item]) -> int:
-        end = line_end(self.buffer, at, self.line_most)
+    def _parse_line(self, at: int, found: list[RequestItem]) -> int:
+        end = find_line_end(self.buffer, at, self.max_line_bytes)
         if end < 0:
-            return self._fatal(b"CLIENT_ERROR line too long", found) if end == -2 else -1
-        self.lines += 1
+            return self._fail(b"CLIENT_ERROR line too long", found) if end == -2 else -1
+        self.line_count += 1
         words = bytes(self.buffer[at:end]).split()
         verb = words[0] if words else b""
         if verb == b"mn":
-            found.append(Hello())
+            found.append(NoOp())
         elif verb == b"mg":
-            found.append(self._words(words))
+            found.append(self._parse_words(words))
         elif verb == b"ms":
-            length = length_of(words[2]) if len(words) > 2 else -1
+            length = parse_length(words[2]) if len(words) > 2 else -1
             # Without the length there is no telling where the next command begins.
             if length < 0:
-                return self._fatal(b"CLIENT_ERROR bad length", found)
-            if length > self.value_most:
-                return self._fatal(b"SERVER_ERROR object too large for cache", found)
-            self.wanted, self.length = self._words(words), length
-            if length > self.whole:
-                self.left = length
+                return self._fail(b"CLIENT_ERROR bad length", found)
+            if length > self.max_value_bytes:
+                return self._fail(b"SERVER_ERROR object too large for cache", found)
+            self.awaiting_value, self.value_length = self._parse_words(words), length
+            if length > self.stream_above_bytes:
+                self.stream_left = length
                 # Of what is no command nothing is passed on, and it is told so before the value has come.
-                found.append(replace(self.wanted, length=length) if isinstance(self.wanted, Command) else self.wanted)
+                found.append(
+                    replace(self.awaiting_value, stream_length=length)
+                    if isinstance(self.awaiting_value, Command)
+                    else self.awaiting_value
+                )
         else:
-            wait = self.over() if self.over is not None else 0
-            found.append(Over(wait) if wait else Bad(b"ERROR"))
+            wait = self.limit_wait() if self.limit_wait is not None else 0
+            found.append(OverLimit(wait) if wait else InvalidCommand(b"ERROR"))
         return end + 2
 
-    def _piece(self, at: int, found: list[Item]) -> int:
-        if self.left:
-            data = piece_of(self.buffer, at, self.left)
-            self.left -= len(data)
-            if data and isinstance(self.wanted, Command):
-                found.append(Piece(data))
+    def _parse_chunk(self, at: int, found: list[RequestItem]) -> int:
+        if self.stream_left:
+            data = next_chunk(self.buffer, at, self.stream_left)
+            self.stream_left -= len(data)
+            if data and isinstance(self.awaiting_value, Command):
+                found.append(ValueChunk(data))
             return at + len(data) if data else -1
-        end = value_end(self.buffer, at, 0)
+        end = find_value_end(self.buffer, at, 0)
         if end < 0:
-            return self._fatal(b"CLIENT_ERROR bad data chunk", found) if end == -2 else -1
-        if isinstance(self.wanted, Command):
-            found.append(Finish())
-        self.wanted, self.left = None, -1
+            return self._fail(b"CLIENT_ERROR bad data chunk", found) if end == -2 else -1
+        if isinstance(self.awaiting_value, Command):
+            found.append(ValueEnd())
+        self.awaiting_value, self.stream_left = None, -1
         return end + 2
 
-    def _value(self, at: int, found: list[Item]) -> int:
-        end = value_end(self.buffer, at, self.length)
+    def _parse_value(self, at: int, found: list[RequestItem]) -> int:
+        end = find_value_end(self.buffer, at, self.value_length)
         if end < 0:
-            return self._fatal(b"CLIENT_ERROR bad data chunk", found) if end == -2 else -1
-        wanted, self.wanted = self.wanted, None
+            return self._fail(b"CLIENT_ERROR bad data chunk", found) if end == -2 else -1
+        wanted, self.awaiting_value = self.awaiting_value, None
         if isinstance(wanted, Command):
             found.append(replace(wanted, value=bytes(self.buffer[at:end])))
         elif wanted is not None:
@@ -311,108 +315,108 @@
         return end + 2
 
 
-Reply = Answer | Begun | Piece | Finish
+ResponseItem = Answer | ValueHeader | ValueChunk | ValueEnd
 
 
 @dataclass(slots=True)
-class HostSide:
+class ResponseParser:
     """Reads what one cache host answers on one connection."""
 
-    line_most: int
-    value_most: int
-    whole: int = sys.maxsize  # a longer value is not kept
+    max_line_bytes: int
+    max_value_bytes: int
+    stream_above_bytes: int = sys.maxsize  # a longer value is not kept
     buffer: bytearray = field(default_factory=bytearray)
     expected: deque[tuple[bytes, bool]] = field(default_factory=deque)  # id and whether it writes, in order
-    length: int = -1  # of a value whose line has been read
-    left: int = -1  # of one that is not kept
-    note: int = 0
+    value_length: int = -1  # of a value whose line has been read
+    stream_left: int = -1  # of one that is not kept
+    cache_result: int = 0
     fault: str = ""
 
     def expect(self, command: Command) -> None:
-        self.expected.append((command.id, command.write))
+        self.expected.append((command.id, command.is_write))
 
-    def feed(self, data: bytes) -> list[Reply]:
+    def feed(self, data: bytes) -> list[ResponseItem]:
         """The answers that are whole now; from the first thing on that is none, `fault` says what it was."""
-        found: list[Reply] = []
+        found: list[ResponseItem] = []
         self.buffer += data
         at = done = 0
         try:
             while at >= 0 and not self.fault:
                 done = at
-                if self.left >= 0:
-                    at = self._piece(at, found)
+                if self.stream_left >= 0:
+                    at = self._parse_chunk(at, found)
                 else:
-                    at = self._value(at, found) if self.length >= 0 else self._line(at, found)
-        except Broken as fault:
+                    at = self._parse_value(at, found) if self.value_length >= 0 else self._parse_line(at, found)
+        except ProtocolError as fault:
             self.fault = str(fault)
         if done:
             del self.buffer[:done]
         return found
 
-    def _line(self, at: int, found: list[Reply]) -> int:
+    def _parse_line(self, at: int, found: list[ResponseItem]) -> int:
         if at == len(self.buffer):
             return -1
         if not self.expected:
-            raise Broken("an answer to nothing")
-        end = line_end(self.buffer, at, self.line_most)
+            raise ProtocolError("an answer to nothing")
+        end = find_line_end(self.buffer, at, self.max_line_bytes)
         if end == -2:
-            raise Broken("line too long")
+            raise ProtocolError("line too long")
         if end < 0:
             return -1
         words = bytes(self.buffer[at:end]).split()
         known, write = self.expected[0]
         verb = words[0] if words else b""
         if words[:2] == [b"SERVER_ERROR", b"busy"]:
-            self._give(found, Answer(m.HopOutcome.FULL))
+            self._emit(found, Answer(m.HopOutcome.FULL))
         elif words == [b"SERVER_ERROR", b"failed"]:
-            self._give(found, Answer(m.HopOutcome.ERROR))
+            self._emit(found, Answer(m.HopOutcome.ERROR))
         elif verb == b"VA" and not write and len(words) > 2 and b"O" + known in words[2:]:
-            self.length, self.note = length_of(words[1]), self._note(words[2:])
-            if not 0 <= self.length <= self.value_most:
-                raise Broken("bad length")
-            if self.length > self.whole:
-                found.append(Begun(self.length, self.note))
-                self.left, self.length = self.length, -1
+            self.value_length, self.cache_result = parse_length(words[1]), self._cache_result(words[2:])
+            if not 0 <= self.value_length <= self.max_value_bytes:
+                raise ProtocolError("bad length")
+            if self.value_length > self.stream_above_bytes:
+                found.append(ValueHeader(self.value_length, self.cache_result))
+                self.stream_left, self.value_length = self.value_length, -1
         elif verb == b"HD" and write and b"O" + known in words[1:]:
             receipts = [w[1:] for w in words[1:] if w[:1] == b"c"]
             if len(receipts) != 1:
-                raise Broken("no receipt")
-            self._give(found, Answer(m.HopOutcome.DONE, receipts[0], self._note(words[1:])))
+                raise ProtocolError("no receipt")
+            self._emit(found, Answer(m.HopOutcome.DONE, receipts[0], self._cache_result(words[1:])))
         else:
-            raise Broken(unexpected(verb, end - at))
+            raise ProtocolError(describe_unexpected(verb, end - at))
         return end + 2
 
-    def _piece(self, at: int, found: list[Reply]) -> int:
-        if self.left:
-            data = piece_of(self.buffer, at, self.left)
-            self.left -= len(data)
+    def _parse_chunk(self, at: int, found: list[ResponseItem]) -> int:
+        if self.stream_left:
+            data = next_chunk(self.buffer, at, self.stream_left)
+            self.stream_left -= len(data)
             if data:
-                found.append(Piece(data))
+                found.append(ValueChunk(data))
             return at + len(data) if data else -1
-        end = value_end(self.buffer, at, 0)
+        end = find_value_end(self.buffer, at, 0)
         if end == -2:
-            raise Broken("a value without its end")
+            raise ProtocolError("a value without its end")
         if end < 0:
             return -1
-        self.left = -1
+        self.stream_left = -1
         self.expected.popleft()
-        found.append(Finish())
+        found.append(ValueEnd())
         return end + 2
 
-    def _value(self, at: int, found: list[Reply]) -> int:
-        end = value_end(self.buffer, at, self.length)
+    def _parse_value(self, at: int, found: list[ResponseItem]) -> int:
+        end = find_value_end(self.buffer, at, self.value_length)
         if end == -2:
-            raise Broken("a value without its end")
+            raise ProtocolError("a value without its end")
         if end < 0:
             return -1
-        self.length = -1
-        self._give(found, Answer(m.HopOutcome.DONE, bytes(self.buffer[at:end]), self.note))
+        self.value_length = -1
+        self._emit(found, Answer(m.HopOutcome.DONE, bytes(self.buffer[at:end]), self.cache_result))
         return end + 2
 
-    def _give(self, found: list[Reply], answer: Answer) -> None:
+    def _emit(self, found: list[ResponseItem], answer: Answer) -> None:
         self.expected.popleft()
         found.append(answer)
 
-    def _note(self, flags: list[bytes]) -> int:
+    def _cache_result(self, flags: list[bytes]) -> int:
         hit = next((f for f in flags if f[:1] == b"h"), b"")
-        return NOTES.get((hit, b"Z" in flags and hit == b"h0"), 0)
+        return CACHE_RESULTS.get((hit, b"Z" in flags and hit == b"h0"), 0)
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -225,7 +225,7 @@
             return "ending"
         if self.drained:
             self._undrained()
-            self.frontend.leaving, self.frontend.noop_answer = False, meta.HELLO
+            self.frontend.leaving, self.frontend.noop_answer = False, meta.NOOP_ANSWER
             logger.info("in service")
         return ""
 
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -38,42 +38,46 @@
 def test_the_machines_give_the_same_however_a_large_value_is_cut(cut: int) -> None:
     value = bytes(range(256)) * 5
     sent = put(1, value) + b"mn\r\n" + put(2, b"tiny")
-    side = meta.ClientSide(2048, 4096, whole=100)
+    side = meta.RequestParser(2048, 4096, stream_above_bytes=100)
     found = [x for at in range(0, len(sent), cut) for x in side.feed(sent[at : at + cut])]
     command = found[0]
-    assert isinstance(command, meta.Command) and command.length == len(value) and command.value is None
-    assert b"".join(x.data for x in found if isinstance(x, meta.Piece)) == value
-    kinds = [type(x) for x in found if not isinstance(x, meta.Piece)]
-    assert kinds == [meta.Command, meta.Finish, meta.Hello, meta.Command] and side.quiet()
+    assert isinstance(command, meta.Command) and command.stream_length == len(value) and command.value is None
+    assert b"".join(x.data for x in found if isinstance(x, meta.ValueChunk)) == value
+    kinds = [type(x) for x in found if not isinstance(x, meta.ValueChunk)]
+    assert kinds == [meta.Command, meta.ValueEnd, meta.NoOp, meta.Command] and side.is_idle()
     assert command.forward(5) + value + b"\r\n" == put(1, value).replace(b"d=800", b"d=5")
 
-    back = meta.HostSide(2048, 4096, whole=100)
+    back = meta.ResponseParser(2048, 4096, stream_above_bytes=100)
     for line in (mg(3), mg(4)):
-        asked = meta.ClientSide(2048, 4096).feed(line)[0]
+        asked = meta.RequestParser(2048, 4096).feed(line)[0]
         assert isinstance(asked, meta.Command)
         back.expect(asked)
     answers = va(3, value) + va(4, b"v")
     got = [x for at in range(0, len(answers), cut) for x in back.feed(answers[at : at + cut])]
-    assert b"".join(x.data for x in got if isinstance(x, meta.Piece)) == value and not back.fault and not back.buffer
-    assert got[0] == meta.Begun(len(value), 1) and isinstance(got[-1], meta.Answer)
+    assert (
+        b"".join(x.data for x in got if isinstance(x, meta.ValueChunk)) == value and not back.fault and not back.buffer
+    )
+    assert got[0] == meta.ValueHeader(len(value), 1) and isinstance(got[-1], meta.Answer)
 
 
 def test_a_large_value_without_its_end_is_a_fault_on_both_sides() -> None:
-    side = meta.ClientSide(2048, 4096, whole=10)
+    side = meta.RequestParser(2048, 4096, stream_above_bytes=10)
     found = side.feed(put(1, b"x" * 20)[:-2] + b"xx")
-    assert found[-1] == meta.Bad(b"CLIENT_ERROR bad data chunk", True)
-    back = meta.HostSide(2048, 4096, whole=10)
-    asked = meta.ClientSide(2048, 4096).feed(mg(1))[0]
+    assert found[-1] == meta.InvalidCommand(b"CLIENT_ERROR bad data chunk", True)
+    back = meta.ResponseParser(2048, 4096, stream_above_bytes=10)
+    asked = meta.RequestParser(2048, 4096).feed(mg(1))[0]
     assert isinstance(asked, meta.Command)
     back.expect(asked)
-    assert isinstance(back.feed(va(1, b"x" * 20)[:-2] + b"xx")[-1], meta.Piece) and back.fault
+    assert isinstance(back.feed(va(1, b"x" * 20)[:-2] + b"xx")[-1], meta.ValueChunk) and back.fault
 
 
 def test_of_what_is_no_command_nothing_is_passed_on() -> None:
-    side = meta.ClientSide(2048, 4096, whole=10)
+    side = meta.RequestParser(2048, 4096, stream_above_bytes=10)
     bad = b"ms k 20 Pc=once,d=8\r\n" + b"mg k v" * 3 + b"mn\r\n"[:2] + b"\r\n"
-    assert [x for at in range(len(bad)) for x in side.feed(bad[at : at + 1])] == [meta.Bad(b"CLIENT_ERROR bad id")]
-    assert side.quiet()
+    assert [x for at in range(len(bad)) for x in side.feed(bad[at : at + 1])] == [
+        meta.InvalidCommand(b"CLIENT_ERROR bad id")
+    ]
+    assert side.is_idle()
 
 
 def test_whoever_offers_is_paused_while_nobody_takes() -> None:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -140,7 +140,7 @@
     with serving(told(listen, free(), management=f"127.0.0.1:{at}"), tmp_path) as process:
         resting = socket.create_connection(("127.0.0.1", listen), timeout=10)
         resting.sendall(b"mn\r\n")
-        assert resting.recv(100) == meta.HELLO
+        assert resting.recv(100) == meta.NOOP_ANSWER
         half = socket.create_connection(("127.0.0.1", listen), timeout=10)
         half.sendall(b"mg k")
         assert call(at, OUT) == call(at, OUT) == 200 and call(at, READY) == 503
@@ -150,16 +150,16 @@
         assert says(listen) == meta.OUT_OF_SERVICE  # it goes on saying no
         assert half.recv(100) == OVERDUE_ANSWER + b"\r\n" and half.recv(100) == b""  # its request was not whole in time
         assert process.poll() is None
-        assert call(at, BACK) == call(at, BACK) == 200 and call(at, READY) == 200 and says(listen) == meta.HELLO
+        assert call(at, BACK) == call(at, BACK) == 200 and call(at, READY) == 200 and says(listen) == meta.NOOP_ANSWER
         # Out, in and out again: the steps of the first drain are not those of the last.
         for text in (OUT, BACK, OUT, BACK):
             assert call(at, text) == 200
         stays = socket.create_connection(("127.0.0.1", listen), timeout=10)
         stays.sendall(b"mn\r\n")
-        assert stays.recv(100) == meta.HELLO
+        assert stays.recv(100) == meta.NOOP_ANSWER
         time.sleep(3.5)
         stays.sendall(b"mn\r\n")
-        assert stays.recv(100) == meta.HELLO
+        assert stays.recv(100) == meta.NOOP_ANSWER
         # The end during a drain.
         assert call(at, OUT) == 200
         process.terminate()
--- a/tests/test_meta.py
+++ b/tests/test_meta.py
@@ -17,22 +17,22 @@
 
 
 def client(data: bytes, cut: int) -> list[str]:
-    side, found = meta.ClientSide(400, 70), []
+    side, found = meta.RequestParser(400, 70), []
     for piece in pieces(data, cut):
         found += side.feed(piece)
     return [f"{x.forward(77)!r}" if isinstance(x, meta.Command) else repr(x) for x in found]
 
 
 def host(data: bytes, cut: int, *asked: bytes) -> list[str]:
-    side, found = meta.HostSide(200, 70), list[meta.Answer]()
-    reader = meta.ClientSide(200, 70)
+    side, found = meta.ResponseParser(200, 70), list[meta.Answer]()
+    reader = meta.RequestParser(200, 70)
     for command in reader.feed(b"".join(asked)):
         assert isinstance(command, meta.Command)
         side.expect(command)
     for piece in pieces(data, cut):
         found += [x for x in side.feed(piece) if isinstance(x, meta.Answer)]
     fault = [f"fault: {side.fault}"] if side.fault else []
-    return [f"{x.end.name} {x.body!r} note {x.note}" for x in found] + fault
+    return [f"{x.outcome.name} {x.body!r} note {x.cache_result}" for x in found] + fault
 
 
 def test_commands_are_read_alike_however_they_are_cut() -> None:
@@ -44,13 +44,13 @@
 @pytest.mark.parametrize("size", [0, 65536])
 def test_the_smallest_and_the_largest_value_pass_whole(size: int) -> None:
     value = bytes(range(256)) * (size // 256)
-    side = meta.ClientSide(2048, 65536)
+    side = meta.RequestParser(2048, 65536)
     sent = b"ms k %d " % size + ID + b" Pc=once,d=480\r\n" + value + b"\r\n"
     found = [x for piece in pieces(sent, 1000) for x in side.feed(piece)]
-    assert isinstance(found[0], meta.Command) and found[0].value == value and side.quiet()
+    assert isinstance(found[0], meta.Command) and found[0].value == value and side.is_idle()
     assert found[0].forward(480) == sent
-    back = meta.HostSide(2048, 65536)
-    command = meta.ClientSide(2048, 65536).feed(READ)[0]
+    back = meta.ResponseParser(2048, 65536)
+    command = meta.RequestParser(2048, 65536).feed(READ)[0]
     assert isinstance(command, meta.Command)
     back.expect(command)
     answer = b"VA %d " % size + ID + b" h1\r\n" + value + b"\r\n"
--- a/tests/test_review_links.py
+++ b/tests/test_review_links.py
@@ -123,7 +123,9 @@
     monkeypatch.setattr(net.dispatcher.balancer, "decide", both)
     first.feed(mg(1))
     asker = net.dispatcher.open_txs[0].requester
-    monkeypatch.setattr(type(asker), "roll_back", lambda self, wait: 1 / 0 if self is asker else self.set_answer(b"x\r\n"))
+    monkeypatch.setattr(
+        type(asker), "roll_back", lambda self, wait: 1 / 0 if self is asker else self.set_answer(b"x\r\n")
+    )
     second.feed(mg(2))
     assert answers(net, 1) == ["b'x\\r\\n'"]
     net.run(60)
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -14,7 +14,7 @@
 
 from ternquay.net.client import OVERDUE_ANSWER
 from ternquay.net.limits import MS, SECOND
-from ternquay.net.meta import ClientSide
+from ternquay.net.meta import RequestParser
 from ternquay.net.request_deadline import (
     LINE_MOST,
     VALUE_LEAST,
@@ -331,7 +331,7 @@
 )
 def test_where_a_stream_stands_is_told_for_every_part_of_a_request(written: bytes, part: Part, lines: int) -> None:
     for whole in (8, 100):
-        side = ClientSide(2048, 4096, whole)
+        side = RequestParser(2048, 4096, whole)
         side.feed(written)
         assert side.position() == Position(part, lines)
 
