--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -11,10 +11,10 @@
 from ternquay.net import meta
 from ternquay.net.dispatcher import IncomingTx
 from ternquay.net.driver import Driver
-from ternquay.net.flow import Flow
 from ternquay.net.limits import MS
 from ternquay.net.request_deadline import RequestDeadline
 from ternquay.net.safety import CloseReason, RequestRefusal, may_close
+from ternquay.net.value_stream import ValueStream
 
 if TYPE_CHECKING:
     from ternquay.net.frontend import Frontend
@@ -31,18 +31,18 @@
 class PendingAnswer:
     """One answer that a client waits for, in its place among the others."""
 
-    __slots__ = ("client", "command", "counted_open", "dispatcher", "flow", "answer", "tx")
+    __slots__ = ("client", "command", "counted_open", "dispatcher", "stream", "answer", "tx")
 
     def __init__(self, client: "ClientConnection", command: meta.Command) -> None:
         self.client, self.command, self.dispatcher = client, command, client.frontend.dispatcher
         self.answer: bytes | None = None
-        self.flow: Flow | None = None  # the value that is its answer, as it comes
+        self.stream: ValueStream | None = None  # the value that is its answer, as it comes
         self.tx = -1
         self.counted_open = False  # for whoever counts what its client has open
 
-    def commit(self, answer: bytes | Flow) -> None:
-        if isinstance(answer, Flow):
-            self.flow, answer.sink = answer, self.client.flush
+    def commit(self, answer: bytes | ValueStream) -> None:
+        if isinstance(answer, ValueStream):
+            self.stream, answer.on_data = answer, self.client.flush
             self.set_answer(meta.value_header(self.command, answer.length))
         else:
             self.set_answer(meta.committed(self.command, answer))
@@ -89,7 +89,7 @@
         self.sent_before = 0  # bytes that the system had taken at the last look
         self.counted_bytes = 0  # those of them that count against the room of all: a large value is held back instead
         self.streaming: PendingAnswer | None = None  # whose large value is coming in
-        self.incoming: Flow | None = None  # and that value
+        self.incoming: ValueStream | None = None  # and that value
         self.buffered_bytes = 0  # bytes of a command that is not whole
         self.last_activity = 0  # when bytes last went either way
         self.accepted_at = 0  # when it came
@@ -113,8 +113,8 @@
         self.frontend.sockets.descriptor_freed(self)
         owed, self.pending = self.pending, deque()
         for one in owed:
-            if isinstance(one, PendingAnswer) and one.flow is not None:
-                one.flow.leave()
+            if isinstance(one, PendingAnswer) and one.stream is not None:
+                one.stream.discard()
             elif isinstance(one, PendingAnswer) and one.answer is None:
                 one.dispatcher.client_gone(one.tx)
 
@@ -137,7 +137,7 @@
                 self.pending.append(self.frontend.noop_answer)
             elif isinstance(item, meta.ValueChunk):
                 if self.incoming is not None:
-                    self.incoming.offer(item.data)
+                    self.incoming.feed(item.data)
             elif isinstance(item, meta.ValueEnd):
                 self.value_received()
             elif isinstance(item, meta.OverLimit):
@@ -154,13 +154,15 @@
     def update_deadline(self) -> None:
         """Begins or ends the time in which the request that is not whole has to be."""
         arrived, self.unreported_bytes = self.unreported_bytes, 0
-        if self.parser.is_idle() and self.deadline.due() is None:
+        if self.parser.is_idle() and self.deadline.due_at() is None:
             return  # as most of the time: all that came was whole
         position = self.parser.position()
-        self.deadline.read(self.last_activity - self.unread_time(position == self.deadline.position), position, arrived)
+        self.deadline.record_read(
+            self.last_activity - self.unread_time(position == self.deadline.position), position, arrived
+        )
         if self.last_activity < self.catch_up_until and arrived >= FULL_READ_BYTES:
             # The system may have had no room for more: whoever was kept from writing is given a moment to go on.
-            self.deadline.spare(self.last_activity + RESUME_GRACE_NS)
+            self.deadline.defer_until(self.last_activity + RESUME_GRACE_NS)
         self.frontend.deadline_changed(self)
 
     def unread_time(self, goes_on: bool) -> int:
@@ -180,7 +182,7 @@
 
     def is_overdue(self, now: int) -> bool:
         """Whether a request has begun to arrive and is not whole in its time, through no doing of ours."""
-        due = self.deadline.due()
+        due = self.deadline.due_at()
         if due is None or now < due or self.ended or self.closing or self.reading_held():
             return False
         # After a stop of the process, or a long turn, this comes before the reading of what came meanwhile.
@@ -220,17 +222,17 @@
 
     def value_received(self) -> None:
         """The last byte of a large value."""
-        owed, flow = self.streaming, self.incoming
+        owed, stream = self.streaming, self.incoming
         self.streaming = self.incoming = None
-        if owed is not None and flow is not None:
+        if owed is not None and stream is not None:
             owed.dispatcher.tx_fully_received(owed.tx)
-            flow.finish()
+            stream.finish()
 
     def discard_value(self) -> None:
         """What still comes of a large value is read and dropped: its transaction has its answer."""
-        flow, self.streaming, self.incoming = self.incoming, None, None
-        if flow is not None:
-            flow.leave()
+        stream, self.streaming, self.incoming = self.incoming, None, None
+        if stream is not None:
+            stream.discard()
 
     def count_buffered(self) -> None:
         """Counts what is kept unread."""
@@ -245,7 +247,7 @@
         if command.stream_length:
             self.streaming, self.incoming = (
                 owed,
-                Flow(command.stream_length, self.frontend.limits.chunk_bytes, self.hold_stream),
+                ValueStream(command.stream_length, self.frontend.limits.chunk_bytes, self.hold_stream),
             )
         now, loop_timing = self.frontend.dispatcher.now(), self.frontend.loop_timing
         # Against more than there is time for: all that is taken makes all else late, past its hard limit too.
@@ -305,8 +307,8 @@
             text = first if isinstance(first, bytes) else first.answer
             if text is None:
                 return
-            if isinstance(first, PendingAnswer) and first.flow is not None:
-                if not self.write_stream(first, first.flow):
+            if isinstance(first, PendingAnswer) and first.stream is not None:
+                if not self.write_stream(first, first.stream):
                     return
                 text = b"\r\n"
             self.pending.popleft()
@@ -318,9 +320,9 @@
             else:
                 self.frontend.mark_idle(self)
 
-    def write_stream(self, owed: PendingAnswer, flow: Flow) -> bool:
+    def write_stream(self, owed: PendingAnswer, stream: ValueStream) -> bool:
         """Writes what has come of a large value, once the system has taken the last of it; whether that is all."""
-        if flow.broken:
+        if stream.aborted:
             # Short of its length, so that nobody takes it for whole.
             self.close(CloseReason.VALUE_BROKEN)
             return False
@@ -330,12 +332,12 @@
             return False
         if self.queued_bytes:
             return False
-        data = flow.take()
+        data = stream.take()
         if data:
             self.write_chunk(data)
         else:
-            flow.taken()
-        return flow.over()
+            stream.mark_written()
+        return stream.all_taken()
 
     def write_chunk(self, data: bytes) -> None:
         self.queued_bytes += len(data)
@@ -379,7 +381,7 @@
             self.queued_bytes = self.counted_bytes = self.unsent_since = 0
             self.last_activity = self.frontend.dispatcher.now()
             first = self.pending[0] if self.pending else None
-            if isinstance(first, PendingAnswer) and first.flow is not None:
+            if isinstance(first, PendingAnswer) and first.stream is not None:
                 self.flush()
             else:
                 self.frontend.mark_idle(self)
--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -15,11 +15,11 @@
 from ternquay import model as m
 from ternquay.balance import FORGET_HOST_AFTER_NS, Balancer
 from ternquay.facts import Names
-from ternquay.net.flow import Flow
 from ternquay.net.limits import SECOND, Limits
 from ternquay.net.listing import Address, Member
 from ternquay.net.log_limiter import LogRateLimiter
 from ternquay.net.safety import Attempt, RequestRefusal, SafetyMonitor
+from ternquay.net.value_stream import ValueStream
 
 
 class DelayedCall(Protocol):
@@ -68,7 +68,7 @@
     is_retry: bool
     is_write: bool
     message: Any
-    flow: Flow | None = None  # of a value that is still coming
+    stream: ValueStream | None = None  # of a value that is still coming
     unread_for: int = 0  # for how long it may have lain there
 
 
@@ -97,7 +97,7 @@
     hops: list[OutgoingHop] = field(default_factory=list)
     hops_in_flight: int = 0
     answered: bool = False
-    flow: Flow | None = None  # of a value that goes through as it comes
+    stream: ValueStream | None = None  # of a value that goes through as it comes
     arrived_at: int = 0
     client_seen_at: int = 0  # when who asked was last known to be there
     ttl: int = 0
@@ -228,9 +228,9 @@
             self.next_tx_id,
             asker,
             arrival.message,
-            flow=arrival.flow,
+            stream=arrival.stream,
             arrived_at=self.now(),
-            fully_received=arrival.flow is None,
+            fully_received=arrival.stream is None,
         )
         self.next_tx_id += 1
         if len(self.open_txs) >= self.limits.open_txs or self.buffered_bytes > self.limits.buffered_bytes:
@@ -383,8 +383,8 @@
             self._finish_tx(tx)
             tx.requester.commit(answer)
         else:
-            if isinstance(answer, Flow):
-                answer.leave()  # another hop was first, or nobody waits any more
+            if isinstance(answer, ValueStream):
+                answer.discard()  # another hop was first, or nobody waits any more
             if tx.answered and not tx.hops_in_flight:
                 self.open_txs.pop(tx.id, None)
         self.handle_event(m.HopEnded(tx.id, hop.number, end, self.now() - hop.sent_at, tx.answered, note))
--- a/ternquay/net/eviction.py
+++ b/ternquay/net/eviction.py
@@ -34,7 +34,7 @@
         if client in frontend.idle_clients and frontend.close_idle(client):
             yield client
     stopped = [one for one in frontend.partial_requests if _stopped(one, now)]
-    for client in sorted(stopped, key=lambda one: one.deadline.last):
+    for client in sorted(stopped, key=lambda one: one.deadline.last_byte_at):
         # The end of one may set off that of another.
         if client in frontend.partial_requests and not client.has_unread_bytes():
             client.fail_request(CloseReason.STOPPED)
@@ -47,5 +47,5 @@
         not client.pending
         and not client.queued_bytes
         and not client.reading_held()
-        and now - client.deadline.last >= STOPPED
+        and now - client.deadline.last_byte_at >= STOPPED
     )
--- a/ternquay/net/frontend.py
+++ b/ternquay/net/frontend.py
@@ -95,7 +95,7 @@
 
     def deadline_changed(self, client: ClientConnection) -> None:
         """What was read of that client has moved the deadline of its request, or ended it."""
-        due = client.deadline.due()
+        due = client.deadline.due_at()
         if due is None or client.ended:
             self.partial_requests.pop(client, None)
             return
@@ -120,7 +120,7 @@
                 if self.partial_requests.pop(client, self) is None:
                     client.fail_request()
         finally:
-            dues = [due for one in self.partial_requests if (due := one.deadline.due()) is not None]
+            dues = [due for one in self.partial_requests if (due := one.deadline.due_at()) is not None]
             if dues:
                 self._schedule_deadline_check(max(min(dues), now + MIN_DEADLINE_CHECK_NS))
 
--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -16,10 +16,10 @@
 from ternquay import model as m
 from ternquay.net.dispatcher import OutgoingHop
 from ternquay.net.driver import Driver
-from ternquay.net.flow import Flow, nothing
 from ternquay.net.limits import MS
 from ternquay.net.meta import Answer, ResponseParser, ValueChunk, ValueHeader
 from ternquay.net.safety import ServerCloseReason
+from ternquay.net.value_stream import ValueStream, no_receiver
 
 if TYPE_CHECKING:
     from ternquay.net.pool import HostPlace, Pool
@@ -41,8 +41,8 @@
         self.idle_since = 0
         self.rested = -1  # how long it had been idle before the hop it is used for now, until something comes
         self.up = self.closing = False
-        self.flow: Flow | None = None  # a large value that is coming in
-        self.pours: Flow | None = None  # one that is going out, as the value of `writing`
+        self.stream: ValueStream | None = None  # a large value that is coming in
+        self.pours: ValueStream | None = None  # one that is going out, as the value of `writing`
         self.filled = False  # the system has not taken yet what it was given of that
         self.filled_at = 0  # since when
         self.note = 0  # what the cache host said of the read that `flow` answers
@@ -54,7 +54,7 @@
 
     def carries_large(self) -> bool:
         """A large value goes out here, or is about to: nothing else may wait for its writer."""
-        return self.pours is not None or any(hop.tx.flow is not None for hop in self.to_write)
+        return self.pours is not None or any(hop.tx.stream is not None for hop in self.to_write)
 
     def load(self) -> int:
         return len(self.hops) + len(self.to_write)
@@ -99,14 +99,14 @@
         self.writing = hop
         self.hops.append(hop)
         self.machine.expect(hop.tx.message)
-        flow = hop.tx.flow
+        flow = hop.tx.stream
         if flow is None:
             hop.written = True
             self.transport.write(hop.tx.message.forward(left))
         else:
-            flow.touched = True
+            flow.partly_taken = True
             self._filled()
-            self.pours, flow.sink = flow, self.pour
+            self.pours, flow.on_data = flow, self.pour
             self.transport.write(hop.tx.message.forward(hop.tx.ttl // MS))
         # The library would write it in the loop's next turn, and who was there at the last look may have gone by then.
         # What comes of a broken connection the loop hears of by itself.
@@ -115,18 +115,18 @@
     def pour(self) -> None:
         """Passes on what has come of a large value, as far as the system takes it."""
         flow, hop = self.pours, self.writing
-        if flow is None or hop is None or self.filled or self.closing or flow.broken:
+        if flow is None or hop is None or self.filled or self.closing or flow.aborted:
             return
         data = flow.take()
-        if flow.over():
-            self.pours, flow.sink = None, nothing
+        if flow.all_taken():
+            self.pours, flow.on_data = None, no_receiver
             hop.written = True
             data += b"\r\n"
         if data:
             self._filled()
             self.transport.write(data)
         else:
-            flow.taken()
+            flow.mark_written()
 
     def _filled(self) -> None:
         """The system is given some of a large value."""
@@ -178,7 +178,7 @@
 
     def begins(self, begun: ValueHeader) -> None:
         self.note, self.moved = begun.cache_result, self.pool.dispatcher.now()
-        self.flow = Flow(begun.length, self.pool.limits.chunk_bytes, self.hold, self.unwanted)
+        self.stream = ValueStream(begun.length, self.pool.limits.chunk_bytes, self.hold, self.unwanted)
         self.hand_back()  # against what is small behind what is large
 
     def unwanted(self) -> None:
@@ -187,19 +187,19 @@
 
     def comes(self, data: bytes) -> None:
         """With its first byte it is the answer: it has come in time, and no other hop can give it any more."""
-        flow, hop = self.flow, self.hops[0]
+        flow, hop = self.stream, self.hops[0]
         self.moved = self.pool.dispatcher.now()
         if flow is None:
             return
         if not hop.ended:
             self.pool.dispatcher.hop_ended(hop, m.HopOutcome.DONE, flow, self.note)
-        elif flow.sink is nothing:
-            flow.broken = True  # given up before it came: read, and dropped
-        flow.offer(data)
+        elif flow.on_data is no_receiver:
+            flow.aborted = True  # given up before it came: read, and dropped
+        flow.feed(data)
 
     def came(self) -> None:
         self.hops.popleft()
-        flow, self.flow = self.flow, None
+        flow, self.stream = self.stream, None
         if not self.machine.fault:
             self.settle()
         if flow is not None:
@@ -213,10 +213,10 @@
 
     def silent(self) -> bool:
         """A large value has begun, and nothing more of it comes though nobody holds it back."""
-        flow = self.flow
+        flow = self.stream
         return (
             flow is not None
-            and not flow.held_back
+            and not flow.paused
             and (self.pool.dispatcher.now() - self.moved > self.pool.limits.stall_timeout)
         )
 
@@ -271,7 +271,7 @@
             return
         if not self.hops:
             self.pool.idle(self)
-        elif all(hop.ended for hop in self.hops) and self.flow is None:
+        elif all(hop.ended for hop in self.hops) and self.stream is None:
             self.drop(ServerCloseReason.GIVEN_UP)
 
     def drop(self, reason: ServerCloseReason) -> None:
@@ -298,9 +298,9 @@
         """All that is on it has ended: the command in the transport's hands and those behind it never ran."""
         hops, self.hops, waiting = self.hops, deque(), self.to_write
         self.to_write = deque()
-        flow, self.flow, self.pours = self.flow, None, None
+        flow, self.stream, self.pours = self.stream, None, None
         if flow is not None:
-            flow.break_off()
+            flow.abort()
         for hop in hops:
             end = m.HopOutcome.UNREACHABLE if hop is self.writing else m.HopOutcome.RESET
             self.pool.dispatcher.hop_ended(hop, end)
--- a/ternquay/net/meta.py
+++ b/ternquay/net/meta.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field, replace
 
 from ternquay import model as m
-from ternquay.net.request_deadline import Part, Position
+from ternquay.net.request_deadline import Position, RequestPart
 
 MAX_KEY_BYTES = 250
 PRINTABLE = re.compile(rb"[!-~]+")
@@ -244,8 +244,8 @@
     def position(self) -> Position:
         """How far the request has come that is not whole."""
         if self.failed or self.is_idle():
-            return Position(Part.NONE, self.line_count)
-        return Position(Part.LINE if self.awaiting_value is None else Part.VALUE, self.line_count)
+            return Position(RequestPart.NONE, self.line_count)
+        return Position(RequestPart.LINE if self.awaiting_value is None else RequestPart.VALUE, self.line_count)
 
     def _fail(self, line: bytes, found: list[RequestItem]) -> int:
         found.append(InvalidCommand(line, True))
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -67,9 +67,11 @@
         place = self.places.get(hop.host)
         # Not to one that drains, though the decisions should know: they may have failed on the list that said so.
         # Nor what is partly written elsewhere: those bytes are gone.
-        spent = hop.tx.flow is not None and hop.tx.flow.touched
+        spent = hop.tx.stream is not None and hop.tx.stream.partly_taken
         connection = (
-            self._connection(place, hop.tx.flow is None) if place is not None and place.ready and (not spent) else None
+            self._connection(place, hop.tx.stream is None)
+            if place is not None and place.ready and (not spent)
+            else None
         )
         if connection is None:
             # Not the cache host's fault, and never sent.
@@ -101,7 +103,7 @@
             return self._dial(place)
         if not self.share or not share:
             return None
-        may = (c for c in place.all if c.current() and c.flow is None and not c.carries_large())
+        may = (c for c in place.all if c.current() and c.stream is None and not c.carries_large())
         least = min(may, key=HostConnection.load, default=None)
         return least if least is not None and least.load() < self.limits.per_host_connection else None
 
--- a/ternquay/net/request_deadline.py
+++ b/ternquay/net/request_deadline.py
@@ -13,13 +13,13 @@
 SECOND = 1_000_000_000
 # Clients that stop in the middle of a request are owed an error or a close within 3 s, and those that write slowly take
 # up to 2 s for a command line (the operators' pages). What is left of the 3 s is for a loop that is behind.
-LINE_MOST = 5 * SECOND // 2  # from the first byte of a command line to its last
-VALUE_PAUSE = 5 * SECOND // 2  # without a byte of a value
-VALUE_LEAST = 5 * SECOND // 2  # for a value of any size, from the end of its command line
-VALUE_RATE = 1024  # bytes a second: for so many of a value that have come, it may take a second more
+MAX_LINE_NS = 5 * SECOND // 2  # from the first byte of a command line to its last
+MAX_VALUE_PAUSE_NS = 5 * SECOND // 2  # without a byte of a value
+MIN_VALUE_NS = 5 * SECOND // 2  # for a value of any size, from the end of its command line
+MIN_VALUE_BYTES_PER_SECOND = 1024  # bytes a second: for so many of a value that have come, it may take a second more
 
 
-class Part(Enum):
+class RequestPart(Enum):
     """How far a request has come that is not whole."""
 
     NONE = 0  # the connection is between two requests
@@ -31,44 +31,44 @@
 class Position:
     """Where a client's stream stands: the part that is not whole, and how many command lines came before."""
 
-    part: Part
-    lines: int
+    part: RequestPart
+    line_count: int
 
 
-BETWEEN = Position(Part.NONE, 0)
+BETWEEN_REQUESTS = Position(RequestPart.NONE, 0)
 
 
 @dataclass(slots=True)
 class RequestDeadline:
     """The deadline of the one request of a connection that is not whole."""
 
-    position: Position = BETWEEN
-    began: int = 0  # when the first byte of this part came
-    last: int = 0  # when its latest byte came
-    received: int = 0  # bytes of this part
-    spared: int = 0  # it is not due before then
+    position: Position = BETWEEN_REQUESTS
+    part_started_at: int = 0  # when the first byte of this part came
+    last_byte_at: int = 0  # when its latest byte came
+    part_bytes: int = 0  # bytes of this part
+    not_before: int = 0  # it is not due before then
 
-    def read(self, came: int, position: Position, size: int) -> None:
+    def record_read(self, came: int, position: Position, size: int) -> None:
         """So many bytes were read, the last of which came then, and brought the stream to that position."""
         if position != self.position:
-            self.position, self.began, self.received, self.spared = position, came, 0, 0
-        self.last = max(self.last, came)
-        self.received += size
+            self.position, self.part_started_at, self.part_bytes, self.not_before = position, came, 0, 0
+        self.last_byte_at = max(self.last_byte_at, came)
+        self.part_bytes += size
 
     def extend(self, span: int) -> None:
         """The client was kept from writing for so long."""
-        self.began += span
-        self.last += span
+        self.part_started_at += span
+        self.last_byte_at += span
 
-    def spare(self, until: int) -> None:
+    def defer_until(self, until: int) -> None:
         """The request is not overdue before then, whatever came late."""
-        self.spared = max(self.spared, until)
+        self.not_before = max(self.not_before, until)
 
-    def due(self) -> int | None:
+    def due_at(self) -> int | None:
         """When the request is overdue; None between two requests."""
-        if self.position.part is Part.NONE:
+        if self.position.part is RequestPart.NONE:
             return None
-        if self.position.part is Part.LINE:
-            return max(self.spared, self.began + LINE_MOST)
-        by_rate = self.began + VALUE_LEAST + self.received * SECOND // VALUE_RATE
-        return max(self.spared, min(by_rate, self.last + VALUE_PAUSE))
+        if self.position.part is RequestPart.LINE:
+            return max(self.not_before, self.part_started_at + MAX_LINE_NS)
+        by_rate = self.part_started_at + MIN_VALUE_NS + self.part_bytes * SECOND // MIN_VALUE_BYTES_PER_SECOND
+        return max(self.not_before, min(by_rate, self.last_byte_at + MAX_VALUE_PAUSE_NS))
--- a/ternquay/peers/links.py
+++ b/ternquay/peers/links.py
@@ -19,7 +19,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from ternquay.net.request_deadline import SECOND, Part, Position, RequestDeadline
+from ternquay.net.request_deadline import SECOND, Position, RequestDeadline, RequestPart
 from ternquay.peers.frames import MAX_FRAME_BYTES
 
 CONNECT_TIMEOUT_SECONDS = 0.5
@@ -131,12 +131,12 @@
     def dataReceived(self, data: bytes) -> None:
         super().dataReceived(data)  # type: ignore[no-untyped-call]
         # A frame is a value whose length was told: one that does not go on holds up all behind it.
-        part = Part.VALUE if self._unprocessed else Part.NONE
-        self.deadline.read(self.factory.now(), Position(part, self.frame_count), len(data))
+        part = RequestPart.VALUE if self._unprocessed else RequestPart.NONE
+        self.deadline.record_read(self.factory.now(), Position(part, self.frame_count), len(data))
 
     def is_stalled(self) -> bool:
         """Whether a frame has begun to arrive and is not whole in its time: the link may be out of step."""
-        due = self.deadline.due()
+        due = self.deadline.due_at()
         return due is not None and self.factory.now() >= due
 
     def stringReceived(self, string: bytes) -> None:
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ternquay.net import meta
-from ternquay.net.flow import Flow
+from ternquay.net.value_stream import ValueStream
 from tests.helper import FACTS, Net, Wire, member
 from tests.test_management import says
 from tests.test_net import mg, va
@@ -82,19 +82,19 @@
 
 def test_whoever_offers_is_paused_while_nobody_takes() -> None:
     said: list[bool] = []
-    flow = Flow(20, 4, said.append)
-    flow.offer(b"abc")
+    flow = ValueStream(20, 4, said.append)
+    flow.feed(b"abc")
     assert not said
-    flow.offer(b"def")
-    flow.offer(b"g")
+    flow.feed(b"def")
+    flow.feed(b"g")
     assert said == [True] and flow.take() == b"abcdefg" and said == [True]
-    flow.taken()
-    assert said == [True, False] and flow.touched
-    flow.offer(b"hijkl")
+    flow.mark_written()
+    assert said == [True, False] and flow.partly_taken
+    flow.feed(b"hijkl")
     flow.finish()
     assert said == [True, False, True, False]  # the next on that connection is nobody's to hold back
-    flow.break_off()
-    assert not flow.over() and flow.take() == b"hijkl" and flow.over() and not flow.broken
+    flow.abort()
+    assert not flow.all_taken() and flow.take() == b"hijkl" and flow.all_taken() and not flow.aborted
 
 
 def test_a_large_read_is_answered_with_its_first_byte_and_flows_on_past_its_times() -> None:
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -16,13 +16,13 @@
 from ternquay.net.limits import MS, SECOND
 from ternquay.net.meta import RequestParser
 from ternquay.net.request_deadline import (
-    LINE_MOST,
-    VALUE_LEAST,
-    VALUE_PAUSE,
-    VALUE_RATE,
-    Part,
+    MAX_LINE_NS,
+    MAX_VALUE_PAUSE_NS,
+    MIN_VALUE_BYTES_PER_SECOND,
+    MIN_VALUE_NS,
     Position,
     RequestDeadline,
+    RequestPart,
 )
 from ternquay.net.safety import (
     UNCONDITIONAL_CLOSES,
@@ -203,39 +203,39 @@
 
 def test_a_line_has_one_bound_from_its_first_byte_whatever_comes() -> None:
     deadline = RequestDeadline()
-    assert deadline.due() is None
+    assert deadline.due_at() is None
     for at in range(10):
-        deadline.read(at * SECOND // 5, Position(Part.LINE, 0), 1)
-    assert deadline.due() == LINE_MOST
+        deadline.record_read(at * SECOND // 5, Position(RequestPart.LINE, 0), 1)
+    assert deadline.due_at() == MAX_LINE_NS
 
 
 def test_a_value_has_a_bound_from_its_last_byte_and_one_by_its_size() -> None:
-    deadline, value = RequestDeadline(), Position(Part.VALUE, 1)
-    deadline.read(SECOND, value, 0)
-    assert deadline.due() == SECOND + VALUE_LEAST
-    deadline.read(2 * SECOND, value, 100 * VALUE_RATE)
-    assert deadline.due() == 2 * SECOND + VALUE_PAUSE
+    deadline, value = RequestDeadline(), Position(RequestPart.VALUE, 1)
+    deadline.record_read(SECOND, value, 0)
+    assert deadline.due_at() == SECOND + MIN_VALUE_NS
+    deadline.record_read(2 * SECOND, value, 100 * MIN_VALUE_BYTES_PER_SECOND)
+    assert deadline.due_at() == 2 * SECOND + MAX_VALUE_PAUSE_NS
     for at in range(3, 6):
-        deadline.read(at * SECOND, value, 1)
-    assert deadline.due() == 5 * SECOND + VALUE_PAUSE
+        deadline.record_read(at * SECOND, value, 1)
+    assert deadline.due_at() == 5 * SECOND + MAX_VALUE_PAUSE_NS
 
 
 def test_the_next_request_has_its_own_time_and_none_is_counted_between_two() -> None:
     deadline = RequestDeadline()
-    deadline.read(SECOND, Position(Part.LINE, 0), 5)
-    deadline.read(2 * SECOND, Position(Part.LINE, 1), 50)
-    assert deadline.due() == 2 * SECOND + LINE_MOST
-    deadline.read(3 * SECOND, Position(Part.NONE, 2), 50)
-    assert deadline.due() is None
-    deadline.read(4 * SECOND, Position(Part.LINE, 2), 1)
-    assert deadline.due() == 4 * SECOND + LINE_MOST
+    deadline.record_read(SECOND, Position(RequestPart.LINE, 0), 5)
+    deadline.record_read(2 * SECOND, Position(RequestPart.LINE, 1), 50)
+    assert deadline.due_at() == 2 * SECOND + MAX_LINE_NS
+    deadline.record_read(3 * SECOND, Position(RequestPart.NONE, 2), 50)
+    assert deadline.due_at() is None
+    deadline.record_read(4 * SECOND, Position(RequestPart.LINE, 2), 1)
+    assert deadline.due_at() == 4 * SECOND + MAX_LINE_NS
 
 
 def test_time_in_which_the_client_was_kept_from_writing_does_not_count() -> None:
     deadline = RequestDeadline()
-    deadline.read(SECOND, Position(Part.VALUE, 1), 5000)
+    deadline.record_read(SECOND, Position(RequestPart.VALUE, 1), 5000)
     deadline.extend(4 * SECOND)
-    assert deadline.due() == 5 * SECOND + VALUE_PAUSE
+    assert deadline.due_at() == 5 * SECOND + MAX_VALUE_PAUSE_NS
 
 
 def late_reader(waited: int, silent_ms: int) -> tuple[Net, Wire]:
@@ -261,7 +261,7 @@
 ) -> None:
     net, client = late_reader(waited_ms * MS, silent_ms)
     client.feed(b"mg k v O1")
-    net.run((LINE_MOST // MS) - counted_ms - 60)
+    net.run((MAX_LINE_NS // MS) - counted_ms - 60)
     assert not client.closing
     net.run(120)
     assert client.closing or client.lost
@@ -275,7 +275,7 @@
         net.loop_timing.begin(net.dispatcher.now())
         client.silent_ms = 0  # the system had no room for the rest before
         client.feed(b"x" * 20000)
-    net.run(VALUE_PAUSE // MS - 2000 + 60)
+    net.run(MAX_VALUE_PAUSE_NS // MS - 2000 + 60)
     assert client.closing or client.lost
 
 
@@ -285,7 +285,7 @@
     net.run(2)
     net.loop_timing.begin(net.dispatcher.now())
     client.feed(b"000 O1 Pc=once,d=900\r\nxx")
-    net.run(VALUE_PAUSE // MS - 1500 + 60)
+    net.run(MAX_VALUE_PAUSE_NS // MS - 1500 + 60)
     assert client.closing or client.lost
 
 
@@ -296,7 +296,7 @@
     net.loop_timing.begin(net.dispatcher.now())
     client.silent_ms = 0
     client.feed(mg(1, profile="nobody")[4:] + b"mg k")  # ends that line, and begins another
-    net.run(LINE_MOST // MS - 60)
+    net.run(MAX_LINE_NS // MS - 60)
     assert not client.closing and not client.lost
 
 
@@ -310,26 +310,28 @@
         net.loop_timing.begin(net.dispatcher.now())
         assert not client.closing and not client.lost
         client.feed(b"x" * 20000)
-    net.run(VALUE_PAUSE // MS - 100)
+    net.run(MAX_VALUE_PAUSE_NS // MS - 100)
     assert not client.closing and not client.lost
 
 
 @pytest.mark.parametrize(
     ("written", "part", "lines"),
     [
-        (b"", Part.NONE, 0),
-        (b"mg", Part.LINE, 0),
-        (mg(1), Part.NONE, 1),
-        (mg(1) + b"m", Part.LINE, 1),
-        (ms(1)[:-3], Part.VALUE, 1),
-        (ms(1), Part.NONE, 1),
-        (ms(1) + mg(2), Part.NONE, 2),
-        (b"ms k 99 O1 Pc=once,d=9\r\n", Part.VALUE, 1),
-        (b"ms k 99 O1 Pc=once,d=9\r\n" + b"x" * 99, Part.VALUE, 1),
-        (b"ms k -1 O1 Pc=once,d=9\r\nxx", Part.NONE, 1),
+        (b"", RequestPart.NONE, 0),
+        (b"mg", RequestPart.LINE, 0),
+        (mg(1), RequestPart.NONE, 1),
+        (mg(1) + b"m", RequestPart.LINE, 1),
+        (ms(1)[:-3], RequestPart.VALUE, 1),
+        (ms(1), RequestPart.NONE, 1),
+        (ms(1) + mg(2), RequestPart.NONE, 2),
+        (b"ms k 99 O1 Pc=once,d=9\r\n", RequestPart.VALUE, 1),
+        (b"ms k 99 O1 Pc=once,d=9\r\n" + b"x" * 99, RequestPart.VALUE, 1),
+        (b"ms k -1 O1 Pc=once,d=9\r\nxx", RequestPart.NONE, 1),
     ],
 )
-def test_where_a_stream_stands_is_told_for_every_part_of_a_request(written: bytes, part: Part, lines: int) -> None:
+def test_where_a_stream_stands_is_told_for_every_part_of_a_request(
+    written: bytes, part: RequestPart, lines: int
+) -> None:
     for whole in (8, 100):
         side = RequestParser(2048, 4096, whole)
         side.feed(written)
@@ -347,7 +349,7 @@
     net.run(4000)
     assert not client.lost
     client.protocol.hold_stream(False)
-    net.run(int(VALUE_PAUSE // MS) - 100)
+    net.run(int(MAX_VALUE_PAUSE_NS // MS) - 100)
     assert not client.lost
     net.run(300)
     assert client.lost, net.trace
