--- a/ternquay/hosted/shared/front.py
+++ b/ternquay/hosted/shared/front.py
@@ -326,7 +326,7 @@
     frontend: TenantFrontend
     paused = False
 
-    def room(self) -> int:
+    def accept_limit(self) -> int:
         return min(STEP, self.frontend.accept_room())
 
     def doRead(self) -> None:
@@ -342,7 +342,7 @@
         self.paused = False
         if self.connected and not self.disconnecting:
             self.accept()
-            if not self.frontend.accepting_paused and self.pause is None:
+            if not self.frontend.accepting_paused and self.pause_call is None:
                 self.startReading()
         return False
 
@@ -357,11 +357,11 @@
             except BlockingIOError:
                 return
             except OSError as fault:
-                if not self.goes_on_after(fault):
+                if not self.handle_failure(fault):
                     return
                 continue
             if self.frontend.takes(address[0]):
-                self.take(client, address)
+                self.make_connection(client, address)
             else:
                 client.setsockopt(SOL_SOCKET, SO_LINGER, AT_ONCE)
                 client.close()
--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -214,7 +214,7 @@
             super().startReading()
 
     def open(self, frontend: TenantFrontend, accepted: Callable[[bool], None]) -> None:
-        self.frontend, self.factory, self.accepted, self.held = frontend, frontend, accepted, False
+        self.frontend, self.factory, self.on_accepted, self.held = frontend, frontend, accepted, False
         self.startReading()
 
 
@@ -310,7 +310,7 @@
 
     def _gate(self, accept: bool) -> None:
         for port in self.ports.values():
-            port.gate(accept)
+            port.set_accepting(accept)
 
     def _stand(self, state: State) -> None:
         self.frontend.shut = 0 if state is State.ACTIVE else self.limits.retry_after
--- a/ternquay/net/closing.py
+++ b/ternquay/net/closing.py
@@ -6,7 +6,7 @@
 from ternquay.net.limits import SECOND
 from ternquay.net.sockets import Sockets
 
-LOOK_AGAIN = 0.002  # seconds
+POLL_INTERVAL_SECONDS = 0.002  # seconds
 
 
 class Accepting(Protocol):
@@ -36,7 +36,7 @@
 
     def look() -> None:
         if owes() and reactor.seconds() < until:
-            reactor.callLater(LOOK_AGAIN, look)
+            reactor.callLater(POLL_INTERVAL_SECONDS, look)
         else:
             then()
 
--- a/ternquay/net/eviction.py
+++ b/ternquay/net/eviction.py
@@ -17,23 +17,23 @@
     from ternquay.net.client import ClientConnection
     from ternquay.net.frontend import Frontend
 
-INTERVAL = 50 * MS  # between two looks while all places are taken
+EVICTION_INTERVAL_NS = 50 * MS  # between two looks while all places are taken
 # Who waits may have a few hundred milliseconds left, so the least of these is no more than a part of that.
-SILENT = 100 * MS  # since it was accepted, without a byte: a true client writes as it connects
-STOPPED = 100 * MS  # without another byte of a request that has begun
+MIN_SILENCE_NS = 100 * MS  # since it was accepted, without a byte: a true client writes as it connects
+MIN_PAUSE_NS = 100 * MS  # without another byte of a request that has begun
 
 
-def evict(frontend: "Frontend", most: int) -> int:
+def evict_clients(frontend: "Frontend", most: int) -> int:
     """Ends so many clients at most; how many it was."""
-    return sum(1 for _ in islice(_evicted(frontend), most))
+    return sum(1 for _ in islice(_evictions(frontend), most))
 
 
-def _evicted(frontend: "Frontend") -> Iterator["ClientConnection"]:
+def _evictions(frontend: "Frontend") -> Iterator["ClientConnection"]:
     now = frontend.dispatcher.now()
-    for client in [one for one in frontend.idle_clients if one.answered or now - one.last_activity >= SILENT]:
+    for client in [one for one in frontend.idle_clients if one.answered or now - one.last_activity >= MIN_SILENCE_NS]:
         if client in frontend.idle_clients and frontend.close_idle(client):
             yield client
-    stopped = [one for one in frontend.partial_requests if _stopped(one, now)]
+    stopped = [one for one in frontend.partial_requests if _is_stopped(one, now)]
     for client in sorted(stopped, key=lambda one: one.deadline.last_byte_at):
         # The end of one may set off that of another.
         if client in frontend.partial_requests and not client.has_unread_bytes():
@@ -41,11 +41,11 @@
             yield client
 
 
-def _stopped(client: "ClientConnection", now: int) -> bool:
+def _is_stopped(client: "ClientConnection", now: int) -> bool:
     """Whether it stands in the middle of a request by its own doing, and no other of its requests is open."""
     return (
         not client.pending
         and not client.queued_bytes
         and not client.reading_held()
-        and now - client.deadline.last_byte_at >= STOPPED
+        and now - client.deadline.last_byte_at >= MIN_PAUSE_NS
     )
--- a/ternquay/net/frontend.py
+++ b/ternquay/net/frontend.py
@@ -8,7 +8,7 @@
 from ternquay.net import meta
 from ternquay.net.client import ClientConnection
 from ternquay.net.dispatcher import DelayedCall, Dispatcher, cancel_call
-from ternquay.net.eviction import INTERVAL, evict
+from ternquay.net.eviction import EVICTION_INTERVAL_NS, evict_clients
 from ternquay.net.limits import MS, SECOND, Limits
 from ternquay.net.loop_timing import LoopTiming
 from ternquay.net.safety import CloseReason, may_close
@@ -65,15 +65,19 @@
             self.accepting_paused = True
             self.set_accepting(False)
             if self.eviction_call is None:
-                self.eviction_call = self.dispatcher.call_at(client.accepted_at + INTERVAL, self._evict_for_waiting)
+                self.eviction_call = self.dispatcher.call_at(
+                    client.accepted_at + EVICTION_INTERVAL_NS, self._evict_for_waiting
+                )
 
     def _evict_for_waiting(self) -> None:
         """Places for those that wait to be accepted, as long as all are taken."""
         self.eviction_call = None
         if not self.accepting_paused:
             return
-        self.eviction_call = self.dispatcher.call_at(self.dispatcher.now() + INTERVAL, self._evict_for_waiting)
-        evict(self, self.accept_queue_length())
+        self.eviction_call = self.dispatcher.call_at(
+            self.dispatcher.now() + EVICTION_INTERVAL_NS, self._evict_for_waiting
+        )
+        evict_clients(self, self.accept_queue_length())
 
     def accept_room(self) -> int:
         """How many clients may be accepted at once without passing the limit on sockets."""
--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -139,7 +139,7 @@
         if self.closing:
             return
         if self.rested >= 0:
-            self.pool.idle_loss.told(self.rested, False)
+            self.pool.idle_loss.record_use(self.rested, False)
             self.rested = -1
         for item in self.machine.feed(data):
             if self.closing:
@@ -229,7 +229,7 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         if self.rested >= 0 and not self.closing:
-            self.pool.idle_loss.told(self.rested, True)
+            self.pool.idle_loss.record_use(self.rested, True)
         self.closing = self.transport_closed = True
         self.pool.lost(self)
         self.pool.sockets.descriptor_freed(self)
--- a/ternquay/net/listener.py
+++ b/ternquay/net/listener.py
@@ -34,7 +34,7 @@
 from ternquay.net.transports import PatientServer
 
 # Errors of the connection that was to be accepted, which accept(2) passes on, or of one that a firewall forbids.
-OF_ONE_CONNECTION = frozenset(
+CONNECTION_ERRORS = frozenset(
     {
         ECONNABORTED,
         EHOSTDOWN,
@@ -51,56 +51,60 @@
     }
 )
 # Seconds without accepting after any other error: doubled by each that follows before a connection was accepted.
-PAUSE_LEAST, PAUSE_MOST = 0.002, 0.064
-ACCEPT_QUEUE = Struct("=24xI")  # of the kernel's tcp_info: of a listening socket, what waits (tcpi_unacked)
-SOME = 16  # is taken for their number where the system does not tell it
-FAILED_MOST = 16  # connections that may fail one after the other, before there is a pause all the same
+MIN_PAUSE_SECONDS, MAX_PAUSE_SECONDS = 0.002, 0.064
+TCP_INFO_UNACKED = Struct("=24xI")  # of the kernel's tcp_info: of a listening socket, what waits (tcpi_unacked)
+ASSUMED_QUEUE_LENGTH = 16  # is taken for their number where the system does not tell it
+MAX_CONSECUTIVE_FAILURES = 16  # connections that may fail one after the other, before there is a pause all the same
 
 
 class Listener(Port):
     """`room` tells how many connections may be accepted now; `accepted` is told whether that many were."""
 
     transport = PatientServer
-    room: Callable[[], int] = staticmethod(lambda: 1)
-    accepted: Callable[[bool], None] = staticmethod(lambda all_that_fit: None)
-    failed: Callable[[], None] = staticmethod(lambda: None)  # told of a failure for want of room
+    accept_limit: Callable[[], int] = staticmethod(lambda: 1)
+    on_accepted: Callable[[bool], None] = staticmethod(lambda all_that_fit: None)
+    on_no_room: Callable[[], None] = staticmethod(lambda: None)  # told of a failure for want of room
 
     def __init__(self, *terms: Any, **more: Any) -> None:
         super().__init__(*terms, **more)
         self.failures: Counter[str] = Counter()  # of accept(), by the name of the error
-        self.opened = True  # as whoever owns it has said
-        self.pause: Any = None  # the timer of a pause
-        self.next_pause = PAUSE_LEAST
-        self.failed_since = 0  # connections that failed since the last one that was accepted
+        self.accepting = True  # as whoever owns it has said
+        self.pause_call: Any = None  # the timer of a pause
+        self.next_pause = MIN_PAUSE_SECONDS
+        self.consecutive_failures = 0  # connections that failed since the last one that was accepted
 
-    def gate(self, accept: bool) -> None:
+    def set_accepting(self, accept: bool) -> None:
         """Accepts connections from now on, or none."""
-        self.opened = accept
-        if accept and self.pause is None:
+        self.accepting = accept
+        if accept and self.pause_call is None:
             self.startReading()
         else:
             self.stopReading()
 
-    def waiting(self) -> int:
+    def queue_length(self) -> int:
         """How many connections wait to be accepted; a few where the system tells only that there are some."""
         asked = poll()
         asked.register(self.socket.fileno(), POLLIN)
         if not asked.poll(0):
             return 0
         try:
-            told = self.socket.getsockopt(IPPROTO_TCP, TCP_INFO, ACCEPT_QUEUE.size)
+            told = self.socket.getsockopt(IPPROTO_TCP, TCP_INFO, TCP_INFO_UNACKED.size)
         except OSError:
-            return SOME
-        return int(ACCEPT_QUEUE.unpack(told)[0]) or SOME if len(told) == ACCEPT_QUEUE.size else SOME
+            return ASSUMED_QUEUE_LENGTH
+        return (
+            int(TCP_INFO_UNACKED.unpack(told)[0]) or ASSUMED_QUEUE_LENGTH
+            if len(told) == TCP_INFO_UNACKED.size
+            else ASSUMED_QUEUE_LENGTH
+        )
 
     def doRead(self) -> None:
         self.accept()
 
     def accept(self) -> None:
         """Accepts what waits, as far as there is room."""
-        self.accepted(self.accept_some(self.room()))
+        self.on_accepted(self.accept_up_to(self.accept_limit()))
 
-    def accept_some(self, most: int) -> bool:
+    def accept_up_to(self, most: int) -> bool:
         """Accepts up to so many connections; whether more may wait, as that many came or accepting failed."""
         for _ in range(most):
             try:
@@ -108,37 +112,37 @@
             except BlockingIOError:
                 return False
             except OSError as fault:
-                if not self.goes_on_after(fault):
+                if not self.handle_failure(fault):
                     return True
             else:
-                self.next_pause, self.failed_since = PAUSE_LEAST, 0
-                self.take(connection, address)
+                self.next_pause, self.consecutive_failures = MIN_PAUSE_SECONDS, 0
+                self.make_connection(connection, address)
         return True
 
-    def goes_on_after(self, fault: OSError) -> bool:
+    def handle_failure(self, fault: OSError) -> bool:
         """Counts a failure, and warns of the first of its kind; whether the next connection may be tried at once."""
         name = errorcode.get(fault.errno or 0, "unknown")
         self.failures[name] += 1
         if self.failures[name] == 1:
             logger.warning("accept failed: {}, further ones are counted and not told", name)
-        self.failed_since += 1
-        if fault.errno in OF_ONE_CONNECTION and self.failed_since < FAILED_MOST:
+        self.consecutive_failures += 1
+        if fault.errno in CONNECTION_ERRORS and self.consecutive_failures < MAX_CONSECUTIVE_FAILURES:
             return True
-        if fault.errno not in OF_ONE_CONNECTION:
-            self.failed()
-        if self.pause is None:
+        if fault.errno not in CONNECTION_ERRORS:
+            self.on_no_room()
+        if self.pause_call is None:
             self.stopReading()
-            self.pause = self.reactor.callLater(self.next_pause, self.resume)
-            self.next_pause = min(PAUSE_MOST, 2 * self.next_pause)
+            self.pause_call = self.reactor.callLater(self.next_pause, self.end_pause)
+            self.next_pause = min(MAX_PAUSE_SECONDS, 2 * self.next_pause)
         return False
 
-    def resume(self) -> None:
+    def end_pause(self) -> None:
         """The pause after a failure is over."""
-        self.pause = None
-        if self.opened and self.connected and not self.disconnecting:
+        self.pause_call = None
+        if self.accepting and self.connected and not self.disconnecting:
             self.startReading()
 
-    def take(self, connection: Any, address: Any) -> None:
+    def make_connection(self, connection: Any, address: Any) -> None:
         """Hands on a connection that was accepted, made as the library makes it."""
         if len(address) == 4:
             host, _ = getnameinfo(address, NI_NUMERICHOST | NI_NUMERICSERV)
--- a/ternquay/net/management.py
+++ b/ternquay/net/management.py
@@ -84,7 +84,7 @@
             self.port = self.reactor.listenTCP(where.port, self, 64, where.host)
         except CannotListenError as fault:
             raise LaunchError(f"management: {where}: {fault.socketError}") from fault
-        self.port.room = lambda: 2
+        self.port.accept_limit = lambda: 2
 
     def came(self, channel: Channel) -> None:
         super().came(channel)
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -93,7 +93,7 @@
             rested = now - connection.idle_since
             if (
                 rested < self.limits.host_idle_timeout
-                and self.idle_loss.holds(rested, now)
+                and self.idle_loss.is_usable(rested, now)
                 and connection.nothing_unread()
             ):
                 connection.rested = rested
--- a/tests/test_review_links.py
+++ b/tests/test_review_links.py
@@ -243,7 +243,7 @@
     for wire in [w for w in net.wires if w.name.startswith("host") and not w.lost]:
         wire.end()
     assert net.sockets.hosts == 0
-    assert all(net.pool.idle_loss.holds(rested * MS, net.dispatcher.now()) for rested in (1, 50, 1000, 2900))
+    assert all(net.pool.idle_loss.is_usable(rested * MS, net.dispatcher.now()) for rested in (1, 50, 1000, 2900))
 
 
 # ---- the real process: discovery that does not end its answers, a limit on descriptors ----
