--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -399,7 +399,7 @@
 
     def unsent_for(self, now: int) -> int:
         """For how long the system has taken none of what is queued. What is read or queued meanwhile is no progress."""
-        taken = self.transport.taken
+        taken = self.transport.bytes_taken
         if not self.unsent_since or taken != self.sent_before or self.frontend.loop_timing.process_stalled(now):
             self.unsent_since, self.sent_before = now, taken
         return now - self.unsent_since
--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -16,7 +16,7 @@
 from ternquay.balance import FORGET_HOST_AFTER_NS, Balancer
 from ternquay.facts import Names
 from ternquay.net.limits import SECOND, Limits
-from ternquay.net.listing import Address, Member
+from ternquay.net.listing import Address, HostEntry
 from ternquay.net.log_limiter import LogRateLimiter
 from ternquay.net.safety import Attempt, RequestRefusal, SafetyMonitor
 from ternquay.net.value_stream import ValueStream
@@ -134,7 +134,7 @@
         self.process_stalled: Callable[[int], bool] = lambda now: False
         self.request_list: Callable[[], None] = lambda: None
         self.host_indices: dict[str, int] = {}
-        self.members: dict[str, Member] = {}  # the list as it stands
+        self.members: dict[str, HostEntry] = {}  # the list as it stands
         self.missing_since: dict[str, int] = {}  # since when the list lacks them, where gone is advice
         self.cold_fraction = 1.0  # of what a cold cache host takes of this balancer
         self.short_of_sockets = False  # more cache hosts than sockets for them
@@ -396,19 +396,19 @@
         self.config, self.names, self.limits = start, names, limits
         self.handle_event(start)
 
-    def update_hosts(self, whole: bool, members: tuple[Member, ...]) -> None:
+    def update_hosts(self, whole: bool, members: tuple[HostEntry, ...]) -> None:
         doubted: tuple[m.ListedHost, ...] = ()
         if self.config.gone_is_advisory:
             members, doubted = self._split_advisory(whole, members)
             whole = False
-        gone = {member.id for member in members if member.standing is m.HostStatus.GONE} & self.host_indices.keys()
+        gone = {member.id for member in members if member.status is m.HostStatus.GONE} & self.host_indices.keys()
         if whole:
             gone |= self.host_indices.keys() - {member.id for member in members}
         # One that is gone and never was known here is nobody's: ids are ever new, and would be kept for ever.
-        members = tuple(x for x in members if x.standing is not m.HostStatus.GONE or x.id in gone)
+        members = tuple(x for x in members if x.status is not m.HostStatus.GONE or x.id in gone)
         lines = tuple(self._listed_host(member) for member in members)
         for line, member in zip(lines, members, strict=True):
-            self.pool.listed(line.host, member.where, line.status is m.HostStatus.READY)
+            self.pool.listed(line.host, member.address, line.status is m.HostStatus.READY)
         if whole:
             self.members = {}
         self.members.update((member.id, member) for member in members)
@@ -431,13 +431,13 @@
                 logger.warning("more cache hosts than sockets for them: {} and {}", len(self.host_indices), room)
 
     def _split_advisory(
-        self, whole: bool, members: tuple[Member, ...]
-    ) -> tuple[tuple[Member, ...], tuple[m.ListedHost, ...]]:
+        self, whole: bool, members: tuple[HostEntry, ...]
+    ) -> tuple[tuple[HostEntry, ...], tuple[m.ListedHost, ...]]:
         """Where gone is advice: what the list names, and lines for what it lacks or calls gone.
 
         The decisions are told of those; here they stay as they are, and can be reached, until they are forgotten.
         """
-        named = {x.id for x in members if x.standing is not m.HostStatus.GONE}
+        named = {x.id for x in members if x.status is not m.HostStatus.GONE}
         lacks = ({x.id for x in members} - named) & self.host_indices.keys() | (
             self.host_indices.keys() - named if whole else set()
         )
@@ -467,7 +467,7 @@
             self.cold_fraction = part
             self.update_hosts(True, tuple(self.members.values()))
 
-    def _listed_host(self, member: Member) -> m.ListedHost:
+    def _listed_host(self, member: HostEntry) -> m.ListedHost:
         # The id stands for the host: it is the same at every balancer, where the address may differ.
         if member.id not in self.host_indices:
             self.host_indices[member.id] = self.next_host_index
@@ -478,8 +478,8 @@
             zone=self.names.zones.get(member.zone, -1),
             kind=self.names.kinds.get(member.kind, -1),
             cell=member.cell,
-            status=member.standing,
-            weight=member.hint,
-            started_at=member.since,
-            cold_fraction=member.part * self.cold_fraction,
+            status=member.status,
+            weight=member.weight,
+            started_at=member.started_at,
+            cold_fraction=member.cold_fraction * self.cold_fraction,
         )
--- a/ternquay/net/listener.py
+++ b/ternquay/net/listener.py
@@ -31,7 +31,7 @@
 from loguru import logger
 from twisted.internet.tcp import Port
 
-from ternquay.net.transports import PatientServer
+from ternquay.net.transports import BackoffServer
 
 # Errors of the connection that was to be accepted, which accept(2) passes on, or of one that a firewall forbids.
 CONNECTION_ERRORS = frozenset(
@@ -60,7 +60,7 @@
 class Listener(Port):
     """`room` tells how many connections may be accepted now; `accepted` is told whether that many were."""
 
-    transport = PatientServer
+    transport = BackoffServer
     accept_limit: Callable[[], int] = staticmethod(lambda: 1)
     on_accepted: Callable[[bool], None] = staticmethod(lambda all_that_fit: None)
     on_no_room: Callable[[], None] = staticmethod(lambda: None)  # told of a failure for want of room
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,8 +19,8 @@
 from twisted.web.client import ResponseDone, ResponseFailed
 from twisted.web.http import PotentialDataLoss
 
+from ternquay.net.config import read_config
 from ternquay.net.discovery import Discovery
-from ternquay.net.launch import read_launch
 from ternquay.net.listing import Address
 from ternquay.net.serve import Service
 from ternquay.net.start_times import StartTimes
@@ -171,7 +171,7 @@
 
 
 def ready(net: Net) -> bool:
-    return next(iter(net.pool.places.values())).ready
+    return next(iter(net.pool.hosts.values())).ready
 
 
 def test_a_call_that_was_given_up_is_answered_late_and_still_good(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -251,7 +251,7 @@
     net = Net()
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    service = Service(net.reactor, read_launch(str(path), {}))
+    service = Service(net.reactor, read_config(str(path), {}))
     service.begin()
     path.write_bytes(orjson.dumps(TOLD | {"discovery": "127.0.0.1:8600"}))
     service.reload()
@@ -266,13 +266,13 @@
     net, agent, service = moved(tmp_path, monkeypatch)
     net.run(after)
     agent.calls[0].callback(Ending(drained(5), ResponseDone()))
-    assert next(iter(service.pool.places.values())).ready is not taken
+    assert next(iter(service.pool.hosts.values())).ready is not taken
     net.run(1000)
     assert len(agent.calls) == 2, "the old one is called no more"
     agent.calls[1].callback(
         Ending(orjson.dumps({"revision": 1, "complete": True, "members": [member(1)]}), ResponseDone())
     )
-    assert next(iter(service.pool.places.values())).ready
+    assert next(iter(service.pool.hosts.values())).ready
 
 
 def test_what_the_new_discovery_tells_goes_before_what_the_old_one_had_written(
@@ -283,7 +283,7 @@
     agent.calls[0].callback(
         Ending(orjson.dumps({"revision": 7, "complete": True, "members": [member(1)]}), ResponseDone())
     )
-    assert not next(iter(service.pool.places.values())).ready
+    assert not next(iter(service.pool.hosts.values())).ready
 
 
 # ---- descriptors: what is closed, and what the system still counts ----
@@ -354,13 +354,13 @@
     net = Net()
     agent = Agent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    service = Service(net.reactor, read_launch(str(path), {}))
+    service = Service(net.reactor, read_config(str(path), {}))
     service.begin()
     net.reactor.advance(0.3)
     assert not net.reactor.tcpServers and service.unready()
     if word == "told":
         agent.calls[0].callback(Ending(drained(5), ResponseDone()))
-        assert not next(iter(service.pool.places.values())).ready
+        assert not next(iter(service.pool.hosts.values())).ready
     elif word == "refused":
         agent.calls[0].errback(Failed(ConnectionLost()))
     else:
@@ -467,7 +467,7 @@
     path = tmp_path / "told.json"
     path.write_bytes(orjson.dumps(TOLD))
     net = Net()
-    service = Service(net.reactor, read_launch(str(path), {}))
+    service = Service(net.reactor, read_config(str(path), {}))
     net.frontend, net.dispatcher, net.pool = service.frontend, service.dispatcher, service.pool
     service.begin()
     net.reactor.running = True
@@ -529,7 +529,7 @@
     while net.reactor.tcpClients:
         net.accept()
     net.run(1000)
-    assert not begun(net) and not net.dispatcher.open_txs and not net.pool.kept
+    assert not begun(net) and not net.dispatcher.open_txs and not net.pool.buffered_bytes
 
 
 @pytest.mark.parametrize("back", [True, False])
@@ -640,7 +640,7 @@
 from ternquay import model as m
 from ternquay.net import serve
 from ternquay.net.dispatcher import Dispatcher
-from ternquay.net.launch import read_launch
+from ternquay.net.config import read_config
 
 handle_event = Dispatcher.handle_event
 
@@ -649,8 +649,8 @@
     if isinstance(event, m.HopEnded) and event.outcome is m.HopOutcome.FULL:
         time.sleep(0.3)
 
-Dispatcher.handle_event = held
-serve.run(read_launch(sys.argv[1]))
+Dispatcher.happened = held
+serve.run(read_config(sys.argv[1]))
 """
 
 
@@ -707,7 +707,7 @@
 COLLECTS = """
 import gc, os, signal, sys
 from ternquay.net import serve
-from ternquay.net.launch import read_launch
+from ternquay.net.config import read_config
 
 began = serve.Service.begin
 
@@ -720,7 +720,7 @@
     os.kill(os.getpid(), signal.SIGTERM)
 
 serve.Service.begin = begin
-serve.run(read_launch(sys.argv[1]))
+serve.run(read_config(sys.argv[1]))
 """
 
 
