--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -212,10 +212,12 @@
         held = {runtime: runtime.buffered_bytes() for runtime in self.runtimes.values()}
         while sum(held.values()) > self.memory_bytes:
             runtime = max(held, key=lambda one: held[one] - one.entry.tenant.limits.memory.least * self.memory_bytes)
-            clients = [client for client in runtime.frontend.clients if client.kept or client.queued]
+            clients = [client for client in runtime.frontend.clients if client.buffered_bytes or client.queued_bytes]
             if not clients:
                 break
-            runtime.frontend.drop(max(clients, key=lambda client: client.kept + client.queued), CloseReason.MEMORY)
+            runtime.frontend.drop(
+                max(clients, key=lambda client: client.buffered_bytes + client.queued_bytes), CloseReason.MEMORY
+            )
             held[runtime] = runtime.buffered_bytes()
 
     def process(self) -> dict[str, Any]:
--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -27,13 +27,13 @@
 
 @implementer(IPullProducer)
 class HostConnection(Driver):
-    """The protocol of one connection. The HostSide state machine parses responses; this class keeps hops in order."""
+    """The protocol of one connection. A ResponseParser parses responses; this class keeps hops in order."""
 
     def __init__(self, pool: "Pool", host: "HostConnections") -> None:
         self.pool, self.host = pool, host
         self.address = host.address  # of this connection; the host may have moved to another one since
         self.connector: Any = None
-        self.machine = HostSide(pool.limits.line_bytes, pool.limits.answer_bytes, pool.limits.stream_above_bytes)
+        self.machine = ResponseParser(pool.limits.line_bytes, pool.limits.answer_bytes, pool.limits.stream_above_bytes)
         self.buffered_bytes = 0  # of an incomplete response
         self.to_write: deque[OutgoingHop] = deque()
         self.writing: OutgoingHop | None = None
@@ -41,8 +41,8 @@
         self.idle_since = 0
         self.idle_before_hop = -1  # idle time before the current hop, until the first bytes of a response; else -1
         self.established = self.closing = False
-        self.incoming: Flow | None = None  # a large value that is being received
-        self.outgoing: Flow | None = None  # the large value of `writing`, which is being sent
+        self.incoming: ValueStream | None = None  # a large value that is being received
+        self.outgoing: ValueStream | None = None  # the large value of `writing`, which is being sent
         self.write_pending = False  # the operating system has not taken all bytes of `outgoing` yet
         self.write_pending_since = 0
         self.cache_result = 0  # reported by the cache host for the read that `incoming` answers
@@ -117,11 +117,11 @@
     def write_outgoing(self) -> None:
         """Forwards the received part of a large value as fast as the operating system takes it."""
         flow, hop = self.outgoing, self.writing
-        if flow is None or hop is None or self.write_pending or self.closing or flow.broken:
+        if flow is None or hop is None or self.write_pending or self.closing or flow.aborted:
             return
         data = flow.take()
-        if flow.over():
-            self.outgoing, flow.sink = None, nothing
+        if flow.all_taken():
+            self.outgoing, flow.on_data = None, no_receiver
             hop.written = True
             data += b"\r\n"
         if data:
@@ -148,9 +148,9 @@
                 return  # the previous response closed the connection
             if isinstance(item, Answer):
                 self.answer_received(item)
-            elif isinstance(item, Begun):
+            elif isinstance(item, ValueHeader):
                 self.value_started(item)
-            elif isinstance(item, Piece):
+            elif isinstance(item, ValueChunk):
                 self.value_data(item.data)
             else:
                 self.value_finished()
@@ -181,10 +181,10 @@
 
     # ---- a large value that is being received ----
 
-    def value_started(self, begun: Begun) -> None:
+    def value_started(self, begun: ValueHeader) -> None:
         """The header of a large value arrived."""
-        self.cache_result, self.incoming_moved_at = begun.note, self.pool.dispatcher.now()
-        self.incoming = Flow(begun.length, self.pool.limits.chunk_bytes, self.hold_incoming, self.value_unwanted)
+        self.cache_result, self.incoming_moved_at = begun.cache_result, self.pool.dispatcher.now()
+        self.incoming = ValueStream(begun.length, self.pool.limits.chunk_bytes, self.hold_incoming, self.value_unwanted)
         self.return_waiting()  # other hops would wait behind the large value
 
     def value_unwanted(self) -> None:
@@ -199,9 +199,9 @@
             return
         if not hop.ended:
             self.pool.dispatcher.hop_ended(hop, m.HopOutcome.DONE, flow, self.cache_result)
-        elif flow.sink is nothing:
-            flow.broken = True  # the hop was given up before: read and discard the value
-        flow.offer(data)
+        elif flow.on_data is no_receiver:
+            flow.aborted = True  # the hop was given up before: read and discard the value
+        flow.feed(data)
 
     def value_finished(self) -> None:
         """The last byte of the value arrived."""
@@ -223,7 +223,7 @@
         flow = self.incoming
         return (
             flow is not None
-            and not flow.held_back
+            and not flow.paused
             and (self.pool.dispatcher.now() - self.incoming_moved_at > self.pool.limits.stall_timeout)
         )
 
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -71,7 +71,7 @@
         host = self.hosts.get(hop.host)
         # A draining host gets no hop. The balancer should know, but it may have failed on the list that said so.
         # A streamed value that was partly written elsewhere can't be sent again, as its first bytes are not kept.
-        partly_written = hop.tx.stream is not None and hop.tx.stream.touched
+        partly_written = hop.tx.stream is not None and hop.tx.stream.partly_taken
         connection = (
             self._pick_connection(host, hop.tx.stream is None)
             if host is not None and host.ready and (not partly_written)
