--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -169,7 +169,7 @@
             self.sessionno += 1
             self.net.client()
 
-    def gate(self, accept: bool) -> None:
+    def set_accepting(self, accept: bool) -> None:
         pass
 
     def stopListening(self) -> None:
