--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -9,7 +9,7 @@
 from twisted.internet.protocol import Factory
 
 from ternquay import model as m
-from ternquay.facts import Names
+from ternquay.facts import NameTable
 from ternquay.hosted.shared.fairness import ClientLimiter, SharedCapacity
 from ternquay.hosted.shared.front import CROWDING, TenantFrontend, TenantListener, TenantSockets
 from ternquay.hosted.shared.scheduler import FairScheduler
@@ -103,9 +103,9 @@
     )
 
 
-def decision_names(tenant: Tenant, zones: NameIndex) -> Names:
+def decision_names(tenant: Tenant, zones: NameIndex) -> NameTable:
     """Returns the names that the tenant's decisions know by index."""
-    names = Names(
+    names = NameTable(
         {
             "Profiles": [{"Name": one.name} for one in tenant.profiles],
             "Tenants": [{"Name": share.name} for share in tenant.shares],
--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -14,7 +14,8 @@
 
 from ternquay import model as m
 from ternquay.balance import FORGET_HOST_AFTER_NS, Balancer
-from ternquay.facts import Names
+from ternquay.facts import NameTable
+from ternquay.net.flow import Flow
 from ternquay.net.limits import SECOND, Limits
 from ternquay.net.listing import Address, HostEntry
 from ternquay.net.log_limiter import LogRateLimiter
@@ -121,7 +122,7 @@
 
 class Dispatcher:
     def __init__(
-        self, clock: Clock, start: m.Config, names: Names, limits: Limits, decisions: type[Balancer] = Balancer
+        self, clock: Clock, start: m.Config, names: NameTable, limits: Limits, decisions: type[Balancer] = Balancer
     ) -> None:
         self.clock, self.names, self.limits = clock, names, limits
         self.config = start
@@ -391,7 +392,7 @@
 
     # ---- figures and the list ----
 
-    def reconfigure(self, start: m.Config, names: Names, limits: Limits) -> None:
+    def refigured(self, start: m.Config, names: NameTable, limits: Limits) -> None:
         """Other profiles, rules or limits from now on; what is open ends by those that it was taken with."""
         self.config, self.names, self.limits = start, names, limits
         self.handle_event(start)
