--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -392,7 +392,7 @@
 
     # ---- figures and the list ----
 
-    def refigured(self, start: m.Config, names: NameTable, limits: Limits) -> None:
+    def reconfigure(self, start: m.Config, names: NameTable, limits: Limits) -> None:
         """Other profiles, rules or limits from now on; what is open ends by those that it was taken with."""
         self.config, self.names, self.limits = start, names, limits
         self.handle_event(start)
