--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -15,7 +15,6 @@
 from ternquay import model as m
 from ternquay.balance import FORGET_HOST_AFTER_NS, Balancer
 from ternquay.facts import NameTable
-from ternquay.net.flow import Flow
 from ternquay.net.limits import SECOND, Limits
 from ternquay.net.listing import Address, HostEntry
 from ternquay.net.log_limiter import LogRateLimiter
