--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -186,7 +186,7 @@
         if due is None or now < due or self.ended or self.closing or self.reading_held():
             return False
         # After a stop of the process, or a long turn, this comes before the reading of what came meanwhile.
-        return may_close(CloseReason.REQUEST_OVERDUE, owing=False, unread=self.has_unread_bytes())
+        return may_close(CloseReason.REQUEST_OVERDUE, owes_answer=False, unread=self.has_unread_bytes())
 
     def reading_held(self) -> bool:
         """Whether it is not read for now, so that its request can't become whole."""
--- a/ternquay/net/frontend.py
+++ b/ternquay/net/frontend.py
@@ -179,7 +179,7 @@
         for client in self.awaiting_first_command:
             if client.accepted_at > before or len(old) >= most:
                 break
-            if may_close(CloseReason.NO_REQUEST, owing=False, unread=client.has_unread_bytes()):
+            if may_close(CloseReason.NO_REQUEST, owes_answer=False, unread=client.has_unread_bytes()):
                 old.append(client)
         for client in old:
             self.drop(client, CloseReason.NO_REQUEST)
@@ -237,5 +237,5 @@
         """Closes what owes nothing and does not move: half a command, for one."""
         before = self.dispatcher.now() - self.limits.new_client_grace
         for client in [c for c in self.clients if not c.pending and not c.queued_bytes and c.last_activity <= before]:
-            if may_close(CloseReason.LEAVING, owing=False, unread=client.has_unread_bytes()):
+            if may_close(CloseReason.LEAVING, owes_answer=False, unread=client.has_unread_bytes()):
                 client.abort(CloseReason.LEAVING)
--- a/ternquay/net/safety.py
+++ b/ternquay/net/safety.py
@@ -1,8 +1,11 @@
-"""The one place that decides whether an attempt may begin, be repeated, be answered, or a client be closed now.
+"""Safety rules: whether an attempt may start, a request may be answered and a client connection may be closed.
 
-Drivers ask here in the step in which they act. What is done against these rules all the same is counted as a violation
-and logged as an error, so that a fault elsewhere is seen in the run in which it happens. Reasons are counted, and the
-latest events are kept for operators (`GET /control/events`, `GET /control/metrics`). Without I/O.
+Protocol drivers ask these rules immediately before they act. An action that breaks a rule is counted as a violation
+and logged as an error, so that a fault elsewhere shows in the run in which it happens. The module counts the reasons
+of closes and refusals and keeps the latest events for operators (`GET /control/events`, `GET /control/metrics`).
+It does no I/O.
+
+The lower-case names of the enum members are metric labels; their texts appear in log lines and `GET /control/events`.
 """
 
 from collections import Counter, deque
@@ -15,7 +18,7 @@
 
 
 class AttemptRefusal(StrEnum):
-    """Why an attempt may not begin."""
+    """Why an attempt may not start."""
 
     ANSWERED = "the request has its answer"
     OVERDUE = "the time of the attempt is over"
@@ -25,7 +28,7 @@
 
 
 class CloseReason(StrEnum):
-    """Why the balancer ends a client's connection."""
+    """Why the balancer closes a client connection."""
 
     REQUEST_OVERDUE = "its request was not whole in time"
     MALFORMED = "what it sent can't be followed"
@@ -40,7 +43,7 @@
 
 
 class ServerCloseReason(StrEnum):
-    """Why the balancer ends a connection to a cache host."""
+    """Why the balancer closes a connection to a cache host."""
 
     BAD_ANSWER = "its answer can't be read, or is too large"
     GIVEN_UP = "only attempts that were given up are on it"
@@ -53,7 +56,7 @@
 
 
 class RequestRefusal(StrEnum):
-    """Why a request was refused."""
+    """Why the balancer refuses a request."""
 
     DECISIONS = "the decisions refused it"
     LATE_TURN = "the loop is behind"
@@ -64,34 +67,34 @@
 
 
 class Violation(StrEnum):
-    """A rule that was broken by this process."""
+    """A safety rule that this process broke."""
 
     CLOSED_OWING = "a connection was closed on a request that waits for its answer"
     ANSWERED_TWICE = "a request was answered a second time"
     BEGUN_FORBIDDEN = "an attempt was begun that may not begin"
 
 
-# Where the client is at fault, or memory has to be had, nothing holds the close up.
+# These closes are never postponed: the client is at fault, memory must be freed, or its listener was removed.
 UNCONDITIONAL_CLOSES = frozenset(
     {CloseReason.ANSWERS_UNREAD, CloseReason.MEMORY, CloseReason.VALUE_BROKEN, CloseReason.REMOVED}
 )
-# Ordinary ends, which are counted and not logged.
+# Routine closes are counted but not logged.
 ROUTINE_CLOSES = frozenset({CloseReason.IDLE, CloseReason.LEAVING})
 
 
 class Attempt(NamedTuple):
-    """What decides whether an attempt may begin. Times are whole nanoseconds, 0 for no bound."""
+    """The state that decides whether an attempt may start. Times are integer nanoseconds; 0 means no bound."""
 
     answered: bool  # the request has its final answer
-    fully_received: bool  # the last byte of the request has come
-    deadline: int  # the end of the attempt's time
-    begin_by: int  # a repeat is known as one until then
-    stale: bool  # the process stood still after it was decided on
+    fully_received: bool  # the last byte of the request has arrived
+    deadline: int
+    begin_by: int  # cache hosts recognise a repeat until this time
+    stale: bool  # the process stalled after the attempt was decided on
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Something that happened to a connection or a request, for operators: no key and no value."""
+    """An event of a connection or a request, shown to operators. It holds no key and no value."""
 
     at: int
     kind: str
@@ -100,7 +103,7 @@
 
 
 def attempt_refusal(attempt: Attempt, now: int, departed: Callable[[], bool]) -> AttemptRefusal | None:
-    """Why the attempt may not begin now, or None. `departed` costs a system call and is asked last."""
+    """Returns why the attempt may not start now, or None. `departed` costs a system call, so it is called last."""
     if attempt.answered:
         return AttemptRefusal.ANSWERED
     if attempt.fully_received and now >= attempt.deadline:
@@ -112,24 +115,26 @@
     return AttemptRefusal.DEPARTED if departed() else None
 
 
-def may_close(reason: CloseReason, owing: bool, unread: bool = False) -> bool:
-    """Whether a client's connection may be ended: not while it is owed an answer, or while bytes lie unread that may
-    be a request's last."""
-    return reason in UNCONDITIONAL_CLOSES or not (owing or unread)
+def may_close(reason: CloseReason, owes_answer: bool, unread: bool = False) -> bool:
+    """Whether a client connection may be closed.
+
+    `owes_answer`: the client waits for an answer. `unread`: bytes that may complete a request arrived but are not read.
+    """
+    return reason in UNCONDITIONAL_CLOSES or not (owes_answer or unread)
 
 
 Reason = TypeVar("Reason", bound=StrEnum)
 
 
 def metric_lines(name: str, counts: Mapping[Reason, int], reasons: Iterable[Reason]) -> list[str]:
-    """A line for each reason, also for one that has not come up."""
-    return [f'ternquay_{name}_total{{reason="{one.name.lower()}"}} {counts.get(one, 0)}' for one in reasons]
+    """Returns one metric line for each reason, including reasons that have not occurred."""
+    return [f'ternquay_{name}_total{{reason="{reason.name.lower()}"}} {counts.get(reason, 0)}' for reason in reasons]
 
 
 class SafetyMonitor:
-    """Asks the rules, counts what comes of it, and reports what is done against them.
+    """Applies the safety rules, counts their results and reports violations.
 
-    Requests are named by a function that tells their id, as most of the time nobody wants to know it.
+    Callers identify a request by a function that returns its id, because the id is rarely needed.
     """
 
     def __init__(self, now: Callable[[], int], log: Callable[..., None]) -> None:
@@ -145,50 +150,51 @@
     def may_begin(
         self, attempt: Attempt, departed: Callable[[], bool], request: Callable[[], str]
     ) -> AttemptRefusal | None:
-        """Why the attempt may not begin now, or None: then its first byte has to leave in this very step."""
+        """Returns why the attempt may not start now, or None. After None, the caller must write its first byte
+        immediately."""
         refusal = attempt_refusal(attempt, self.now(), departed)
         if refusal is not None:
             self.attempt_refusals[refusal] += 1
             self._record_event("attempt not begun", refusal, request())
         return refusal
 
-    def record_attempt_start(self, answered: bool, request: Callable[[], str], number: int) -> None:
-        """An attempt's first byte leaves."""
-        if number:
+    def record_attempt_start(self, answered: bool, request: Callable[[], str], attempt_index: int) -> None:
+        """Records that the first byte of an attempt is being written. `attempt_index` is 0 for the first attempt."""
+        if attempt_index:
             self.retries += 1
-            self._record_event(f"attempt {number + 1}", "begun", request())
+            self._record_event(f"attempt {attempt_index + 1}", "begun", request())
         if answered:
             self._record_violation(Violation.BEGUN_FORBIDDEN, request())
 
-    def record_client_close(self, reason: CloseReason, owed: Sequence[str]) -> None:
-        """A client's connection is ended on the requests of these ids."""
+    def record_client_close(self, reason: CloseReason, unanswered_ids: Sequence[str]) -> None:
+        """Records that a client connection is closed. `unanswered_ids` holds the ids of its unanswered requests."""
         self.client_closes[reason] += 1
-        if owed and not may_close(reason, True):
-            self._record_violation(Violation.CLOSED_OWING, owed[0])
+        if unanswered_ids and not may_close(reason, True):
+            self._record_violation(Violation.CLOSED_OWING, unanswered_ids[0])
         if reason not in ROUTINE_CLOSES:
-            self._record_event("client closed", reason, owed[0] if owed else "")
-            self.log("INFO", f"a client was closed: {reason.value}")
+            self._record_event("client closed", reason, unanswered_ids[0] if unanswered_ids else "")
+            self.log("INFO", f"closed a client connection: {reason.value}")
 
     def record_server_close(self, reason: ServerCloseReason) -> None:
-        """A connection to a cache host is ended."""
+        """Records that a connection to a cache host is closed."""
         self.server_closes[reason] += 1
         if reason in (ServerCloseReason.BAD_ANSWER, ServerCloseReason.VALUE_STOPPED):
             self._record_event("server connection closed", reason, "")
 
     def record_request_refusal(self, reason: RequestRefusal, request: Callable[[], str]) -> None:
-        """A request is refused: a retry of it is harmless."""
+        """Records that a request is refused. It has not run, so a retry is safe."""
         self.request_refusals[reason] += 1
-        if reason is not RequestRefusal.DECISIONS:  # those are many, and would leave no room for the rest
+        if reason is not RequestRefusal.DECISIONS:  # too frequent: these would displace all other events
             self._record_event("request refused", reason, request())
 
-    def may_answer(self, before: bool, request: Callable[[], str]) -> bool:
-        """Whether an answer may be given: not if one was before."""
-        if before:
+    def may_answer(self, already_answered: bool, request: Callable[[], str]) -> bool:
+        """Whether a request may be answered. `already_answered`: it was already answered, which is a violation."""
+        if already_answered:
             self._record_violation(Violation.ANSWERED_TWICE, request())
-        return not before
+        return not already_answered
 
     def metrics(self) -> str:
-        """All counts as text, a line each, in the exposition format of Prometheus."""
+        """Returns all counts in the Prometheus text exposition format, one per line."""
         return "\n".join(
             [
                 f"ternquay_attempts_repeated_total {self.retries}",
@@ -201,11 +207,13 @@
         )
 
     def recent_events(self) -> str:
-        """The latest events as text, a line each, the oldest first: seconds on the monotonic clock come first."""
-        return "\n".join(f"{one.at / 1e9:.6f} {one.kind}: {one.reason} {one.request}".rstrip() for one in self.events)
+        """Returns the latest events as text, one per line, oldest first. Times are seconds on the monotonic clock."""
+        return "\n".join(
+            f"{event.at / 1e9:.6f} {event.kind}: {event.reason} {event.request}".rstrip() for event in self.events
+        )
 
     def summary(self) -> str:
-        """One line for the log at the end."""
+        """Returns a one-line summary for the log at the end of the process."""
         closes = ", ".join(
             f"{reason.name.lower()} {count}"
             for reason, count in sorted(self.client_closes.items(), key=lambda item: item[0].name)
@@ -217,5 +225,5 @@
         self._record_event("violation", rule, request)
         self.log("ERROR", f"violation: {rule.value}, request {{}}", request)
 
-    def _record_event(self, what: str, reason: str, request: str) -> None:
-        self.events.append(Event(self.now(), what, reason, request))
+    def _record_event(self, kind: str, reason: str, request: str) -> None:
+        self.events.append(Event(self.now(), kind, reason, request))
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -405,8 +405,8 @@
 def test_a_close_waits_for_what_is_owed_and_for_what_lies_unread() -> None:
     for reason in CloseReason:
         free_to_go = reason in UNCONDITIONAL_CLOSES
-        assert may_close(reason, owing=False)
-        assert may_close(reason, owing=True) == may_close(reason, owing=False, unread=True) == free_to_go
+        assert may_close(reason, owes_answer=False)
+        assert may_close(reason, owes_answer=True) == may_close(reason, owes_answer=False, unread=True) == free_to_go
 
 
 @pytest.mark.parametrize(
