--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -1,7 +1,8 @@
-"""Between a front, the decisions and the connections to cache hosts: indices, events, actions, timers.
+"""The dispatcher: connects a frontend, the routing decisions and the connections to cache hosts.
 
-A front hands in arrivals and gets one answer for each through its Asker; the pool carries hops out and says
-how each ended. No protocol is known here, so a second front can go through the same dispatcher.
+It assigns indices, turns arrivals and results into events for the decisions, and carries out the actions and the timer
+that they return. A frontend submits transactions and receives one answer for each through its Requester; the pool sends
+hops and reports how each ended. The module knows no protocol, so that different frontends can use it.
 """
 
 from collections import deque
@@ -23,13 +24,15 @@
 
 
 class DelayedCall(Protocol):
+    """A call that the reactor will make."""
+
     def active(self) -> bool: ...
 
     def cancel(self) -> None: ...
 
 
 class Clock(Protocol):
-    """The reactor's part that keeps time."""
+    """The part of the reactor that keeps time."""
 
     def seconds(self) -> float: ...
 
@@ -37,12 +40,13 @@
 
 
 def cancel_call(call: DelayedCall | None) -> None:
+    """Cancels a delayed call that is still pending; does nothing otherwise."""
     if call is not None and call.active():
         call.cancel()
 
 
 class Requester(Protocol):
-    """Whoever is owed the answer."""
+    """The client side of a transaction: receives exactly one of commit, roll_back and abandon."""
 
     def commit(self, answer: Any) -> None: ...
 
@@ -51,16 +55,18 @@
     def abandon(self) -> None: ...
 
     def id(self) -> str:
-        """The id of the request, as its client gave it."""
+        """Returns the request id that the client assigned."""
         ...
 
     def has_left(self) -> bool:
-        """Whether it has gone, as far as the system knows: it may not have been read yet."""
+        """Whether the client has disconnected, according to the operating system. The loop may not know yet."""
         ...
 
 
 @dataclass(slots=True, frozen=True)
 class IncomingTx:
+    """A transaction as a frontend submits it. Times are integer nanoseconds."""
+
     profile: str
     share: str
     key: str
@@ -68,45 +74,47 @@
     is_retry: bool
     is_write: bool
     message: Any
-    stream: ValueStream | None = None  # of a value that is still coming
-    unread_for: int = 0  # for how long it may have lain there
+    stream: ValueStream | None = None  # a value that is still arriving
+    unread_for: int = 0  # the longest time that it may have waited to be read
 
 
 @dataclass(slots=True, eq=False)
 class OutgoingHop:
-    """One hop that is out: what the pool has in hand."""
+    """A hop that was handed to the pool. Times are integer nanoseconds."""
 
     tx: "OpenTx"
     number: int
     host: int
     sent_at: int
     deadline: int
-    begin_by: int = 0  # 0: no matter when
+    begin_by: int = 0  # 0: no bound
     timeout: DelayedCall | None = None
     ended: bool = False
-    written: bool = False  # its last byte may have left
-    deferred: bool = False  # for a poll, as the process had stood still when it was decided
-    connection: Any = None  # the pool's own
+    written: bool = False  # its last byte may have been sent
+    deferred: bool = False  # waited for the next poll, because the process had stalled when it was decided on
+    connection: Any = None  # owned by the pool
 
 
 @dataclass(slots=True, eq=False)
 class OpenTx:
+    """A transaction that is unanswered or has hops in flight."""
+
     id: int
     requester: Requester
     message: Any
     hops: list[OutgoingHop] = field(default_factory=list)
     hops_in_flight: int = 0
     answered: bool = False
-    stream: ValueStream | None = None  # of a value that goes through as it comes
+    stream: ValueStream | None = None  # a value that is forwarded as it arrives
     arrived_at: int = 0
-    client_seen_at: int = 0  # when who asked was last known to be there
+    client_seen_at: int = 0  # when the client was last known to be connected
     ttl: int = 0
     fully_received: bool = True
     hard_limit_call: DelayedCall | None = None
 
 
 class HopTransport(Protocol):
-    """Takes hops to cache hosts, and tells hop_ended() of each that the dispatcher did not give up."""
+    """Sends hops to cache hosts. Calls hop_ended() for each hop that the dispatcher did not give up."""
 
     def send(self, hop: OutgoingHop) -> None: ...
 
@@ -120,44 +128,50 @@
 
 
 class Dispatcher:
+    """Routes the transactions of one balancer or tenant: feeds the decisions events and carries out their actions."""
+
     def __init__(
-        self, clock: Clock, start: m.Config, names: NameTable, limits: Limits, decisions: type[Balancer] = Balancer
+        self, clock: Clock, config: m.Config, names: NameTable, limits: Limits, decisions: type[Balancer] = Balancer
     ) -> None:
         self.clock, self.names, self.limits = clock, names, limits
-        self.config = start
+        self.config = config
         self.log = LogRateLimiter(clock.seconds, limits.warning_interval).log
         self.safety = SafetyMonitor(self.now, self.log)
-        self.balancer = decisions(start)
-        self.decision_timer: DelayedCall | None = None  # the decisions' one
-        self.random = Random(f"{start.seed}.{start.balancer_index}")
+        self.balancer = decisions(config)
+        self.decision_timer: DelayedCall | None = None  # the decisions have a single timer
+        self.random = Random(f"{config.seed}.{config.balancer_index}")
         self.pool: HopTransport
         self.process_stalled: Callable[[int], bool] = lambda now: False
         self.request_list: Callable[[], None] = lambda: None
         self.host_indices: dict[str, int] = {}
-        self.members: dict[str, HostEntry] = {}  # the list as it stands
-        self.missing_since: dict[str, int] = {}  # since when the list lacks them, where gone is advice
-        self.cold_fraction = 1.0  # of what a cold cache host takes of this balancer
-        self.short_of_sockets = False  # more cache hosts than sockets for them
+        self.members: dict[str, HostEntry] = {}  # the current host list, by host id
+        self.missing_since: dict[str, int] = {}  # when hosts left the list, if the list is only advisory about that
+        self.cold_fraction = 1.0  # the part of this balancer's cold budget that this process may use
+        self.short_of_sockets = False  # there are more cache hosts than sockets for them
         self.open_txs: dict[int, OpenTx] = {}
         self.next_tx_id = self.next_host_index = self.buffered_bytes = 0
-        self.answer_deadline = 0  # at a planned end: nothing is owed an answer past this
+        self.answer_deadline = 0  # at a planned shutdown, the time by which every transaction is answered; 0: none
         self.pending_events: deque[m.Event] = deque()
         self.deciding = False
 
     def now(self) -> int:
+        """Returns the time in nanoseconds on the reactor's monotonic clock."""
         return int(self.clock.seconds() * SECOND)
 
     def call_at(self, at: int, what: Callable[..., None], *args: Any) -> DelayedCall:
+        """Schedules a call for the time `at`, in nanoseconds."""
         return self.clock.callLater(max(0, at - self.now()) / SECOND, what, *args)
 
     def jittered(self, span: int) -> int:
-        """From half to one and a half times so long: against clients, or instances, that wait equally long and meet."""
+        """Returns a random duration between 0.5 and 1.5 times `span`, so that clients or processes do not retry at
+        the same time."""
         return span // 2 + int(self.random.random() * span)
 
-    # ---- events in, actions out ----
+    # ---- events and actions ----
 
     def handle_event(self, event: m.Event) -> None:
-        # An action may end in an event at once; it waits its turn, as decide() is not entered twice.
+        """Passes an event to the decisions and carries out the actions that they return."""
+        # An action may cause another event immediately. It is queued, because decide() is not reentrant.
         self.pending_events.append(event)
         if self.deciding:
             return
@@ -169,19 +183,19 @@
             self.deciding = False
 
     def _decide(self, event: m.Event) -> None:
-        # Whatever is wrong with one event, the library would close the client whose bytes brought it here.
+        # Exceptions are caught here: Twisted would close the client connection whose data caused the event.
         before, failed = self.balancer.actions, False
         try:
             actions = self.balancer.decide(self.now(), event)
         except Exception:
             self.log("ERROR", "the decisions failed on {}", type(event).__name__, trace=True)
-            # What they had decided by then they count on: a hop that is not heard of again would be out for ever.
+            # The decisions expect the actions made before the failure to run; a hop that is not sent would never end.
             actions, failed = self.balancer.actions if self.balancer.actions is not before else [], True
         for action in actions:
             try:
                 self._apply(action)
             except Exception:
-                # One that fails takes no others with it: another's answer, or the timer of all.
+                # A failed action must not prevent the others, such as another client's answer or the timer.
                 self.log("ERROR", "{} failed", type(action).__name__, trace=True)
                 if isinstance(action, m.SendHop):
                     self._hop_send_failed(action)
@@ -189,44 +203,47 @@
             self._abandon(event.tx)
             self.pending_events.append(m.ClientGone(event.tx))
 
-    def _hop_send_failed(self, a: m.SendHop) -> None:
-        """A hop that could not be sent has ended, as far as anything of it is out."""
-        tx = self.open_txs.get(a.tx)
+    def _hop_send_failed(self, action: m.SendHop) -> None:
+        """Ends a hop whose sending failed: RESET if it was written, else SKIPPED."""
+        tx = self.open_txs.get(action.tx)
         if tx is not None and tx.hops and not tx.hops[-1].ended:
             self.hop_ended(tx.hops[-1], m.HopOutcome.RESET if tx.hops[-1].written else m.HopOutcome.SKIPPED)
 
-    def _apply(self, a: m.Action) -> None:
-        if isinstance(a, m.SendHop):
-            self._send_hop(a)
-        elif isinstance(a, m.SetTimer):
-            # A little late, as rounding may not make it early, and after the hops that end at that time.
+    def _apply(self, action: m.Action) -> None:
+        if isinstance(action, m.SendHop):
+            self._send_hop(action)
+        elif isinstance(action, m.SetTimer):
+            # 2 us late: rounding must not make it early, and hops that time out at the same moment end first.
             cancel_call(self.decision_timer)
-            self.decision_timer = self.call_at(a.at + 2000, self.handle_event, m.TimerFired())
-        elif isinstance(a, m.RollBack):
-            tx = self.open_txs.get(a.tx)
+            self.decision_timer = self.call_at(action.at + 2000, self.handle_event, m.TimerFired())
+        elif isinstance(action, m.RollBack):
+            tx = self.open_txs.get(action.tx)
             if tx is not None and not tx.answered:
                 self._finish_tx(tx)
                 self.safety.record_request_refusal(RequestRefusal.DECISIONS, tx.requester.id)
-                tx.requester.roll_back(a.backoff)
-        elif isinstance(a, m.Abandon):
-            self._abandon(a.tx)
-        elif isinstance(a, m.CancelHop):
-            tx = self.open_txs.get(a.tx)
-            if tx is not None and not tx.hops[a.hop].ended:
-                self._give_up_hop(tx.hops[a.hop], m.HopOutcome.CANCELLED)
+                tx.requester.roll_back(action.backoff)
+        elif isinstance(action, m.Abandon):
+            self._abandon(action.tx)
+        elif isinstance(action, m.CancelHop):
+            tx = self.open_txs.get(action.tx)
+            if tx is not None and not tx.hops[action.hop].ended:
+                self._give_up_hop(tx.hops[action.hop], m.HopOutcome.CANCELLED)
         else:
             self.request_list()
 
-    # ---- a transaction ----
+    # ---- transactions ----
+
+    def tx_arrived(self, arrival: IncomingTx, requester: Requester) -> int:
+        """Accepts a transaction and returns its id, or -1 for an unknown profile.
 
-    def tx_arrived(self, arrival: IncomingTx, asker: Requester) -> int:
-        """Takes a transaction; the asker is answered once, maybe before this returns. -1: no such profile."""
+        The requester receives one answer, possibly before this method returns.
+        """
         profile = self.names.profiles.get(arrival.profile)
         if profile is None:
             return -1
         tx = OpenTx(
             self.next_tx_id,
-            asker,
+            requester,
             arrival.message,
             stream=arrival.stream,
             arrived_at=self.now(),
@@ -234,19 +251,19 @@
         )
         self.next_tx_id += 1
         if len(self.open_txs) >= self.limits.open_txs or self.buffered_bytes > self.limits.buffered_bytes:
-            self.safety.record_request_refusal(RequestRefusal.REQUESTS, asker.id)
-            asker.roll_back(self.jittered(self.limits.retry_after))
+            self.safety.record_request_refusal(RequestRefusal.REQUESTS, requester.id)
+            requester.roll_back(self.jittered(self.limits.retry_after))
             return tx.id
         tx.client_seen_at = tx.arrived_at - arrival.unread_for
         self.open_txs[tx.id] = tx
         self.buffered_bytes += arrival.message.size()
-        ttl, again = arrival.ttl, arrival.is_retry
+        ttl, is_retry = arrival.ttl, arrival.is_retry
         if self.answer_deadline and self.now() + ttl > self.answer_deadline:
-            # Cut by us and not by the client, so it tells nothing of how long a repeat has waited.
-            ttl, again = max(0, self.answer_deadline - self.now()), False
+            # This process shortens the time, not the client, so it says nothing about how long a retry has waited.
+            ttl, is_retry = max(0, self.answer_deadline - self.now()), False
         tx.ttl = ttl
         if tx.fully_received:
-            # The decisions answer in time; this is against one that they forget.
+            # The decisions answer in time; this call handles a transaction that they lose track of.
             tx.hard_limit_call = self.call_at(self.now() + ttl, self._hard_limit_passed, tx)
         self.handle_event(
             m.TxArrived(
@@ -255,16 +272,16 @@
                 self.names.shares.get(arrival.share, -1),
                 arrival.key,
                 ttl,
-                again,
+                is_retry,
                 arrival.is_write,
                 tx.fully_received,
             )
         )
         return tx.id
 
-    def tx_fully_received(self, number: int) -> None:
-        """The last byte of one that is going through has come: from here on its times run."""
-        tx = self.open_txs.get(number)
+    def tx_fully_received(self, tx_id: int) -> None:
+        """The last byte of a streamed transaction arrived. Its time limits start here."""
+        tx = self.open_txs.get(tx_id)
         if tx is None or tx.answered or tx.fully_received:
             return
         tx.fully_received, now = True, self.now()
@@ -275,16 +292,16 @@
                 self._start_timeout(hop)
         self.handle_event(m.TxFullyReceived(tx.id))
 
-    def client_gone(self, number: int) -> None:
-        """The client has gone away: no answer is owed any more."""
-        tx = self.open_txs.get(number)
+    def client_gone(self, tx_id: int) -> None:
+        """The client disconnected: the transaction needs no answer any more."""
+        tx = self.open_txs.get(tx_id)
         if tx is not None and not tx.answered:
             self._finish_tx(tx)
             if not tx.fully_received:
-                # The rest of it never comes, whatever may be cancelled: what is half written is cut off.
+                # The rest of the value will not arrive, so partly written hops end even where none may be cancelled.
                 for hop in [hop for hop in tx.hops if not hop.ended]:
                     self._give_up_hop(hop, m.HopOutcome.CANCELLED)
-            self.handle_event(m.ClientGone(number))
+            self.handle_event(m.ClientGone(tx_id))
 
     def _hard_limit_passed(self, tx: OpenTx) -> None:
         if not tx.answered:
@@ -292,8 +309,8 @@
             self._abandon(tx.id)
             self.handle_event(m.ClientGone(tx.id))
 
-    def _abandon(self, number: int) -> None:
-        tx = self.open_txs.get(number)
+    def _abandon(self, tx_id: int) -> None:
+        tx = self.open_txs.get(tx_id)
         if tx is not None and not tx.answered:
             self._finish_tx(tx)
             tx.requester.abandon()
@@ -305,24 +322,25 @@
         if not tx.hops_in_flight:
             del self.open_txs[tx.id]
 
-    # ---- a hop ----
+    # ---- hops ----
 
-    def _send_hop(self, a: m.SendHop) -> None:
-        tx, now = self.open_txs.get(a.tx), self.now()
+    def _send_hop(self, action: m.SendHop) -> None:
+        tx, now = self.open_txs.get(action.tx), self.now()
         if tx is None:
             return
-        hop = OutgoingHop(tx, len(tx.hops), a.host, now, a.deadline, a.begin_by)
+        hop = OutgoingHop(tx, len(tx.hops), action.host, now, action.deadline, action.begin_by)
         tx.hops.append(hop)
         tx.hops_in_flight += 1
-        if tx.answered or hop.number >= self.config.max_hops or a.deadline <= now:
+        if tx.answered or hop.number >= self.config.max_hops or action.deadline <= now:
             self.hop_ended(hop, m.HopOutcome.SKIPPED)
             return
         if tx.fully_received:
             self._start_timeout(hop)
         if self.process_stalled(now):
             hop.deferred = True
-            # What discovery told meanwhile counts as told, and may come after this, in this turn or with the next poll
-            # (one that was stopped as it came back tells of what came first alone): the loop polls between two calls.
+            # A host list that discovery sent during the stall counts as delivered. It may be read later in this
+            # iteration or after the next poll (a poll that was interrupted reports only the earliest input). The loop
+            # polls between two delayed calls, so the hop waits for two.
             self.clock.callLater(0, self.clock.callLater, 0, self._send_deferred, hop)
         else:
             self.pool.send(hop)
@@ -332,11 +350,11 @@
             self.pool.send(hop)
 
     def may_begin(self, hop: OutgoingHop) -> bool:
-        """The last question before the first byte of a hop, as what was decided may have waited for a dial or a place.
+        """Whether the first byte of a hop may be written. Asked last, as the hop may have waited for a connection.
 
-        Nothing more of a tx that has its answer, also where hops may not be cancelled; no repeat past the time for
-        which it is known as one; and nothing for a client that has gone, of which a loop that is behind, or that reads
-        no more of it for now, has not been told.
+        Refuses hops of a transaction that is answered (even where hops may not be cancelled), repeats that cache hosts
+        may no longer recognise, and hops for a client that has disconnected. The loop may not have noticed the
+        disconnect yet, if it is late or reads no more from that client for now.
         """
         attempt = Attempt(
             hop.tx.answered,
@@ -348,7 +366,7 @@
         return self.safety.may_begin(attempt, lambda: self._client_left(hop.tx), hop.tx.requester.id) is None
 
     def _client_left(self, tx: OpenTx) -> bool:
-        """Whether the client has gone, as far as the system knows."""
+        """Whether the client has disconnected, according to the operating system."""
         now = self.now()
         if now - tx.client_seen_at <= self.limits.presence_check_after:
             return False
@@ -361,69 +379,70 @@
     def _start_timeout(self, hop: OutgoingHop) -> None:
         hop.timeout = self.call_at(hop.deadline + 1000, self._give_up_hop, hop, m.HopOutcome.TIMED_OUT)
 
-    def _give_up_hop(self, hop: OutgoingHop, end: m.HopOutcome) -> None:
+    def _give_up_hop(self, hop: OutgoingHop, outcome: m.HopOutcome) -> None:
         hop.ended = True
         self.pool.give_up(hop)
         if not hop.written:
-            # It has provably not run, whatever kept it; that its client went tells nothing of the cache host.
-            end = m.HopOutcome.SKIPPED if end is m.HopOutcome.CANCELLED else m.HopOutcome.UNREACHABLE
-        self._finish_hop(hop, end)
+            # It has provably not run. A client that disconnected says nothing about the cache host, hence SKIPPED.
+            outcome = m.HopOutcome.SKIPPED if outcome is m.HopOutcome.CANCELLED else m.HopOutcome.UNREACHABLE
+        self._finish_hop(hop, outcome)
 
-    def hop_ended(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
-        """From the pool; what comes after the end, as a late answer, is dropped."""
+    def hop_ended(self, hop: OutgoingHop, outcome: m.HopOutcome, answer: Any = None, cache_result: int = 0) -> None:
+        """Called by the pool when a hop ends. Ignores a hop that has already ended, such as a late answer."""
         if not hop.ended:
             hop.ended = True
-            self._finish_hop(hop, end, answer, note)
+            self._finish_hop(hop, outcome, answer, cache_result)
 
-    def _finish_hop(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
+    def _finish_hop(self, hop: OutgoingHop, outcome: m.HopOutcome, answer: Any = None, cache_result: int = 0) -> None:
         cancel_call(hop.timeout)
         tx = hop.tx
         tx.hops_in_flight -= 1
-        if end is m.HopOutcome.DONE and not tx.answered:
+        if outcome is m.HopOutcome.DONE and not tx.answered:
             self._finish_tx(tx)
             tx.requester.commit(answer)
         else:
             if isinstance(answer, ValueStream):
-                answer.discard()  # another hop was first, or nobody waits any more
+                answer.discard()  # another hop answered first, or the client no longer waits
             if tx.answered and not tx.hops_in_flight:
                 self.open_txs.pop(tx.id, None)
-        self.handle_event(m.HopEnded(tx.id, hop.number, end, self.now() - hop.sent_at, tx.answered, note))
+        self.handle_event(m.HopEnded(tx.id, hop.number, outcome, self.now() - hop.sent_at, tx.answered, cache_result))
 
-    # ---- figures and the list ----
+    # ---- configuration and host list ----
 
-    def reconfigure(self, start: m.Config, names: NameTable, limits: Limits) -> None:
-        """Other profiles, rules or limits from now on; what is open ends by those that it was taken with."""
-        self.config, self.names, self.limits = start, names, limits
-        self.handle_event(start)
+    def reconfigure(self, config: m.Config, names: NameTable, limits: Limits) -> None:
+        """Replaces profiles, rules and limits. Open transactions keep the time limits that they started with."""
+        self.config, self.names, self.limits = config, names, limits
+        self.handle_event(config)
 
-    def update_hosts(self, whole: bool, members: tuple[HostEntry, ...]) -> None:
-        doubted: tuple[m.ListedHost, ...] = ()
+    def update_hosts(self, complete: bool, members: tuple[HostEntry, ...]) -> None:
+        """Applies a host list. `complete`: hosts that it does not name are gone; else it holds only changes."""
+        missing: tuple[m.ListedHost, ...] = ()
         if self.config.gone_is_advisory:
-            members, doubted = self._split_advisory(whole, members)
-            whole = False
+            members, missing = self._split_advisory(complete, members)
+            complete = False
         gone = {member.id for member in members if member.status is m.HostStatus.GONE} & self.host_indices.keys()
-        if whole:
+        if complete:
             gone |= self.host_indices.keys() - {member.id for member in members}
-        # One that is gone and never was known here is nobody's: ids are ever new, and would be kept for ever.
+        # Ignore entries for hosts that are gone and were never known: ids are not reused and would accumulate.
         members = tuple(x for x in members if x.status is not m.HostStatus.GONE or x.id in gone)
-        lines = tuple(self._listed_host(member) for member in members)
-        for line, member in zip(lines, members, strict=True):
-            self.pool.listed(line.host, member.address, line.status is m.HostStatus.READY)
-        if whole:
+        entries = tuple(self._listed_host(member) for member in members)
+        for entry, member in zip(entries, members, strict=True):
+            self.pool.listed(entry.host, member.address, entry.status is m.HostStatus.READY)
+        if complete:
             self.members = {}
         self.members.update((member.id, member) for member in members)
         for name in gone:
             self.members.pop(name, None)
         self._check_host_sockets()
-        self.handle_event(m.ListChanged(whole, lines + doubted))
-        # Only now, as what comes back is sent elsewhere by what the decisions know.
-        for line in lines:
-            self.pool.recall(line.host)
+        self.handle_event(m.ListChanged(complete, entries + missing))
+        # After the event: the decisions route returned hops anew, so they have to know the new list first.
+        for entry in entries:
+            self.pool.recall(entry.host)
         for name in sorted(gone):
             self.pool.unlisted(self.host_indices.pop(name))
 
     def _check_host_sockets(self) -> None:
-        """Once for each time that it comes about: it goes on with fewer, each closed for the next as need be."""
+        """Warns once each time that the hosts outnumber their sockets. Idle connections are then closed for others."""
         room = self.limits.sockets - self.limits.clients
         if (len(self.host_indices) > room) != self.short_of_sockets:
             self.short_of_sockets = not self.short_of_sockets
@@ -431,29 +450,30 @@
                 logger.warning("more cache hosts than sockets for them: {} and {}", len(self.host_indices), room)
 
     def _split_advisory(
-        self, whole: bool, members: tuple[HostEntry, ...]
+        self, complete: bool, members: tuple[HostEntry, ...]
     ) -> tuple[tuple[HostEntry, ...], tuple[m.ListedHost, ...]]:
-        """Where gone is advice: what the list names, and lines for what it lacks or calls gone.
+        """Splits a list whose removals are advisory: the entries that it names, and entries for hosts that it lacks.
 
-        The decisions are told of those; here they stay as they are, and can be reached, until they are forgotten.
+        The latter, reported as gone, go to the decisions only. The dispatcher keeps those hosts reachable until the
+        decisions have forgotten them.
         """
         named = {x.id for x in members if x.status is not m.HostStatus.GONE}
-        lacks = ({x.id for x in members} - named) & self.host_indices.keys() | (
-            self.host_indices.keys() - named if whole else set()
+        lacking = ({x.id for x in members} - named) & self.host_indices.keys() | (
+            self.host_indices.keys() - named if complete else set()
         )
         for name in named:
             self.missing_since.pop(name, None)
-        if lacks and not self.missing_since:
+        if lacking and not self.missing_since:
             self.call_at(self.now() + FORGET_HOST_AFTER_NS + SECOND, self._remove_missing)
-        for name in lacks:
+        for name in lacking:
             self.missing_since.setdefault(name, self.now())
-        lines = tuple(
-            replace(self._listed_host(self.members[name]), status=m.HostStatus.GONE) for name in sorted(lacks)
+        entries = tuple(
+            replace(self._listed_host(self.members[name]), status=m.HostStatus.GONE) for name in sorted(lacking)
         )
-        return tuple(x for x in members if x.id in named), lines
+        return tuple(x for x in members if x.id in named), entries
 
     def _remove_missing(self) -> None:
-        """Hosts that the list has lacked for so long that the decisions have forgotten them."""
+        """Removes hosts that have been missing from the list for so long that the decisions have forgotten them."""
         before = self.now() - FORGET_HOST_AFTER_NS - SECOND
         for name in [name for name, since in self.missing_since.items() if since <= before]:
             del self.missing_since[name], self.members[name]
@@ -461,14 +481,14 @@
         if self.missing_since:
             self.call_at(min(self.missing_since.values()) + FORGET_HOST_AFTER_NS + SECOND, self._remove_missing)
 
-    def set_cold_fraction(self, part: float) -> None:
-        """Another process of this balancer sends to the same cache hosts, or does no more."""
-        if part != self.cold_fraction:
-            self.cold_fraction = part
+    def set_cold_fraction(self, fraction: float) -> None:
+        """Called when another process of this balancer starts or stops sending to the same cache hosts."""
+        if fraction != self.cold_fraction:
+            self.cold_fraction = fraction
             self.update_hosts(True, tuple(self.members.values()))
 
     def _listed_host(self, member: HostEntry) -> m.ListedHost:
-        # The id stands for the host: it is the same at every balancer, where the address may differ.
+        # The id serves as the address: it is the same at every balancer, while addresses may differ.
         if member.id not in self.host_indices:
             self.host_indices[member.id] = self.next_host_index
             self.next_host_index += 1
