--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -1,4 +1,4 @@
-"""One client connection: it reads requests, and writes their answers in the order of the requests."""
+"""One client connection: reads requests and writes their answers in the order of the requests."""
 
 from collections import deque
 from typing import TYPE_CHECKING
@@ -20,25 +20,24 @@
     from ternquay.net.frontend import Frontend
 
 OVERDUE_ANSWER = b"CLIENT_ERROR request was not whole in time"
-MIN_UNREAD_NS = 100 * MS  # bytes that waited no longer than this to be read count as read when they came
-CATCH_UP_NS = (
-    100 * MS
-)  # from a late read on, more of the same counts as having waited like that; else the system is asked
-FULL_READ_BYTES = 16 << 10  # bytes read at once: a client that wrote as much may have been kept from writing more
-RESUME_GRACE_NS = 500 * MS  # for such a one to write more
+MIN_UNREAD_NS = 100 * MS  # bytes that waited no longer than this to be read count as read on arrival
+# For this long after a late read, bytes of the same request part count as equally late; for others the system is asked.
+CATCH_UP_NS = 100 * MS
+FULL_READ_BYTES = 16 << 10  # a read of this size may mean that a full socket buffer kept the client from writing more
+RESUME_GRACE_NS = 500 * MS  # time for such a client to write more
 
 
 class PendingAnswer:
-    """One answer that a client waits for, in its place among the others."""
+    """One answer that a client waits for, in request order. It is the Requester of its transaction."""
 
     __slots__ = ("client", "command", "counted_open", "dispatcher", "stream", "answer", "tx")
 
     def __init__(self, client: "ClientConnection", command: meta.Command) -> None:
         self.client, self.command, self.dispatcher = client, command, client.frontend.dispatcher
         self.answer: bytes | None = None
-        self.stream: ValueStream | None = None  # the value that is its answer, as it comes
+        self.stream: ValueStream | None = None  # a large value of the answer, as it arrives
         self.tx = -1
-        self.counted_open = False  # for whoever counts what its client has open
+        self.counted_open = False  # a subclass counts it as an open transaction of its client
 
     def commit(self, answer: bytes | ValueStream) -> None:
         if isinstance(answer, ValueStream):
@@ -51,7 +50,7 @@
         self.set_answer(meta.rolled_back(wait // MS))
 
     def id(self) -> str:
-        """The request's id, as its client gave it."""
+        """Returns the request id that the client assigned."""
         return self.command.id.decode("latin-1")
 
     def abandon(self) -> None:
@@ -73,7 +72,10 @@
 
 @implementer(IPullProducer)
 class ClientConnection(Driver):
-    """Thin driver of one client connection. As its transport's pull producer it learns when all is out."""
+    """The protocol of one client connection.
+
+    It registers as the transport's pull producer, so that the transport reports when all data was written.
+    """
 
     frontend: "Frontend"
 
@@ -82,25 +84,25 @@
         self.parser = meta.RequestParser(
             frontend.limits.line_bytes, frontend.limits.value_bytes, frontend.limits.stream_above_bytes
         )
-        self.pending: deque[PendingAnswer | bytes] = deque()  # bytes: an answer that needed no transaction
+        self.pending: deque[PendingAnswer | bytes] = deque()  # bytes: an answer that needs no transaction
         self.over_limit = self.closing = self.ended = self.in_read = self.answered = False
-        self.queued_bytes = 0  # bytes that the system has not taken yet
-        self.unsent_since = 0  # since when it was seen that none of those are taken; 0: not looked at
-        self.sent_before = 0  # bytes that the system had taken at the last look
-        self.counted_bytes = 0  # those of them that count against the room of all: a large value is held back instead
-        self.streaming: PendingAnswer | None = None  # whose large value is coming in
-        self.incoming: ValueStream | None = None  # and that value
-        self.buffered_bytes = 0  # bytes of a command that is not whole
-        self.last_activity = 0  # when bytes last went either way
-        self.accepted_at = 0  # when it came
-        self.accepted_iteration = 0  # in which it was accepted
-        self.readable_since = 0  # since when its first bytes may have waited, until they are read
-        self.catch_up_until = 0  # what is read until then had waited, and
-        self.last_arrival = 0  # the last of it came then
+        self.queued_bytes = 0  # bytes that the operating system has not accepted yet
+        self.unsent_since = 0  # when it was first seen that no queued bytes are accepted; 0: not checked
+        self.sent_before = 0  # bytes that the operating system had accepted at the last check
+        self.counted_bytes = 0  # the part of `queued_bytes` that counts towards the shared limit; large values do not
+        self.streaming: PendingAnswer | None = None  # the request whose large value is arriving
+        self.incoming: ValueStream | None = None  # the large value that is arriving
+        self.buffered_bytes = 0  # bytes of an incomplete command
+        self.last_activity = 0  # when bytes were last read or written
+        self.accepted_at = 0
+        self.accepted_iteration = 0  # the loop iteration in which it was accepted
+        self.readable_since = 0  # the earliest time at which its first bytes may have arrived; 0 once they are read
+        self.catch_up_until = 0  # bytes read until this time count as having arrived at `last_arrival`
+        self.last_arrival = 0
         self.deadline = RequestDeadline()
-        self.unreported_bytes = 0  # bytes that the deadline has not been told of
-        self.held_since = 0  # since when reading is held back
-        self.close_reason = CloseReason.MALFORMED  # why it is closed once all that it is owed is written
+        self.unreported_bytes = 0  # bytes that were read but not reported to `deadline`
+        self.held_since = 0  # when reading was paused for a large value
+        self.close_reason = CloseReason.MALFORMED  # for a close after all pending answers are written
 
     def connectionMade(self) -> None:
         super().connectionMade()
@@ -111,12 +113,12 @@
         self.ended = self.transport_closed = True
         self.frontend.client_disconnected(self)
         self.frontend.sockets.descriptor_freed(self)
-        owed, self.pending = self.pending, deque()
-        for one in owed:
-            if isinstance(one, PendingAnswer) and one.stream is not None:
-                one.stream.discard()
-            elif isinstance(one, PendingAnswer) and one.answer is None:
-                one.dispatcher.client_gone(one.tx)
+        pending, self.pending = self.pending, deque()
+        for answer in pending:
+            if isinstance(answer, PendingAnswer) and answer.stream is not None:
+                answer.stream.discard()
+            elif isinstance(answer, PendingAnswer) and answer.answer is None:
+                answer.dispatcher.client_gone(answer.tx)
 
     def rawDataReceived(self, data: bytes) -> None:
         if self.ended or self.closing:
@@ -126,7 +128,7 @@
         self.handle_items(self.parser.feed(data))
 
     def handle_items(self, items: "list[meta.RequestItem]") -> None:
-        """Takes what was read, and writes what is answered by then."""
+        """Handles parsed items and writes the answers that are ready afterwards."""
         self.in_read = True
         if items or not self.parser.awaits_no_value():
             self.frontend.awaiting_first_command.pop(self, None)
@@ -152,156 +154,160 @@
         self.flush()
 
     def update_deadline(self) -> None:
-        """Begins or ends the time in which the request that is not whole has to be."""
+        """Starts, moves or ends the deadline of an incomplete request."""
         arrived, self.unreported_bytes = self.unreported_bytes, 0
         if self.parser.is_idle() and self.deadline.due_at() is None:
-            return  # as most of the time: all that came was whole
+            return  # the common case: all requests are complete
         position = self.parser.position()
         self.deadline.record_read(
             self.last_activity - self.unread_time(position == self.deadline.position), position, arrived
         )
         if self.last_activity < self.catch_up_until and arrived >= FULL_READ_BYTES:
-            # The system may have had no room for more: whoever was kept from writing is given a moment to go on.
+            # The socket buffer may have been full, so the client gets some time to write more.
             self.deadline.defer_until(self.last_activity + RESUME_GRACE_NS)
         self.frontend.deadline_changed(self)
 
-    def unread_time(self, goes_on: bool) -> int:
-        """How long the last of what was read now had waited for that: before it was accepted, or in a process that was
-        busy or stopped. The loop knows the most that it can be; the system, asked where that is long, how long it was.
-        `goes_on`: it belongs to the same part of a request as what was read before.
+    def unread_time(self, same_part: bool) -> int:
+        """Returns how long the last bytes of this read waited to be read, in nanoseconds.
+
+        They may have waited for the accept, or for a busy or stopped process. The loop knows an upper bound; where it
+        is long, the operating system is asked. `same_part`: they belong to the same part of a request as the previous
+        read.
         """
         if self.last_activity < self.catch_up_until:
-            most = self.last_activity - self.last_arrival
-            return most if goes_on else min(most, self.receive_idle_ns())
-        most = self.frontend.loop_timing.max_unread_time(self.last_activity, self.first_byte_since())
-        waited = min(most, self.receive_idle_ns()) if most > MIN_UNREAD_NS else 0
+            bound = self.last_activity - self.last_arrival
+            return bound if same_part else min(bound, self.receive_idle_ns())
+        bound = self.frontend.loop_timing.max_unread_time(self.last_activity, self.first_byte_since())
+        waited = min(bound, self.receive_idle_ns()) if bound > MIN_UNREAD_NS else 0
         if waited > MIN_UNREAD_NS:
-            # Much that has waited is read in many turns of the loop, of which only the first came late.
+            # A large backlog is read in many loop iterations, and only the first of them is late.
             self.last_arrival, self.catch_up_until = self.last_activity - waited, self.last_activity + CATCH_UP_NS
         return waited
 
     def is_overdue(self, now: int) -> bool:
-        """Whether a request has begun to arrive and is not whole in its time, through no doing of ours."""
+        """Whether an incomplete request has passed its deadline and the balancer did not delay it."""
         due = self.deadline.due_at()
         if due is None or now < due or self.ended or self.closing or self.reading_held():
             return False
-        # After a stop of the process, or a long turn, this comes before the reading of what came meanwhile.
+        # After a stall of the process this runs before the bytes that arrived meanwhile are read.
         return may_close(CloseReason.REQUEST_OVERDUE, owes_answer=False, unread=self.has_unread_bytes())
 
     def reading_held(self) -> bool:
-        """Whether it is not read for now, so that its request can't become whole."""
+        """Whether reading is paused, so that an incomplete request cannot become complete."""
         return self.reading_paused
 
     def fail_request(self, reason: CloseReason = CloseReason.REQUEST_OVERDUE) -> None:
-        """Its request was not whole in time: an error in its place behind the answers that are owed, and the close."""
+        """Answers an incomplete request with an error, in order behind pending answers, and closes the connection."""
         self.close_reason = reason
         self.answer_error(meta.InvalidCommand(OVERDUE_ANSWER, fatal=True))
         self.flush()
 
     def answer_error(self, item: meta.InvalidCommand) -> None:
+        """Answers an invalid command. A fatal one closes the connection after the pending answers."""
         self.closing = self.closing or item.fatal
-        owed = self.streaming
-        if owed is None or owed.answer is not None:
+        pending_answer = self.streaming
+        if pending_answer is None or pending_answer.answer is not None:
             self.pending.append(item.line + b"\r\n")
             return
-        # A large value that does not end where it should: what was passed on of it is cut off, and never whole.
-        owed.dispatcher.client_gone(owed.tx)
-        owed.set_answer(item.line + b"\r\n")
+        # The error ends a large value: its hops are cut off, so that no cache host takes the value for complete.
+        pending_answer.dispatcher.client_gone(pending_answer.tx)
+        pending_answer.set_answer(item.line + b"\r\n")
 
-    def hold_stream(self, back: bool) -> None:
-        """The cache host takes a large value more slowly than it comes, or goes on."""
+    def hold_stream(self, paused: bool) -> None:
+        """Pauses reading while the cache host takes a large value more slowly than it arrives, or resumes it."""
         if self.ended:
             return
         self.last_activity = self.frontend.dispatcher.now()
-        self.hold_reading(back)
-        self.catch_up_until = 0  # what comes after this has waited for us
-        if back:
+        self.hold_reading(paused)
+        self.catch_up_until = 0  # bytes that arrive from now on wait because of this pause
+        if paused:
             self.held_since = self.last_activity
         else:
             self.deadline.extend(self.last_activity - self.held_since)
 
     def value_received(self) -> None:
-        """The last byte of a large value."""
-        owed, stream = self.streaming, self.incoming
+        """The last byte of a large value arrived."""
+        pending_answer, stream = self.streaming, self.incoming
         self.streaming = self.incoming = None
-        if owed is not None and stream is not None:
-            owed.dispatcher.tx_fully_received(owed.tx)
+        if pending_answer is not None and stream is not None:
+            pending_answer.dispatcher.tx_fully_received(pending_answer.tx)
             stream.finish()
 
     def discard_value(self) -> None:
-        """What still comes of a large value is read and dropped: its transaction has its answer."""
+        """Discards the rest of a large value as it arrives, because its transaction is already answered."""
         stream, self.streaming, self.incoming = self.incoming, None, None
         if stream is not None:
             stream.discard()
 
     def count_buffered(self) -> None:
-        """Counts what is kept unread."""
+        """Updates the count of buffered bytes and enforces the shared limit on them."""
         self.frontend.buffered_bytes += len(self.parser.buffer) - self.buffered_bytes
         self.buffered_bytes = len(self.parser.buffer)
         if self.frontend.buffered_bytes > self.frontend.limits.buffered_bytes:
             self.frontend.relieve_buffers(self)
 
     def accept_command(self, command: meta.Command) -> None:
-        owed = PendingAnswer(self, command)
-        self.pending.append(owed)
+        """Refuses a command or starts its transaction."""
+        pending_answer = PendingAnswer(self, command)
+        self.pending.append(pending_answer)
         if command.stream_length:
             self.streaming, self.incoming = (
-                owed,
+                pending_answer,
                 ValueStream(command.stream_length, self.frontend.limits.chunk_bytes, self.hold_stream),
             )
         now, loop_timing = self.frontend.dispatcher.now(), self.frontend.loop_timing
-        # Against more than there is time for: all that is taken makes all else late, past its hard limit too.
+        # Under CPU overload, each further transaction delays all others, even beyond their hard limits.
         late = loop_timing.is_overrun(now)
         if late:
             self.frontend.dispatcher.log(
-                "WARNING", "short of CPU: what comes late in a turn of the loop is rolled back"
+                "WARNING", "CPU overload: requests that are read late in a loop iteration are rolled back"
             )
-        why = self.refusal(late)
-        if why is not None:
-            self.frontend.safety.record_request_refusal(why, owed.id)
-            owed.roll_back(self.frontend.dispatcher.jittered(self.frontend.limits.retry_after))
+        refusal = self.refusal(late)
+        if refusal is not None:
+            self.frontend.safety.record_request_refusal(refusal, pending_answer.id)
+            pending_answer.roll_back(self.frontend.dispatcher.jittered(self.frontend.limits.retry_after))
             return
-        self.begin_transaction(command, owed, loop_timing.max_unread_time(now, self.first_byte_since()))
+        self.begin_transaction(command, pending_answer, loop_timing.max_unread_time(now, self.first_byte_since()))
 
     def refusal(self, late: bool) -> RequestRefusal | None:
-        """Why a request is refused before the decisions are asked."""
+        """Returns why a request is refused before the decisions see it, or None."""
         if self.over_limit:
             return RequestRefusal.CROWDED
         if len(self.pending) > self.frontend.limits.pipelined:
             return RequestRefusal.PIPELINED
         return RequestRefusal.LATE_TURN if late else None
 
-    def begin_transaction(self, command: meta.Command, owed: PendingAnswer, unread: int) -> None:
-        names, left = command.params, max(0, command.ttl_ms * MS - unread)
+    def begin_transaction(self, command: meta.Command, pending_answer: PendingAnswer, unread: int) -> None:
+        params, ttl = command.params, max(0, command.ttl_ms * MS - unread)
         arrival = IncomingTx(
-            names["c"],
+            params["c"],
             self.share_name(command),
             command.key.decode("latin-1"),
-            left,
-            names.get("r") == "1",
+            ttl,
+            params.get("r") == "1",
             command.is_write,
             command,
             self.incoming,
             unread,
         )
-        owed.tx = self.frontend.dispatcher.tx_arrived(arrival, owed)
-        if owed.tx < 0:
-            owed.set_answer(b"CLIENT_ERROR unknown profile\r\n")
+        pending_answer.tx = self.frontend.dispatcher.tx_arrived(arrival, pending_answer)
+        if pending_answer.tx < 0:
+            pending_answer.set_answer(b"CLIENT_ERROR unknown profile\r\n")
 
     def first_byte_since(self) -> int:
-        """Since when its first bytes may have waited, 0 for no longer than any others."""
-        # What came before it was accepted is readable at the very next poll: a client that writes later has not waited.
+        """Returns the earliest time at which its first bytes may have arrived; 0: they waited no longer than others."""
+        # Bytes that arrived before the accept are readable at the next poll. Later ones did not wait for the accept.
         return self.readable_since if self.frontend.loop_timing.iteration <= self.accepted_iteration + 1 else 0
 
     def share_name(self, command: meta.Command) -> str:
-        """The name of the share of whoever asks."""
+        """Returns the name of the share that the command counts towards."""
         return command.params.get("tenant", "")
 
-    def answer_ready(self, owed: PendingAnswer) -> None:
-        """One more is answered, though maybe not written yet."""
+    def answer_ready(self, pending_answer: PendingAnswer) -> None:
+        """Hook for subclasses: an answer is known, but maybe not written yet."""
 
     def flush(self) -> None:
-        """Writes what is answered, up to the first that is not."""
+        """Writes all answers up to the first one that is not known yet."""
         while self.pending and not self.ended:
             first = self.pending[0]
             text = first if isinstance(first, bytes) else first.answer
@@ -320,15 +326,15 @@
             else:
                 self.frontend.mark_idle(self)
 
-    def write_stream(self, owed: PendingAnswer, stream: ValueStream) -> bool:
-        """Writes what has come of a large value, once the system has taken the last of it; whether that is all."""
+    def write_stream(self, pending_answer: PendingAnswer, stream: ValueStream) -> bool:
+        """Writes the next chunk of a large value once the previous one was sent. Returns whether the value is done."""
         if stream.aborted:
-            # Short of its length, so that nobody takes it for whole.
+            # Closed before its full length, so that the client does not take the value for complete.
             self.close(CloseReason.VALUE_BROKEN)
             return False
-        if owed.answer:
-            self.write_chunk(owed.answer)
-            owed.answer = b""
+        if pending_answer.answer:
+            self.write_chunk(pending_answer.answer)
+            pending_answer.answer = b""
             return False
         if self.queued_bytes:
             return False
@@ -340,11 +346,13 @@
         return stream.all_taken()
 
     def write_chunk(self, data: bytes) -> None:
+        """Writes a part of a large value, which does not count towards the limits on queued answers."""
         self.queued_bytes += len(data)
         self.last_activity = self.frontend.dispatcher.now()
         self.transport.write(data)
 
     def write_answer(self, text: bytes) -> None:
+        """Writes an answer, or closes the connection where too much is queued."""
         self.queued_bytes += len(text)
         self.counted_bytes += len(text)
         self.frontend.queued_bytes += len(text)
@@ -357,25 +365,25 @@
             self.transport.write(text)
 
     def pending_ids(self) -> list[str]:
-        """The requests that were read and wait for their answers."""
-        return [one.id() for one in self.pending if isinstance(one, PendingAnswer) and one.answer is None]
+        """Returns the ids of requests that wait for their answers."""
+        return [item.id() for item in self.pending if isinstance(item, PendingAnswer) and item.answer is None]
 
     def close(self, reason: CloseReason) -> None:
-        """Ends the connection once what is written has been taken."""
+        """Closes the connection once all written bytes are sent."""
         if not self.ended:
             self.frontend.safety.record_client_close(reason, self.pending_ids())
             self.ended = True
             self.close_after_write()
 
     def abort(self, reason: CloseReason) -> None:
-        """Ends the connection at once, with what is queued on it."""
+        """Closes the connection immediately and drops queued bytes."""
         if not self.ended:
             self.frontend.safety.record_client_close(reason, self.pending_ids())
         self.ended = True
         self.transport.abortConnection()
 
     def resumeProducing(self) -> None:
-        """The system has taken all answers written so far."""
+        """Called by the transport when the operating system has accepted all written bytes."""
         if self.queued_bytes:
             self.frontend.queued_bytes -= self.counted_bytes
             self.queued_bytes = self.counted_bytes = self.unsent_since = 0
@@ -390,15 +398,15 @@
         pass
 
     def is_stalled(self) -> bool:
-        """It takes none of its answers, or is held back from a request that gets nowhere."""
+        """Whether the client reads no answers, or its paused request makes no progress, beyond the stall timeout."""
         now = self.frontend.dispatcher.now()
         if self.queued_bytes:
             return self.unsent_for(now) > self.frontend.limits.stall_timeout
-        half = self.ended or (self.reading_paused and not self.parser.is_idle())
-        return half and now - self.last_activity > self.frontend.limits.stall_timeout
+        incomplete = self.ended or (self.reading_paused and not self.parser.is_idle())
+        return incomplete and now - self.last_activity > self.frontend.limits.stall_timeout
 
     def unsent_for(self, now: int) -> int:
-        """For how long the system has taken none of what is queued. What is read or queued meanwhile is no progress."""
+        """Returns how long the operating system has accepted no queued bytes. Reading or queueing is no progress."""
         taken = self.transport.bytes_taken
         if not self.unsent_since or taken != self.sent_before or self.frontend.loop_timing.process_stalled(now):
             self.unsent_since, self.sent_before = now, taken
