--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -459,7 +459,7 @@
         if self.sockets.hosts:
             self.pool.close_stale()
         if self.frontend.clients:
-            self.frontend.swept()
+            self.frontend.close_stale()
 
     def buffered_bytes(self) -> int:
         """Returns the bytes in memory of incomplete requests and answers, and of what is not answered yet."""
--- a/ternquay/net/frontend.py
+++ b/ternquay/net/frontend.py
@@ -1,4 +1,4 @@
-"""All client connections: which idle, which have a request under way, and which are closed when room is short."""
+"""The frontend: keeps track of all client connections and closes some when sockets or memory run short."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,11 +14,13 @@
 from ternquay.net.safety import CloseReason, may_close
 from ternquay.net.sockets import Sockets
 
-MIN_DEADLINE_CHECK_NS = 50 * MS  # between two looks for requests that are overdue, at least
-CLOSE_DELAY_NS = 20 * MS  # between an answer and the close of a connection that is one too many
+MIN_DEADLINE_CHECK_NS = 50 * MS  # the shortest interval between two checks for overdue requests
+CLOSE_DELAY_NS = 20 * MS  # between an answer and the close of a connection over the limit
 
 
 class Frontend(Factory):
+    """Creates the client connections and tracks which are idle and which have an incomplete request."""
+
     noisy = False
 
     def __init__(
@@ -32,28 +34,28 @@
             loop_timing,
         )
         self.clients: set[ClientConnection] = set()
-        self.queued_bytes = self.buffered_bytes = 0  # bytes of all clients
-        self.idle_clients: dict[ClientConnection, None] = {}  # idle ones, the longest first
-        self.answered_idle: dict[ClientConnection, None] = {}  # those of them that had an answer
-        self.awaiting_first_command: dict[
-            ClientConnection, None
-        ] = {}  # no whole command line has come yet; the oldest first
-        self.partial_requests: dict[ClientConnection, None] = {}  # a request has begun to arrive and is not whole
-        self.deadline_call: DelayedCall | None = None  # the next look at those
-        self.next_deadline_check = 0  # when that is
+        self.queued_bytes = self.buffered_bytes = 0  # over all clients
+        self.idle_clients: dict[ClientConnection, None] = {}  # longest idle first
+        self.answered_idle: dict[ClientConnection, None] = {}  # idle clients that have received an answer
+        # Clients that have not sent a complete command line yet, oldest first.
+        self.awaiting_first_command: dict[ClientConnection, None] = {}
+        self.partial_requests: dict[ClientConnection, None] = {}  # clients with an incomplete request
+        self.deadline_call: DelayedCall | None = None  # the next check of `partial_requests`
+        self.next_deadline_check = 0
         self.safety = dispatcher.safety
         self.leaving = self.accepting_paused = False
-        self.new_client_grace = 0  # how long one that has said nothing yet is left while they leave
-        self.noop_answer = meta.NOOP_ANSWER  # what an `mn` is answered with
+        self.new_client_grace = 0  # while leaving, a client that has sent nothing is kept for this long
+        self.noop_answer = meta.NOOP_ANSWER  # the answer to `mn`
         self.set_accepting: Callable[[bool], None] = lambda accept: None
-        self.accept_queue_length: Callable[[], int] = lambda: 0  # how many clients wait to be accepted
-        self.eviction_call: DelayedCall | None = None  # the next look for places for those
+        self.accept_queue_length: Callable[[], int] = lambda: 0
+        self.eviction_call: DelayedCall | None = None  # the next eviction for clients that wait to be accepted
         sockets.close_idle_client, sockets.on_room = self.close_longest_idle, self.resume_accepting
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
         return ClientConnection(self)
 
     def client_connected(self, client: ClientConnection) -> None:
+        """Registers an accepted client, and pauses accepting when all sockets are in use."""
         self.clients.add(client)
         client.over_limit = not self.sockets.client_opened()
         client.last_activity, client.readable_since = self.dispatcher.now(), self.loop_timing.waiting_since()
@@ -61,7 +63,8 @@
         self.awaiting_first_command[client] = None
         self.mark_idle(client)
         if self.sockets.full():
-            # Against closing one that has just written its transaction: the next ones wait to be accepted.
+            # Further clients wait in the accept queue. Closing a client for them could cut off a transaction that it
+            # has just written.
             self.accepting_paused = True
             self.set_accepting(False)
             if self.eviction_call is None:
@@ -70,7 +73,7 @@
                 )
 
     def _evict_for_waiting(self) -> None:
-        """Places for those that wait to be accepted, as long as all are taken."""
+        """Closes inactive clients for those that wait to be accepted, while accepting is paused."""
         self.eviction_call = None
         if not self.accepting_paused:
             return
@@ -80,10 +83,11 @@
         evict_clients(self, self.accept_queue_length())
 
     def accept_room(self) -> int:
-        """How many clients may be accepted at once without passing the limit on sockets."""
+        """Returns how many clients may be accepted now without exceeding the socket limit, at least 1."""
         return max(1, min(self.limits.accepts_per_turn, self.sockets.remaining()))
 
     def client_disconnected(self, client: ClientConnection) -> None:
+        """Stops tracking a client whose connection has ended."""
         if client not in self.clients:
             return
         self.clients.discard(client)
@@ -98,74 +102,76 @@
         self.resume_accepting()
 
     def deadline_changed(self, client: ClientConnection) -> None:
-        """What was read of that client has moved the deadline of its request, or ended it."""
+        """Called after a read from the client, which may have moved or ended the deadline of its request."""
         due = client.deadline.due_at()
         if due is None or client.ended:
             self.partial_requests.pop(client, None)
             return
         self.partial_requests[client] = None
-        # Most requests that begin are due after all others that are under way; not one whose bytes waited to be read.
+        # Most new requests are due after all others; a request whose bytes waited to be read may be due earlier.
         if self.deadline_call is None or due < self.next_deadline_check:
             self._schedule_deadline_check(due)
 
     def _schedule_deadline_check(self, at: int) -> None:
-        """One timer serves all requests that are not whole."""
+        """Sets the single timer that serves all incomplete requests."""
         cancel_call(self.deadline_call)
         self.next_deadline_check = at
         self.deadline_call = self.dispatcher.call_at(at, self._fail_overdue_requests)
 
     def _fail_overdue_requests(self) -> None:
-        """Ends the requests that are overdue, and looks again when the next one is."""
+        """Fails overdue requests and schedules the check for the next one."""
         self.deadline_call = None
         now = self.dispatcher.now()
         try:
-            for client in [one for one in self.partial_requests if one.is_overdue(now)]:
-                # The end of one may set off that of another, which was to be ended here too.
+            for client in [candidate for candidate in self.partial_requests if candidate.is_overdue(now)]:
+                # Failing one request may already have ended another client of this loop.
                 if self.partial_requests.pop(client, self) is None:
                     client.fail_request()
         finally:
-            dues = [due for one in self.partial_requests if (due := one.deadline.due_at()) is not None]
+            dues = [due for candidate in self.partial_requests if (due := candidate.deadline.due_at()) is not None]
             if dues:
                 self._schedule_deadline_check(max(min(dues), now + MIN_DEADLINE_CHECK_NS))
 
     def has_unsent_answers(self) -> bool:
-        """Whether a client is owed an answer, or bytes of one."""
+        """Whether a client waits for an answer or for queued bytes of one."""
         return any(client.pending or client.queued_bytes for client in self.clients)
 
     def resume_accepting(self) -> None:
-        """Clients are accepted again once there is room for them."""
+        """Resumes accepting once sockets are available."""
         if self.accepting_paused and not self.sockets.full():
             self.accepting_paused = False
             self.set_accepting(True)
 
     def mark_busy(self, client: ClientConnection) -> None:
+        """Records that the client is not idle."""
         self.idle_clients.pop(client, None)
         self.answered_idle.pop(client, None)
 
     def mark_idle(self, client: ClientConnection) -> None:
+        """Records that the client is idle if it is, and closes idle clients over the limits."""
         if not client.pending and not client.queued_bytes and not client.ended and client.parser.is_idle():
             self.idle_clients[client] = None
             if client.answered:
                 self.answered_idle[client] = None
                 if len(self.answered_idle) > self.limits.idle_clients:
-                    # Against clients that ask once and keep the connection: the others would get none.
+                    # Clients that send one request and keep the connection would otherwise use up all sockets.
                     self.close_idle(next(iter(self.answered_idle)))
-            # At a drain one that has just come is about to write: it is closed after its answer.
+            # During a drain, a new client is about to send a request: it is closed after the answer.
             if self.leaving and (client.answered or not self.new_client_grace):
                 self.close_idle(client)
             elif client.answered and (client.over_limit or self.accepting_paused):
-                # Not in this step: what a client has written behind its request may be on its way.
+                # Delayed, because another request that the client has already sent may be on its way.
                 self.dispatcher.call_at(
                     client.last_activity + CLOSE_DELAY_NS, self._close_if_still_idle, client, client.last_activity
                 )
 
-    def _close_if_still_idle(self, client: ClientConnection, moved: int) -> None:
-        """Closes one that was idle then and has been since."""
-        if client in self.idle_clients and client.last_activity == moved:
+    def _close_if_still_idle(self, client: ClientConnection, last_activity: int) -> None:
+        """Closes a client that has been idle since `last_activity`."""
+        if client in self.idle_clients and client.last_activity == last_activity:
             self.close_idle(client)
 
     def close_longest_idle(self) -> bool:
-        """Closes the client connection that has been idle longest."""
+        """Closes the client that has been idle longest, or one without a complete command. Returns whether one was."""
         now = self.dispatcher.now()
         for client in self.idle_clients:
             if client.answered or now - client.last_activity > self.limits.new_client_grace:
@@ -173,45 +179,47 @@
         return self._close_without_command(1) > 0
 
     def _close_without_command(self, most: int) -> int:
-        """Closes the oldest that have sent nothing whole for longer than a true one takes; how many."""
+        """Closes up to `most` clients, oldest first, that sent no complete command in time. Returns how many."""
         before = self.dispatcher.now() - self.limits.first_command_timeout
-        old: list[ClientConnection] = []
+        overdue: list[ClientConnection] = []
         for client in self.awaiting_first_command:
-            if client.accepted_at > before or len(old) >= most:
+            if client.accepted_at > before or len(overdue) >= most:
                 break
             if may_close(CloseReason.NO_REQUEST, owes_answer=False, unread=client.has_unread_bytes()):
-                old.append(client)
-        for client in old:
+                overdue.append(client)
+        for client in overdue:
             self.drop(client, CloseReason.NO_REQUEST)
-        return len(old)
+        return len(overdue)
 
     def close_idle(self, client: ClientConnection) -> bool:
+        """Closes an idle client, unless it has unread bytes. Returns whether it was closed."""
         if not client.close_if_nothing_unread():
             return False
-        idle = CloseReason.IDLE if client.answered else CloseReason.NO_REQUEST
-        self.safety.record_client_close(CloseReason.LEAVING if self.leaving else idle, client.pending_ids())
+        reason = CloseReason.IDLE if client.answered else CloseReason.NO_REQUEST
+        self.safety.record_client_close(CloseReason.LEAVING if self.leaving else reason, client.pending_ids())
         client.ended = True
         self.client_disconnected(client)
         return True
 
     def drop(self, client: ClientConnection, reason: CloseReason) -> None:
-        """Closes it now, and counts it no longer."""
+        """Closes the connection immediately and stops counting it."""
         client.abort(reason)
         self.client_disconnected(client)
         client.queued_bytes = client.counted_bytes = client.buffered_bytes = 0
 
     def relieve_buffers(self, client: ClientConnection) -> None:
-        """More is kept of half-read commands than there is room for."""
+        """Called when incomplete commands exceed their memory limit; `client` was the last to add to them."""
         client.abort(CloseReason.MEMORY)
 
     def sweep(self) -> None:
-        # Made first, so that a fault in one look does not end them all.
+        """Calls close_stale() at a fixed interval, starting now."""
+        # Scheduled first, so that an exception in one sweep does not end the sweeps.
         self.reactor.callLater(self.limits.sweep_interval / SECOND, self.sweep)
-        self.swept()
+        self.close_stale()
 
-    def swept(self) -> None:
-        """Closes clients that take up room and do not go on."""
-        # After a stop of the process, or a long turn, this comes before the reading of what came meanwhile.
+    def close_stale(self) -> None:
+        """Closes clients that hold resources and make no progress."""
+        # After a stall of the process this runs before the bytes that arrived meanwhile are read.
         for client in [c for c in self.clients if c.is_stalled() and (c.queued_bytes or not c.has_unread_bytes())]:
             client.abort(
                 CloseReason.ANSWERS_UNREAD if client.queued_bytes or client.ended else CloseReason.VALUE_BROKEN
@@ -223,9 +231,12 @@
         if self.leaving:
             self._close_idle_clients()
 
-    def leave(self, spared: int = 0) -> None:
-        """From now on connections are closed between transactions, new ones too."""
-        self.leaving, self.new_client_grace = True, spared
+    def leave(self, new_client_grace: int = 0) -> None:
+        """Closes connections between transactions from now on, including new ones.
+
+        A client that has sent nothing is kept for `new_client_grace` nanoseconds after its last activity.
+        """
+        self.leaving, self.new_client_grace = True, new_client_grace
         self._close_idle_clients()
 
     def _close_idle_clients(self) -> None:
@@ -234,7 +245,7 @@
             self.close_idle(client)
 
     def close_inactive(self) -> None:
-        """Closes what owes nothing and does not move: half a command, for one."""
+        """Closes clients that wait for no answer and are inactive, for example in an incomplete command."""
         before = self.dispatcher.now() - self.limits.new_client_grace
         for client in [c for c in self.clients if not c.pending and not c.queued_bytes and c.last_activity <= before]:
             if may_close(CloseReason.LEAVING, owes_answer=False, unread=client.has_unread_bytes()):
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -287,7 +287,7 @@
     net.runtime.resources.scheduler.scheduled_run.cancel()  # its turn does not come for 6 s
     for _ in range(6):
         net.reactor.advance(1.0)
-        net.frontend.swept()
+        net.frontend.close_stale()
         net.take()
     assert half.lost and not waits.lost, net.trace
     assert not waits.protocol.run_piece()
