--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -189,10 +189,10 @@
         assert not connects(other)  # bound for it, and not left behind
         after = host.registry.with_change(CreateTenant(norte))
         host.apply(after, "norte", host.prepare(after, "norte"))
-    assert connects(norte.listeners[0]) and connects(one.listeners[0]) and tenancy.frontend.open_most != 7
+    assert connects(norte.listeners[0]) and connects(one.listeners[0]) and tenancy.frontend.max_open_txs != 7
     after = host.registry.with_change(SetState("sur", State.SUSPENDED))
     host.apply(after, "sur", host.prepare(after, "sur"))
-    assert tenancy.frontend.open_most == 7 and tenancy.frontend.shut and host.registry.version == 4
+    assert tenancy.frontend.max_open_txs == 7 and tenancy.frontend.suspended_delay and host.registry.version == 4
     over(host)
 
 
@@ -452,10 +452,10 @@
             client.recv(1000)
         if point == POINTS[4]:
             process.send_signal(signal.SIGTERM)
-            until(lambda: b"told to end" in (tmp_path / "log").read_bytes())
+            until(lambda: b"shutdown requested" in (tmp_path / "log").read_bytes())
         if point == POINTS[5]:
             process.send_signal(signal.SIGHUP)
-            until(lambda: b"read the configuration again" in (tmp_path / "log").read_bytes())
+            until(lambda: b"configuration reloaded" in (tmp_path / "log").read_bytes())
         process.kill()
         process.wait()
         before = list(host.ids)
@@ -504,7 +504,7 @@
             process.send_signal(number)
         assert client.recv(99) == b"SERVER_ERROR failed\r\n"
         assert process.wait(10) == 0
-        assert (tmp_path / "log").read_text().count("told to end") == 1
+        assert (tmp_path / "log").read_text().count("shutdown requested") == 1
     host.end()
 
 
