--- a/ternquay/hosted/shared/frontend.py
+++ b/ternquay/hosted/shared/frontend.py
@@ -86,7 +86,7 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         for one in self.pending:
-            if isinstance(one, PendingAnswer) and one.text is None:
+            if isinstance(one, PendingAnswer) and one.answer is None:
                 self.answer_ready(one)
         super().connectionLost(reason)
 
@@ -97,7 +97,7 @@
         if not self.unread_since:
             self.unread_since = self.first_byte_since() or frontend.loop_timing.earliest_arrival
         self.unreported_bytes += len(data)
-        self.parser.add(data)
+        self.parser.buffer_data(data)
         if self.waiting or self.answers_full:
             self.count_buffered()
             self.pause_if_full()
@@ -154,7 +154,7 @@
         while True:
             self.readable_since, self.accepted_iteration = self.unread_since, self.frontend.loop_timing.iteration
             self.frontend.mark_busy(self)
-            items = self.parser.read(ITEMS_PER_CLOCK_CHECK, self.admission_delay)
+            items = self.parser.parse(ITEMS_PER_CLOCK_CHECK, self.admission_delay)
             self.handle_items(items)
             if self.ended or self.closing:
                 return False
@@ -195,7 +195,7 @@
             self.frontend.safety.record_request_refusal(RequestRefusal.SHARE, owed.id)
             owed.roll_back(self.frontend.dispatcher.jittered(self.frontend.limits.retry_after))
             return
-        owed.counted = True
+        owed.counted_open = True
         self.open += 1
         self.frontend.tx_opened(self)
         super().begin_transaction(command, owed, unread)
@@ -204,8 +204,8 @@
         return CROWDING_SHARE if self.frontend.crowds(self) else command.params.get("tenant", "")
 
     def answer_ready(self, owed: PendingAnswer) -> None:
-        if owed.counted:
-            owed.counted = False
+        if owed.counted_open:
+            owed.counted_open = False
             self.open -= 1
             self.frontend.tx_closed(self)
 
@@ -312,7 +312,7 @@
 
     def relieve_buffers(self, client: ClientConnection) -> None:
         # Drops the client that buffers most rather than the one whose data came last.
-        self.drop(max(self.clients, key=lambda one: one.kept), CloseReason.MEMORY)
+        self.drop(max(self.clients, key=lambda one: one.buffered_bytes), CloseReason.MEMORY)
 
     # ---- transactions ----
 
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -241,7 +241,7 @@
             return "ending"
         if self.draining:
             self._cancel_drain()
-            self.frontend.leaving, self.frontend.noop_answer = False, meta.HELLO
+            self.frontend.leaving, self.frontend.noop_answer = False, meta.NOOP_ANSWER
             logger.info("in service")
         return ""
 
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -523,7 +523,7 @@
         looks.append(net.dispatcher.now())
         raise ValueError("broken on purpose")
 
-    monkeypatch.setattr(part, {"frontend": "swept", "pool": "close_stale"}[owner], broken)
+    monkeypatch.setattr(part, "close_stale", broken)
     for _ in range(4):
         with suppress(ValueError):
             net.reactor.advance(net.limits.sweep_interval / SECOND)
