--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -147,12 +147,12 @@
             port.stopListening()
             return
         self.port = port
-        port.room, port.accepted, port.failed = (
+        port.accept_limit, port.on_accepted, port.on_no_room = (
             self.frontend.accept_room,
             self.loop_timing.accept_ended,
             self.frontend.close_longest_idle,
         )
-        self.frontend.set_accepting = lambda accept: port.gate(accept and not self.peer_accepts)
+        self.frontend.set_accepting = lambda accept: port.set_accepting(accept and not self.peer_accepts)
         if isinstance(port, Listener):
             self.frontend.accept_queue_length = port.queue_length
         logger.info("{} serves on {}", self.config.name, self.config.listen)
