--- a/ternquay/net/meta.py
+++ b/ternquay/net/meta.py
@@ -1,11 +1,12 @@
-"""The platform's protocol as two state machines: they are fed bytes, know no socket, keep one buffer each.
+"""The platform's memcached-meta protocol, as two incremental parsers without I/O. Each keeps one buffer.
 
-    for item in ClientSide(line, value).feed(data): ...   # Command, Hello or Bad, in their order
-    for answer in HostSide(line, value).feed(data): ...   # Answer, in the order of what expect() was told
+    for item in RequestParser(max_line, max_value).feed(data): ...   # Command, NoOp or InvalidCommand, in order
+    for answer in ResponseParser(max_line, max_value).feed(data): ...   # Answer, in the order of expect() calls
 
-A value over `whole` is not kept: after its Command, or a Begun in place of the Answer, it comes as Pieces and a Finish.
+A value longer than `stream_above_bytes` is streamed: a Command, or a ValueHeader in place of the Answer, is followed by
+ValueChunks and a ValueEnd.
 
-A buffer grows as bytes come and is compacted in place once a feed has read what is whole.
+A buffer grows as data arrives and is compacted in place after each feed.
 """
 
 import re
@@ -21,36 +22,38 @@
 PRINTABLE = re.compile(rb"[!-~]+")
 MAX_TTL_MS = 10**9
 KNOWN_ANSWERS = {b"VA", b"HD", b"EN", b"MN", b"NF", b"EX", b"ERROR", b"CLIENT_ERROR", b"SERVER_ERROR"}
+# The flags of a response to a read (h1: hit, h0: miss, Z: another fetch is in progress) as HopEnded.cache_result.
 CACHE_RESULTS = {(b"h1", False): 1, (b"h0", False): 2, (b"h0", True): 3}
 
 
 @dataclass(slots=True, frozen=True)
 class Command:
-    """One transaction as a client wrote it."""
+    """A transaction as the client wrote it."""
 
     verb: bytes
     key: bytes
-    flags: tuple[bytes, ...]  # as they came, with the names under P at place `names_at`
+    flags: tuple[bytes, ...]  # as received; the P flag, which holds the parameters, is at index `params_at`
     params_at: int
     id: bytes
     params: dict[str, str]
     ttl_ms: int
     value: bytes | None
-    stream_length: int = 0  # of a value that is not kept, whose pieces follow
+    stream_length: int = 0  # the length of a streamed value, whose chunks follow
 
     @property
     def is_write(self) -> bool:
         return self.verb == b"ms"
 
     def size(self) -> int:
+        """Returns the approximate memory use in bytes."""
         return len(self.value or b"") + 512
 
     def forward(self, wait_ms: int) -> bytes:
-        """The command for a cache host: all as it came but how long its answer is waited for."""
+        """Returns the command for a cache host: as received, apart from the time `d` to wait for the answer."""
         flags = list(self.flags)
         names = flags[self.params_at][1:].split(b",")
-        told = [b"d=%d" % wait_ms if name.startswith(b"d=") else name for name in names]
-        flags[self.params_at] = b"P" + b",".join(told)
+        updated = [b"d=%d" % wait_ms if name.startswith(b"d=") else name for name in names]
+        flags[self.params_at] = b"P" + b",".join(updated)
         if self.stream_length:
             return b" ".join((self.verb, self.key, b"%d" % self.stream_length, *flags)) + b"\r\n"
         if self.value is None:
@@ -61,12 +64,12 @@
 
 @dataclass(slots=True, frozen=True)
 class NoOp:
-    """A client asks if the balancer serves."""
+    """An `mn` command, which asks whether the balancer serves."""
 
 
 @dataclass(slots=True, frozen=True)
 class InvalidCommand:
-    """What is no command; after a fatal one the stream can't be followed."""
+    """An invalid command and the error line that answers it. After a fatal one, the stream cannot be parsed."""
 
     line: bytes
     fatal: bool = False
@@ -74,21 +77,21 @@
 
 @dataclass(slots=True, frozen=True)
 class OverLimit:
-    """A command that was read no further than where it ends: whoever wrote it is over a limit."""
+    """A command that was not parsed, because its sender exceeds a limit."""
 
-    wait: int  # until it is not, in nanoseconds
+    wait: int  # nanoseconds until the sender is within the limit
 
 
 @dataclass(slots=True, frozen=True)
 class ValueChunk:
-    """Some of a value that is not kept."""
+    """A part of a streamed value."""
 
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class ValueEnd:
-    """A value that is not kept has ended as its length said."""
+    """The end of a streamed value, after as many bytes as announced."""
 
 
 RequestItem = Command | NoOp | InvalidCommand | OverLimit | ValueChunk | ValueEnd
@@ -96,6 +99,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
+    """A complete response of a cache host."""
+
     outcome: m.HopOutcome
     body: bytes = b""  # the value or the receipt
     cache_result: int = 0
@@ -103,28 +108,30 @@
 
 @dataclass(slots=True, frozen=True)
 class ValueHeader:
-    """The line of an answer whose value is not kept."""
+    """The first line of a response whose value is streamed."""
 
     length: int
     cache_result: int = 0
 
 
 class ProtocolError(Exception):
-    """A cache host wrote what is no answer to what it was sent."""
+    """A cache host sent data that is not a valid response to its commands."""
 
 
 def value_header(command: Command, length: int) -> bytes:
-    """The line of a committed read, before its value."""
+    """Returns the first line of a committed read, which precedes the value."""
     return b"VA %d O%b\r\n" % (length, command.id)
 
 
 def committed(command: Command, body: bytes) -> bytes:
+    """Returns the response of a committed transaction; `body` is its value or receipt."""
     if command.is_write:
         return b"HD O%b c%b\r\n" % (command.id, body)
     return value_header(command, len(body)) + body + b"\r\n"
 
 
 def rolled_back(wait_ms: int) -> bytes:
+    """Returns the response of a transaction that was rolled back and may be retried after `wait_ms`."""
     return b"SERVER_ERROR busy %d\r\n" % wait_ms if wait_ms > 0 else b"SERVER_ERROR busy\r\n"
 
 
@@ -134,18 +141,18 @@
 
 
 def parse_length(word: bytes) -> int:
-    """A length as written, or -1."""
+    """Parses a decimal length. Returns -1 if it is invalid."""
     return int(word) if word.isdigit() and len(word) < 10 else -1
 
 
 def find_line_end(buffer: bytearray, at: int, most: int) -> int:
-    """Where the line that begins at `at` ends; -1: not yet; -2: it is longer than it may be."""
+    """Returns the end of the line that starts at `at`; -1: incomplete; -2: longer than `most`."""
     end = buffer.find(b"\r\n", at, at + most + 2)
     return -2 if end < 0 and len(buffer) - at >= most + 2 else end
 
 
 def find_value_end(buffer: bytearray, at: int, length: int) -> int:
-    """Where the value that begins at `at` ends; -1: not yet; -2: its end is not where it should be."""
+    """Returns the end of the value that starts at `at`; -1: incomplete; -2: it does not end after `length` bytes."""
     end = at + length
     if len(buffer) < end + 2:
         return -1
@@ -153,23 +160,23 @@
 
 
 def next_chunk(buffer: bytearray, at: int, left: int) -> bytes:
-    """What has come of a value that wants `left` more bytes."""
+    """Returns the received part of a value of which `left` bytes are missing."""
     return bytes(memoryview(buffer)[at : at + min(left, len(buffer) - at)])
 
 
 def describe_unexpected(verb: bytes, size: int) -> str:
-    """What a line is called that is no answer, without any of its bytes: they may be of a value."""
+    """Describes an invalid response line without quoting it, because its bytes may belong to a value."""
     return f"unexpected {verb.decode()}, {size} bytes" if verb in KNOWN_ANSWERS else f"unexpected line of {size} bytes"
 
 
 def parse_command(words: list[bytes]) -> Command | InvalidCommand:
-    """A command line; the value of a write is added when it has come."""
+    """Parses a command line. The value of a write is added when it has arrived."""
     if len(words) < 2 or not 0 < len(words[1]) <= MAX_KEY_BYTES:
         return InvalidCommand(b"CLIENT_ERROR bad key")
     flags = tuple(words[3:] if words[0] == b"ms" else words[2:])
-    # What a cache host can't read costs the connection that it goes out on, and counts against that host.
-    strange = any(f != b"v" and f[:1] not in (b"O", b"P") for f in flags)
-    if strange or flags.count(b"v") != (words[0] == b"mg") or not PRINTABLE.fullmatch(b"".join(words)):
+    # A command that a cache host cannot parse would cost a connection to it and count as its failure.
+    unknown = any(f != b"v" and f[:1] not in (b"O", b"P") for f in flags)
+    if unknown or flags.count(b"v") != (words[0] == b"mg") or not PRINTABLE.fullmatch(b"".join(words)):
         return InvalidCommand(b"CLIENT_ERROR bad flags")
     ids = [f[1:] for f in flags if f[:1] == b"O"]
     places = [i for i, f in enumerate(flags) if f[:1] == b"P"]
@@ -193,32 +200,37 @@
 
 @dataclass(slots=True)
 class RequestParser:
-    """Reads what one client writes."""
+    """Parses the commands of one client connection."""
 
     max_line_bytes: int
     max_value_bytes: int
-    stream_above_bytes: int = sys.maxsize  # a longer value is not kept
+    stream_above_bytes: int = sys.maxsize  # a longer value is streamed
     buffer: bytearray = field(default_factory=bytearray)
-    awaiting_value: Command | InvalidCommand | OverLimit | None = None  # a write whose value is still to come
-    stream_left: int = -1  # of a value that is not kept
+    awaiting_value: Command | InvalidCommand | OverLimit | None = None  # a write whose value has not arrived yet
+    stream_left: int = -1  # missing bytes of a streamed value; -1: none is being streamed
     value_length: int = 0
     failed: bool = False
     limit_wait: Callable[[], int] | None = None
-    line_count: int = 0  # command lines that were read
+    line_count: int = 0  # command lines parsed so far
 
     def feed(self, data: bytes) -> list[RequestItem]:
+        """Adds data and returns the items that are complete now."""
         self.buffer_data(data)
         return self.parse()
 
     def buffer_data(self, data: bytes) -> None:
+        """Adds data without parsing it."""
         if not self.failed:
             self.buffer += data
 
-    def parse(self, most: int = sys.maxsize, over: Callable[[], int] | None = None) -> list[RequestItem]:
-        """The next `most` commands that are whole. `over` is asked before each is read further than its end: if
-        it tells a time to wait, no more than that is found of it."""
+    def parse(self, most: int = sys.maxsize, limit_wait: Callable[[], int] | None = None) -> list[RequestItem]:
+        """Returns up to `most` complete items.
+
+        `limit_wait` is called for each command before it is parsed beyond its end. If it returns a time to wait, the
+        command becomes an OverLimit item.
+        """
         found: list[RequestItem] = []
-        at, self.limit_wait = 0, over
+        at, self.limit_wait = 0, limit_wait
         while not self.failed and len(found) < most:
             if self.stream_left >= 0:
                 step = self._parse_chunk(at, found)
@@ -234,15 +246,15 @@
         return found
 
     def awaits_no_value(self) -> bool:
-        """No command line of a write is known whose value is still to come."""
+        """Whether no parsed command line waits for its value."""
         return self.awaiting_value is None
 
     def is_idle(self) -> bool:
-        """Nothing of a command has come."""
+        """Whether no part of a command has arrived."""
         return not self.buffer and self.awaiting_value is None
 
     def position(self) -> Position:
-        """How far the request has come that is not whole."""
+        """Returns how far the incomplete request has been received."""
         if self.failed or self.is_idle():
             return Position(RequestPart.NONE, self.line_count)
         return Position(RequestPart.LINE if self.awaiting_value is None else RequestPart.VALUE, self.line_count)
@@ -269,7 +281,7 @@
             found.append(self._parse_words(words))
         elif verb == b"ms":
             length = parse_length(words[2]) if len(words) > 2 else -1
-            # Without the length there is no telling where the next command begins.
+            # Without the length, the start of the next command is unknown.
             if length < 0:
                 return self._fail(b"CLIENT_ERROR bad length", found)
             if length > self.max_value_bytes:
@@ -277,7 +289,7 @@
             self.awaiting_value, self.value_length = self._parse_words(words), length
             if length > self.stream_above_bytes:
                 self.stream_left = length
-                # Of what is no command nothing is passed on, and it is told so before the value has come.
+                # An invalid command is answered before its value arrives, and nothing of the value is passed on.
                 found.append(
                     replace(self.awaiting_value, stream_length=length)
                     if isinstance(self.awaiting_value, Command)
@@ -320,23 +332,24 @@
 
 @dataclass(slots=True)
 class ResponseParser:
-    """Reads what one cache host answers on one connection."""
+    """Parses the responses of one cache host on one connection."""
 
     max_line_bytes: int
     max_value_bytes: int
-    stream_above_bytes: int = sys.maxsize  # a longer value is not kept
+    stream_above_bytes: int = sys.maxsize  # a longer value is streamed
     buffer: bytearray = field(default_factory=bytearray)
-    expected: deque[tuple[bytes, bool]] = field(default_factory=deque)  # id and whether it writes, in order
-    value_length: int = -1  # of a value whose line has been read
-    stream_left: int = -1  # of one that is not kept
+    expected: deque[tuple[bytes, bool]] = field(default_factory=deque)  # request id and whether it is a write, in order
+    value_length: int = -1  # of a value whose first line was parsed; -1: none
+    stream_left: int = -1  # missing bytes of a streamed value; -1: none is being streamed
     cache_result: int = 0
     fault: str = ""
 
     def expect(self, command: Command) -> None:
+        """Records that a command was sent, whose response is expected after the earlier ones."""
         self.expected.append((command.id, command.is_write))
 
     def feed(self, data: bytes) -> list[ResponseItem]:
-        """The answers that are whole now; from the first thing on that is none, `fault` says what it was."""
+        """Adds data and returns the items that are complete now. Stops at invalid data, which `fault` describes."""
         found: list[ResponseItem] = []
         self.buffer += data
         at = done = 0
