--- a/ternquay/net/closing.py
+++ b/ternquay/net/closing.py
@@ -1,4 +1,4 @@
-"""What the end of a process owes: those who wait at its door, and the bytes of the last answers."""
+"""Shutdown steps: accepts the connections that wait in the accept queue, and waits until the last answers are sent."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -6,11 +6,11 @@
 from ternquay.net.limits import SECOND
 from ternquay.net.sockets import Sockets
 
-POLL_INTERVAL_SECONDS = 0.002  # seconds
+POLL_INTERVAL_SECONDS = 0.002
 
 
 class Accepting(Protocol):
-    """A listening port that counts the connections it has accepted."""
+    """A listening port that counts the connections that it accepts."""
 
     sessionno: int
 
@@ -18,7 +18,10 @@
 
 
 def accept_all_waiting(port: Accepting, sockets: Sockets) -> bool:
-    """Whether nobody waits at the door: who was let in by the system only would be reset, with what it wrote."""
+    """Accepts waiting connections while there are sockets for them. Returns whether none waits any more.
+
+    Closing the listening socket would reset connections in its queue, whose clients may already have sent requests.
+    """
     while not sockets.full():
         before = port.sessionno
         port.accept()
@@ -27,17 +30,17 @@
     return False
 
 
-def after_answers_sent(reactor: Any, owes: Callable[[], bool], most: int, then: Callable[[], None]) -> None:
-    """Calls `then` once nothing is owed, or after so long.
+def after_answers_sent(reactor: Any, has_unsent: Callable[[], bool], timeout: int, then: Callable[[], None]) -> None:
+    """Calls `then` once no answers are unsent, or after `timeout` nanoseconds.
 
-    What is answered in this very turn, by a loop that is behind, is written in the next one.
+    Answers given in the current loop iteration are written in the next one.
     """
-    until = reactor.seconds() + most / SECOND
+    until = reactor.seconds() + timeout / SECOND
 
-    def look() -> None:
-        if owes() and reactor.seconds() < until:
-            reactor.callLater(POLL_INTERVAL_SECONDS, look)
+    def check() -> None:
+        if has_unsent() and reactor.seconds() < until:
+            reactor.callLater(POLL_INTERVAL_SECONDS, check)
         else:
             then()
 
-    look()
+    check()
--- a/ternquay/net/idle_loss.py
+++ b/ternquay/net/idle_loss.py
@@ -1,36 +1,36 @@
-"""How often idle connections are lost unseen, by how long they were idle. Without I/O; times are whole nanoseconds."""
+"""How often idle connections turn out to be broken, by idle time. No I/O; times are integer nanoseconds."""
 
 from ternquay.net.limits import MS, Limits
 
 
 class IdleLoss:
-    """What idle connections come to, by how long they were idle: whatever lies between may forget them.
+    """Estimates which idle times break connections, as network devices may silently drop idle ones.
 
-    Where more than one in five that rested as long broke under their next hop, none so old is used; what
-    was seen counts half after each `half`, so that they are tried again.
+    A connection is not reused if more than MAX_LOSS_RATIO of those that were idle for a similar time broke under their
+    next hop. Samples lose half their weight after each `half_life`, so that such idle times are tried again.
     """
 
     MAX_LOSS_RATIO = 0.2
 
     def __init__(self, limits: Limits) -> None:
         self.half_life, self.min_samples, self.decayed_at = limits.idle_loss_half_life, limits.idle_loss_min_samples, 0
-        # Each span is twice as long as the last; none rests for longer than the limit.
-        spans = self._bucket(limits.host_idle_timeout) + 1
-        self.used, self.lost = [0.0] * spans, [0.0] * spans
+        # Each bucket covers twice the idle time of the previous one; the idle timeout bounds their number.
+        buckets = self._bucket(limits.host_idle_timeout) + 1
+        self.used, self.lost = [0.0] * buckets, [0.0] * buckets
 
-    def _bucket(self, rested: int) -> int:
-        return (rested // MS).bit_length()
+    def _bucket(self, idle_time: int) -> int:
+        return (idle_time // MS).bit_length()
 
-    def record_use(self, rested: int, broke: bool) -> None:
-        """A connection that had been idle for so long was used, and broke under its next attempt or did not."""
-        span = self._bucket(rested)
-        self.used[span] += 1
-        self.lost[span] += broke
+    def record_use(self, idle_time: int, broken: bool) -> None:
+        """Records that a connection was reused after it was idle for `idle_time`, and whether its next hop broke it."""
+        bucket = self._bucket(idle_time)
+        self.used[bucket] += 1
+        self.lost[bucket] += broken
 
-    def is_usable(self, rested: int, now: int) -> bool:
-        """Whether a connection that has been idle for so long is worth a try."""
+    def is_usable(self, idle_time: int, now: int) -> bool:
+        """Whether a connection that has been idle for `idle_time` should be reused."""
         if now - self.decayed_at > self.half_life:
             self.decayed_at = now
             self.used, self.lost = [x / 2 for x in self.used], [x / 2 for x in self.lost]
-        span = self._bucket(rested)
-        return self.used[span] < self.min_samples or self.lost[span] <= self.MAX_LOSS_RATIO * self.used[span]
+        bucket = self._bucket(idle_time)
+        return self.used[bucket] < self.min_samples or self.lost[bucket] <= self.MAX_LOSS_RATIO * self.used[bucket]
--- a/ternquay/net/value_stream.py
+++ b/ternquay/net/value_stream.py
@@ -1,8 +1,8 @@
-"""A large value on its way: the side it comes from offers pieces, the side it goes to takes them as its socket does.
+"""A stream of one large value with flow control, from the connection that reads it to the one that writes it.
 
-No more of it lies here than `most` and one read. Neither side knows the other: `hold` pauses and resumes whoever
-offers, `sink` tells whoever takes that there is something to take, or that it has ended; `drop` tells that nobody takes
-it any more.
+It buffers at most `max_buffered` bytes plus one read. The two connections do not know each other: `set_paused` pauses
+and resumes the source, `on_data` tells the receiver that there are chunks or that the stream has ended, and
+`on_discard` tells the source that the value is no longer wanted.
 """
 
 from collections import deque
@@ -10,25 +10,32 @@
 
 
 def no_receiver() -> None:
-    """Nobody takes it yet."""
+    """The default callback, used while the stream has no receiver."""
 
 
 class ValueStream:
+    """A large value of `length` bytes that is forwarded as it arrives."""
+
     def __init__(
-        self, length: int, most: int, hold: Callable[[bool], None], drop: Callable[[], None] = no_receiver
+        self,
+        length: int,
+        max_buffered: int,
+        set_paused: Callable[[bool], None],
+        on_discard: Callable[[], None] = no_receiver,
     ) -> None:
-        self.length, self.max_buffered, self.set_paused, self.on_discard = length, most, hold, drop
+        self.length, self.max_buffered, self.set_paused, self.on_discard = length, max_buffered, set_paused, on_discard
         self.on_data: Callable[[], None] = no_receiver
         self.chunks: deque[bytes] = deque()
         self.buffered = 0
-        self.paused = False  # whoever offers is paused
-        self.partly_taken = False  # some of it has been handed on, so it can't begin anew elsewhere
-        self.complete = False  # all has come, and its end was where it should be
-        self.aborted = False  # no more of it comes
+        self.paused = False  # the source is paused
+        self.partly_taken = False  # a part was passed on, so the value cannot be sent anew elsewhere
+        self.complete = False  # the whole value arrived and ended correctly
+        self.aborted = False  # no more data will arrive or be taken
 
-    # ---- from whoever offers ----
+    # ---- called by the source ----
 
     def feed(self, data: bytes) -> None:
+        """Adds a chunk, and pauses the source when the buffer is full."""
         if self.aborted:
             return
         self.chunks.append(data)
@@ -39,20 +46,22 @@
             self.set_paused(True)
 
     def finish(self) -> None:
+        """Marks the value as complete."""
         if not self.aborted:
             self.complete = True
-            self._resume()  # what comes now is of something else
+            self._resume()  # later data of the source does not belong to this value
             self.on_data()
 
     def abort(self) -> None:
+        """Ends an incomplete stream because its source failed, and tells the receiver."""
         if not self.aborted and not self.complete:
             self._abort()
             self.on_data()
 
-    # ---- from whoever takes ----
+    # ---- called by the receiver ----
 
     def take(self) -> bytes:
-        """All that lies here; what offers goes on once that is passed on: see taken()."""
+        """Returns all buffered data. A paused source resumes once it is written: see mark_written()."""
         data = b"".join(self.chunks)
         self.chunks.clear()
         self.buffered = 0
@@ -60,16 +69,16 @@
         return data
 
     def mark_written(self) -> None:
-        """All that was taken has been passed on."""
+        """Records that all taken data was written, and resumes the source."""
         if self.buffered < self.max_buffered:
             self._resume()
 
     def all_taken(self) -> bool:
-        """All of it was taken."""
+        """Whether the receiver has taken the complete value."""
         return self.complete and not self.chunks
 
     def discard(self) -> None:
-        """Nobody takes it any more."""
+        """Ends the stream because nobody receives it any more, and tells the source."""
         if not self.aborted:
             self._abort()
             self.on_discard()
