--- a/ternquay/net/eviction.py
+++ b/ternquay/net/eviction.py
@@ -1,9 +1,9 @@
-"""Whose places are given up for clients that wait to be accepted while all places are taken.
+"""Eviction of inactive clients in favour of clients that wait in the accept queue while all sockets are in use.
 
-A client that waits has been let in by the system, and what it writes is owed an answer. As many as wait lose their
-places of those that stand still: first who has had an answer and is idle, or has written nothing, then who stopped in a
-request, the longest first. None that is owed an answer does, and none on which bytes lie unread. Times are whole
-nanoseconds.
+The operating system has already completed the connections of waiting clients, and their requests must be answered. As
+many inactive clients are closed as wait: first clients that are idle after an answer or have sent nothing, then clients
+that stopped in the middle of a request, longest inactive first. A client that waits for an answer or has unread bytes
+is never closed. Times are integer nanoseconds.
 """
 
 from collections.abc import Iterator
@@ -17,32 +17,32 @@
     from ternquay.net.client import ClientConnection
     from ternquay.net.frontend import Frontend
 
-EVICTION_INTERVAL_NS = 50 * MS  # between two looks while all places are taken
-# Who waits may have a few hundred milliseconds left, so the least of these is no more than a part of that.
-MIN_SILENCE_NS = 100 * MS  # since it was accepted, without a byte: a true client writes as it connects
-MIN_PAUSE_NS = 100 * MS  # without another byte of a request that has begun
+EVICTION_INTERVAL_NS = 50 * MS  # between two evictions while all sockets are in use
+# A waiting client may have only a few hundred milliseconds left, so these times are a fraction of that.
+MIN_SILENCE_NS = 100 * MS  # without a byte since the accept; an ordinary client writes as soon as it connects
+MIN_PAUSE_NS = 100 * MS  # without another byte of an incomplete request
 
 
 def evict_clients(frontend: "Frontend", most: int) -> int:
-    """Ends so many clients at most; how many it was."""
+    """Closes up to `most` inactive clients. Returns how many."""
     return sum(1 for _ in islice(_evictions(frontend), most))
 
 
 def _evictions(frontend: "Frontend") -> Iterator["ClientConnection"]:
     now = frontend.dispatcher.now()
-    for client in [one for one in frontend.idle_clients if one.answered or now - one.last_activity >= MIN_SILENCE_NS]:
+    for client in [c for c in frontend.idle_clients if c.answered or now - c.last_activity >= MIN_SILENCE_NS]:
         if client in frontend.idle_clients and frontend.close_idle(client):
             yield client
-    stopped = [one for one in frontend.partial_requests if _is_stopped(one, now)]
-    for client in sorted(stopped, key=lambda one: one.deadline.last_byte_at):
-        # The end of one may set off that of another.
+    stopped = [c for c in frontend.partial_requests if _is_stopped(c, now)]
+    for client in sorted(stopped, key=lambda c: c.deadline.last_byte_at):
+        # Closing one client may have closed another one of this list.
         if client in frontend.partial_requests and not client.has_unread_bytes():
             client.fail_request(CloseReason.STOPPED)
             yield client
 
 
 def _is_stopped(client: "ClientConnection", now: int) -> bool:
-    """Whether it stands in the middle of a request by its own doing, and no other of its requests is open."""
+    """Whether the client itself stopped in the middle of a request, and none of its other requests is open."""
     return (
         not client.pending
         and not client.queued_bytes
--- a/ternquay/net/listener.py
+++ b/ternquay/net/listener.py
@@ -1,9 +1,9 @@
-"""A listening socket: accepts as many connections in a turn as fit, and goes on after any failure of accept().
+"""A listening socket that respects the socket limit and keeps accepting after any failure of accept().
 
-The library accepts many at once, unseen by the limit on sockets, closes clients unread where descriptors are short, and
-has no answer to most of the errors that accept(2) names. Here an error that belongs to one connection costs that
-connection alone; where the system has no room, accepting pauses for a moment, so that the loop does not spin on a
-socket that stays readable.
+Twisted's own port accepts many connections at once regardless of the socket limit, closes clients unread when file
+descriptors run short, and does not handle most of the errors that accept(2) lists. Here an error of one connection
+affects that connection only. If the system lacks resources, accepting pauses briefly, so that the loop does not spin on
+a socket that stays readable.
 """
 
 from collections import Counter
@@ -50,31 +50,33 @@
         ETIMEDOUT,
     }
 )
-# Seconds without accepting after any other error: doubled by each that follows before a connection was accepted.
-MIN_PAUSE_SECONDS, MAX_PAUSE_SECONDS = 0.002, 0.064
-TCP_INFO_UNACKED = Struct("=24xI")  # of the kernel's tcp_info: of a listening socket, what waits (tcpi_unacked)
-ASSUMED_QUEUE_LENGTH = 16  # is taken for their number where the system does not tell it
-MAX_CONSECUTIVE_FAILURES = 16  # connections that may fail one after the other, before there is a pause all the same
+# The pause in accepting after any other error. It doubles with each further error until a connection is accepted.
+MIN_PAUSE_SECONDS = 0.002
+MAX_PAUSE_SECONDS = 0.064
+TCP_INFO_UNACKED = Struct("=24xI")  # tcpi_unacked of the kernel's tcp_info: the accept queue of a listening socket
+ASSUMED_QUEUE_LENGTH = 16  # used where the kernel does not report the length
+MAX_CONSECUTIVE_FAILURES = 16  # connections that may fail in a row before accepting pauses nevertheless
 
 
 class Listener(Port):
-    """`room` tells how many connections may be accepted now; `accepted` is told whether that many were."""
+    """A TCP port. `accept_limit` returns how many connections may be accepted now; `on_accepted` is called afterwards
+    with whether more may wait."""
 
     transport = BackoffServer
     accept_limit: Callable[[], int] = staticmethod(lambda: 1)
-    on_accepted: Callable[[bool], None] = staticmethod(lambda all_that_fit: None)
-    on_no_room: Callable[[], None] = staticmethod(lambda: None)  # told of a failure for want of room
-
-    def __init__(self, *terms: Any, **more: Any) -> None:
-        super().__init__(*terms, **more)
-        self.failures: Counter[str] = Counter()  # of accept(), by the name of the error
-        self.accepting = True  # as whoever owns it has said
-        self.pause_call: Any = None  # the timer of a pause
+    on_accepted: Callable[[bool], None] = staticmethod(lambda more_waiting: None)
+    on_no_room: Callable[[], None] = staticmethod(lambda: None)  # called when accepting fails for lack of resources
+
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
+        self.failures: Counter[str] = Counter()  # failures of accept() by error name
+        self.accepting = True  # as set by the owner
+        self.pause_call: Any = None  # ends the current pause
         self.next_pause = MIN_PAUSE_SECONDS
-        self.consecutive_failures = 0  # connections that failed since the last one that was accepted
+        self.consecutive_failures = 0  # since the last accepted connection
 
     def set_accepting(self, accept: bool) -> None:
-        """Accepts connections from now on, or none."""
+        """Starts or stops accepting connections."""
         self.accepting = accept
         if accept and self.pause_call is None:
             self.startReading()
@@ -82,18 +84,18 @@
             self.stopReading()
 
     def queue_length(self) -> int:
-        """How many connections wait to be accepted; a few where the system tells only that there are some."""
-        asked = poll()
-        asked.register(self.socket.fileno(), POLLIN)
-        if not asked.poll(0):
+        """Returns the length of the accept queue, or an assumed one where the kernel only reports that some wait."""
+        poller = poll()
+        poller.register(self.socket.fileno(), POLLIN)
+        if not poller.poll(0):
             return 0
         try:
-            told = self.socket.getsockopt(IPPROTO_TCP, TCP_INFO, TCP_INFO_UNACKED.size)
+            info = self.socket.getsockopt(IPPROTO_TCP, TCP_INFO, TCP_INFO_UNACKED.size)
         except OSError:
             return ASSUMED_QUEUE_LENGTH
         return (
-            int(TCP_INFO_UNACKED.unpack(told)[0]) or ASSUMED_QUEUE_LENGTH
-            if len(told) == TCP_INFO_UNACKED.size
+            int(TCP_INFO_UNACKED.unpack(info)[0]) or ASSUMED_QUEUE_LENGTH
+            if len(info) == TCP_INFO_UNACKED.size
             else ASSUMED_QUEUE_LENGTH
         )
 
@@ -101,11 +103,11 @@
         self.accept()
 
     def accept(self) -> None:
-        """Accepts what waits, as far as there is room."""
+        """Accepts waiting connections up to the limit."""
         self.on_accepted(self.accept_up_to(self.accept_limit()))
 
     def accept_up_to(self, most: int) -> bool:
-        """Accepts up to so many connections; whether more may wait, as that many came or accepting failed."""
+        """Accepts up to `most` connections. Returns whether more may wait: that many came, or accepting failed."""
         for _ in range(most):
             try:
                 connection, address = self.socket.accept()
@@ -120,11 +122,11 @@
         return True
 
     def handle_failure(self, fault: OSError) -> bool:
-        """Counts a failure, and warns of the first of its kind; whether the next connection may be tried at once."""
+        """Counts a failure and logs the first of its kind. Returns whether to try the next connection immediately."""
         name = errorcode.get(fault.errno or 0, "unknown")
         self.failures[name] += 1
         if self.failures[name] == 1:
-            logger.warning("accept failed: {}, further ones are counted and not told", name)
+            logger.warning("accept failed: {}, further failures of this kind are only counted", name)
         self.consecutive_failures += 1
         if fault.errno in CONNECTION_ERRORS and self.consecutive_failures < MAX_CONSECUTIVE_FAILURES:
             return True
@@ -137,13 +139,13 @@
         return False
 
     def end_pause(self) -> None:
-        """The pause after a failure is over."""
+        """Ends the pause after a failure."""
         self.pause_call = None
         if self.accepting and self.connected and not self.disconnecting:
             self.startReading()
 
     def make_connection(self, connection: Any, address: Any) -> None:
-        """Hands on a connection that was accepted, made as the library makes it."""
+        """Creates the transport and protocol of an accepted connection in the same way as Twisted does."""
         if len(address) == 4:
             host, _ = getnameinfo(address, NI_NUMERICHOST | NI_NUMERICSERV)
             address = (host, *address[1:])
@@ -155,5 +157,5 @@
             return
         number = self.sessionno
         self.sessionno = number + 1
-        made: Any = self.transport(connection, protocol, address, self, number, self.reactor)
-        protocol.makeConnection(made)
+        transport: Any = self.transport(connection, protocol, address, self, number, self.reactor)
+        protocol.makeConnection(transport)
--- a/ternquay/net/loop_timing.py
+++ b/ternquay/net/loop_timing.py
@@ -1,80 +1,84 @@
-"""The loop's turns: how long the present one has lasted, and how long what is read in it may have lain unread.
+"""Timing of the event loop: how long the current iteration lasts, and how long its input may have waited unread.
 
-A turn begins as the poll returns. What is readable now was not at the poll before, so it has waited no longer
-than since that, and not at all if the loop stood idle; and what is left to be read in a long turn waits for all
-that is done before it.
+An iteration starts when the poll returns. Input that is readable now was not readable at the previous poll, so it has
+waited no longer than since then, and not at all if the poll blocked. Input that is read late in a long iteration also
+waits for all work before it.
 """
 
 from collections.abc import Callable
 from typing import Any
 
-BLOCKED_NS = 100_000  # a poll that took so long had nothing to tell when it was asked
-STALL_NS = 100_000_000  # a poll that comes back so late, or a turn that lasts so long: the process stood still
+BLOCKED_NS = 100_000  # a poll that takes longer had nothing to report when it was called
+STALL_NS = 100_000_000  # a poll that returns this late, or an iteration that lasts this long, means a stalled process
 
 
 class LoopTiming:
-    """Times are whole nanoseconds on the clock of whoever calls. Without a poller it stands still."""
+    """Tracks the iterations of the event loop. A TimedPoller reports their starts.
 
-    def __init__(self, most: int) -> None:
-        self.max_duration = most  # a turn that lasts longer takes no further transactions
+    Times are integer nanoseconds on the caller's clock.
+    """
+
+    def __init__(self, max_duration: int) -> None:
+        self.max_duration = max_duration  # an iteration that lasts longer accepts no further transactions
         self.started_at = self.earliest_arrival = self.iteration = 0
-        self.accept_backlog_since = 0  # since when clients may wait to be accepted, 0: at the last look there were none
-        self.stalled_before = False  # the process stood still before this turn
-        self.arrivals_unreported = (
-            False  # it did, and the poll told of nothing: what came meanwhile is told by the next one
-        )
+        self.accept_backlog_since = 0  # since when clients may wait in the accept queue; 0: the queue was emptied
+        self.stalled_before = False  # the process stalled before this iteration
+        self.arrivals_unreported = False  # it stalled and the poll reported nothing: the next poll reports the input
 
-    def begin(self, now: int, asked: int = 0, most: int = -1, found: bool = True) -> None:
-        """The poll that was asked at `asked` returns; one that had to wait returns with the first thing that comes.
+    def begin(self, now: int, polled_at: int = 0, timeout: int = -1, has_input: bool = True) -> None:
+        """Starts an iteration, as a poll that was called at `polled_at` returns. `has_input`: it reported input.
 
-        Unless the process stood still in it: then it comes back later than the `most` that it was to wait, -1 for
-        ever, and what it tells of may have come at any time since it was asked.
+        A poll that blocks returns with the first input. If the process stalls during it, it returns later than its
+        `timeout` (-1: none), and the reported input may have arrived at any time since `polled_at`.
         """
-        asked = asked or now
-        stood, waited = 0 <= most < now - asked - STALL_NS, now - asked > BLOCKED_NS
-        owed = self.arrivals_unreported and not waited
-        self.stalled_before = stood or owed or (self.started_at > 0 and asked - self.started_at > STALL_NS)
-        # A poll that a stop has interrupted comes back with nothing once its time is over, whatever has come.
-        self.arrivals_unreported = (stood or owed) and not found
+        polled_at = polled_at or now
+        stalled, waited = 0 <= timeout < now - polled_at - STALL_NS, now - polled_at > BLOCKED_NS
+        unreported = self.arrivals_unreported and not waited
+        self.stalled_before = stalled or unreported or (self.started_at > 0 and polled_at - self.started_at > STALL_NS)
+        # A poll that a process stop interrupts returns without input once its timeout is over, even if input arrived.
+        self.arrivals_unreported = (stalled or unreported) and not has_input
         self.iteration += 1
         if waited:
-            self.earliest_arrival = asked if stood else now
-        elif not owed:
+            self.earliest_arrival = polled_at if stalled else now
+        elif not unreported:
             self.earliest_arrival = self.started_at or now
         self.started_at = now
 
-    def accept_ended(self, all_that_fit: bool) -> None:
-        """Clients were accepted, and there may be more, or there were no more."""
-        self.accept_backlog_since = (self.accept_backlog_since or self.earliest_arrival) if all_that_fit else 0
+    def accept_ended(self, more_waiting: bool) -> None:
+        """Records that clients were accepted. `more_waiting`: more may wait in the accept queue."""
+        self.accept_backlog_since = (self.accept_backlog_since or self.earliest_arrival) if more_waiting else 0
 
     def waiting_since(self) -> int:
-        """Since when a client that is accepted now may have waited for it."""
+        """Returns the earliest time since which a client that is accepted now may have waited."""
         return self.accept_backlog_since or self.earliest_arrival
 
     def max_unread_time(self, now: int, since: int) -> int:
-        """The longest that what is read now may have waited; on a new connection it may be older than the turn."""
+        """Returns the longest time that input read now may have waited, in nanoseconds.
+
+        `since`: the earliest arrival on a new connection, whose input may be older than the iteration; 0: none.
+        """
         earliest = min(self.earliest_arrival, since) if since else self.earliest_arrival
         return now - earliest if earliest else 0
 
     def process_stalled(self, now: int) -> bool:
-        """Whether the process has stood still, or been busy, for so long that something may lie unread meanwhile."""
+        """Whether the process was stopped or busy for so long that input may have arrived unread."""
         return self.stalled_before or (self.started_at > 0 and now - self.started_at > STALL_NS)
 
     def is_overrun(self, now: int) -> bool:
-        """Whether this turn has lasted so long that what it still brings is best answered at once."""
+        """Whether this iteration has lasted so long that further requests are refused."""
         return self.started_at > 0 and now - self.started_at > self.max_duration
 
 
 class TimedPoller:
-    """An epoll object that tells when it was asked, and for how long at most, as it returns."""
+    """Wraps an epoll object and reports each poll: time of return, time of call, timeout and whether it found input."""
 
-    def __init__(self, poller: Any, now: Callable[[], int], told: Callable[[int, int, int, bool], None]) -> None:
-        self.now, self.on_poll = now, told
+    def __init__(self, poller: Any, now: Callable[[], int], on_poll: Callable[[int, int, int, bool], None]) -> None:
+        self.now, self.on_poll = now, on_poll
         self.register, self.modify, self.unregister = poller.register, poller.modify, poller.unregister
         self.inner_poll, self.close = poller.poll, poller.close
 
     def poll(self, timeout: float, *args: Any) -> Any:
-        asked = self.now()
-        found = self.inner_poll(timeout, *args)
-        self.on_poll(self.now(), asked, int(timeout * 1_000_000_000) if timeout >= 0 else -1, bool(found))
-        return found
+        polled_at = self.now()
+        events = self.inner_poll(timeout, *args)
+        self.on_poll(self.now(), polled_at, int(timeout * 1_000_000_000) if timeout >= 0 else -1, bool(events))
+        return events
--- a/ternquay/net/request_deadline.py
+++ b/ternquay/net/request_deadline.py
@@ -1,26 +1,26 @@
-"""The time in which a request that has begun to arrive has to be whole.
+"""The deadline by which a request that has started to arrive must be complete.
 
-A client may write its request slowly, in pieces cut anywhere, but it has to go on: a command line has a bound from its
-first byte, a value has one from the end of its line that grows with what has come of it, and a value on which nothing
-comes has one from its last byte. Bytes that end nothing never begin a bound anew.
+A client may send its request slowly and in arbitrary pieces, but it must make progress. A command line has a time limit
+from its first byte. A value has a limit from the end of its command line, which grows with the bytes received, and a
+limit from its latest byte. Bytes that do not complete a line or a value never restart these limits.
 
-Without I/O; times are whole nanoseconds on the monotonic clock of whoever calls.
+The module does no I/O; times are integer nanoseconds on the caller's monotonic clock.
 """
 
 from dataclasses import dataclass
 from enum import Enum
 
 SECOND = 1_000_000_000
-# Clients that stop in the middle of a request are owed an error or a close within 3 s, and those that write slowly take
-# up to 2 s for a command line (the operators' pages). What is left of the 3 s is for a loop that is behind.
+# A client that stops in the middle of a request must get an error or a close within 3 s, and a slow client may take up
+# to 2 s for a command line (the operators' pages). The rest of the 3 s covers a loop that is late.
 MAX_LINE_NS = 5 * SECOND // 2  # from the first byte of a command line to its last
-MAX_VALUE_PAUSE_NS = 5 * SECOND // 2  # without a byte of a value
+MAX_VALUE_PAUSE_NS = 5 * SECOND // 2  # between two bytes of a value
 MIN_VALUE_NS = 5 * SECOND // 2  # for a value of any size, from the end of its command line
-MIN_VALUE_BYTES_PER_SECOND = 1024  # bytes a second: for so many of a value that have come, it may take a second more
+MIN_VALUE_BYTES_PER_SECOND = 1024  # each so many received bytes of a value extend its time by one second
 
 
 class RequestPart(Enum):
-    """How far a request has come that is not whole."""
+    """The part of an incomplete request that is arriving."""
 
     NONE = 0  # the connection is between two requests
     LINE = 1
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Where a client's stream stands: the part that is not whole, and how many command lines came before."""
+    """The position in a client's request stream: the incomplete part and the number of command lines before it."""
 
     part: RequestPart
     line_count: int
@@ -40,32 +40,32 @@
 
 @dataclass(slots=True)
 class RequestDeadline:
-    """The deadline of the one request of a connection that is not whole."""
+    """The deadline of the incomplete request of one connection."""
 
     position: Position = BETWEEN_REQUESTS
-    part_started_at: int = 0  # when the first byte of this part came
-    last_byte_at: int = 0  # when its latest byte came
-    part_bytes: int = 0  # bytes of this part
-    not_before: int = 0  # it is not due before then
+    part_started_at: int = 0  # when the first byte of the current part arrived
+    last_byte_at: int = 0  # when its latest byte arrived
+    part_bytes: int = 0  # its received bytes
+    not_before: int = 0  # the request is not overdue before this time
 
-    def record_read(self, came: int, position: Position, size: int) -> None:
-        """So many bytes were read, the last of which came then, and brought the stream to that position."""
+    def record_read(self, arrived_at: int, position: Position, size: int) -> None:
+        """Records a read of `size` bytes, the last of which arrived at `arrived_at`, up to `position`."""
         if position != self.position:
-            self.position, self.part_started_at, self.part_bytes, self.not_before = position, came, 0, 0
-        self.last_byte_at = max(self.last_byte_at, came)
+            self.position, self.part_started_at, self.part_bytes, self.not_before = position, arrived_at, 0, 0
+        self.last_byte_at = max(self.last_byte_at, arrived_at)
         self.part_bytes += size
 
     def extend(self, span: int) -> None:
-        """The client was kept from writing for so long."""
+        """Extends the limits by `span`, during which the balancer kept the client from writing."""
         self.part_started_at += span
         self.last_byte_at += span
 
     def defer_until(self, until: int) -> None:
-        """The request is not overdue before then, whatever came late."""
+        """Defers the deadline to `until` at the earliest."""
         self.not_before = max(self.not_before, until)
 
     def due_at(self) -> int | None:
-        """When the request is overdue; None between two requests."""
+        """Returns the deadline, or None between two requests."""
         if self.position.part is RequestPart.NONE:
             return None
         if self.position.part is RequestPart.LINE:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -596,15 +596,15 @@
     turn.begin(100)
     assert (turn.max_unread_time(105, 0), turn.waiting_since()) == (5, 100)
     turn.begin(200)
-    turn.accept_ended(all_that_fit=True)  # there may be more, and they may have come since the poll at 100
+    turn.accept_ended(more_waiting=True)  # there may be more, and they may have come since the poll at 100
     turn.begin(300)
-    turn.accept_ended(all_that_fit=True)
+    turn.accept_ended(more_waiting=True)
     assert (
         turn.waiting_since() == 100
         and turn.max_unread_time(310, turn.waiting_since()) == 210
         and turn.max_unread_time(310, 0) == 110
     )
-    turn.accept_ended(all_that_fit=False)
+    turn.accept_ended(more_waiting=False)
     assert turn.waiting_since() == 200
     assert not turn.is_overrun(310) and turn.is_overrun(311)
 
@@ -613,9 +613,9 @@
     turn = LoopTiming(1_000_000)
     turn.begin(1_000_000_000)
     # The poll had nothing to tell for 250 ms, and came back at once when there was something.
-    turn.begin(1_250_000_000, asked=1_000_200_000)
+    turn.begin(1_250_000_000, polled_at=1_000_200_000)
     assert turn.max_unread_time(1_250_010_000, 0) == 10_000
-    turn.begin(1_253_000_000, asked=1_252_990_000)
+    turn.begin(1_253_000_000, polled_at=1_252_990_000)
     assert turn.max_unread_time(1_253_000_000, 0) == 3_000_000
 
 
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -241,7 +241,7 @@
 def late_reader(waited: int, silent_ms: int) -> tuple[Net, Wire]:
     """A client of a process that polled so long ago; its last byte came as long ago as the system says."""
     net = Net()
-    net.loop_timing.begin(net.dispatcher.now(), net.dispatcher.now() - waited, most=0)
+    net.loop_timing.begin(net.dispatcher.now(), net.dispatcher.now() - waited, timeout=0)
     client = net.client()
     client.silent_ms = silent_ms
     return net, client
