--- a/ternquay/peers/links.py
+++ b/ternquay/peers/links.py
@@ -141,11 +141,11 @@
         super().dataReceived(data)  # type: ignore[no-untyped-call]
         # A frame is a value of announced length: while it is incomplete, nothing after it can be read.
         part = Part.VALUE if self._unprocessed else Part.NONE
-        self.deadline.read(self.factory.now(), Position(part, self.frame_count), len(data))
+        self.deadline.record_read(self.factory.now(), Position(part, self.frame_count), len(data))
 
     def is_stalled(self) -> bool:
         """Whether a frame is overdue after its first bytes; the stream may have lost its framing."""
-        due = self.deadline.due()
+        due = self.deadline.due_at()
         return due is not None and self.factory.now() >= due
 
     def stringReceived(self, string: bytes) -> None:
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -52,7 +52,7 @@
 
     def start_turn(self) -> None:
         """Starts a turn of the loop, in which data is read at once; later it would wait for its turn."""
-        self.host.loop_timing.begins(int(self.reactor.seconds() * 10**9))
+        self.host.loop_timing.begin(int(self.reactor.seconds() * 10**9))
 
     def client(self, address: str = "127.0.0.1") -> Wire:
         count = sum(w.name.startswith("client") for w in self.wires)
