--- a/ternquay/net/management.py
+++ b/ternquay/net/management.py
@@ -90,7 +90,7 @@
             self.port = self.reactor.listenTCP(address.port, self, 64, address.host)
         except CannotListenError as fault:
             raise ConfigError(f"management: {address}: {fault.socketError}") from fault
-        self.port.room = lambda: 2
+        self.port.accept_limit = lambda: 2
 
     def channel_opened(self, channel: Channel) -> None:
         super().channel_opened(channel)
--- a/ternquay/peers/links.py
+++ b/ternquay/peers/links.py
@@ -140,7 +140,7 @@
     def dataReceived(self, data: bytes) -> None:
         super().dataReceived(data)  # type: ignore[no-untyped-call]
         # A frame is a value of announced length: while it is incomplete, nothing after it can be read.
-        part = Part.VALUE if self._unprocessed else Part.NONE
+        part = RequestPart.VALUE if self._unprocessed else RequestPart.NONE
         self.deadline.record_read(self.factory.now(), Position(part, self.frame_count), len(data))
 
     def is_stalled(self) -> bool:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -148,12 +148,12 @@
         assert resting.recv(100) == b""
         time.sleep(0.1)
         assert hello_reply(listen) == meta.OUT_OF_SERVICE  # it goes on saying no
-        assert half.recv(100) == OVERDUE + b"\r\n" and half.recv(100) == b""  # its request was not whole in time
+        assert half.recv(100) == OVERDUE_ANSWER + b"\r\n" and half.recv(100) == b""  # its request was not whole in time
         assert process.poll() is None
         assert (
             http_status(at, BACK) == http_status(at, BACK) == 200
             and http_status(at, READY) == 200
-            and hello_reply(listen) == meta.HELLO
+            and hello_reply(listen) == meta.NOOP_ANSWER
         )
         # Out, in and out again: the steps of the first drain are not those of the last.
         for text in (OUT, BACK, OUT, BACK):
