--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,4 +1,4 @@
-"""Connections that never send a whole command, beside true ones that take their time."""
+"""Connections that never send a complete command, beside ordinary clients that are slow."""
 
 import json
 import socket
@@ -14,17 +14,17 @@
 from tests.test_review_links import balancer_config, free_port, serving
 
 
-def test_who_never_sends_a_whole_command_goes_by_age_and_not_before_a_true_one_could_have_ended() -> None:
+def test_clients_without_a_complete_command_are_closed_by_age_after_the_time_a_slow_client_needs() -> None:
     net = Net(sockets=192, limits={"clients": 6, "first_command_timeout": 2 * SECOND})
     crowd = [net.client() for _ in range(3)]
     for one in crowd[:2]:
         one.feed(b"mg k v")
     slow, large = net.client(), net.client()
-    large.feed(ms(9)[:-4])  # its command line has come: the value may take its time
+    large.feed(ms(9)[:-4])  # its command line is complete: the value may take longer
     for at in range(19):
         net.run(100)
         slow.feed(mg(1)[at : at + 1])
-        crowd[0].feed(b" ")  # it moves, and gets nowhere
+        crowd[0].feed(b" ")  # it sends bytes but makes no progress
     slow.feed(mg(1)[19:])
     assert not any(one.lost for one in crowd)
     net.accept().feed(va(1))
@@ -33,7 +33,7 @@
     assert all(one.lost for one in crowd) and not slow.lost and not large.lost
 
 
-def test_while_there_is_room_nobody_is_closed_before_its_request_is_overdue() -> None:
+def test_with_free_sockets_no_client_is_closed_before_its_request_is_overdue() -> None:
     net = Net(sockets=192, limits={"first_command_timeout": SECOND})
     half = net.client()
     half.feed(b"mg k v")
@@ -43,14 +43,14 @@
     assert half.lost
 
 
-def test_a_place_that_is_wanted_comes_from_the_oldest_that_got_nowhere() -> None:
+def test_for_a_new_client_the_oldest_one_without_a_complete_command_is_closed() -> None:
     net = Net(sockets=192, limits={"clients": 2, "first_command_timeout": SECOND, "sweep_interval": 60 * SECOND})
     first, second = net.client(), net.client()
     first.feed(b"mg k")
     net.run(500)
     second.feed(b"mg k")
     third = net.client()
-    assert third.protocol.over_limit and not first.lost  # no place: the oldest could still end
+    assert third.protocol.over_limit and not first.lost  # over the limit: the oldest one still has time to finish
     third.end()
     net.run(600)
     fourth = net.client()
@@ -61,14 +61,14 @@
     assert net.sockets.clients == 2 and not net.frontend.buffered_bytes - len(b"mg k")
 
 
-def test_a_client_that_connects_and_writes_later_has_its_whole_time() -> None:
-    """What came before it was accepted is read at the next poll; what is read after that has not waited as long."""
+def test_a_client_that_connects_and_writes_later_keeps_its_full_ttl() -> None:
+    """Bytes sent before the accept are read at the next poll; bytes read later have not waited since the accept."""
     net = Net()
     net.loop_timing.begin(net.dispatcher.now())
     early = net.client()
     net.run(300)
     net.loop_timing.begin(net.dispatcher.now())
-    early.feed(mg(1, ttl=500))  # it may have lain there for all of that turn
+    early.feed(mg(1, ttl=500))  # it may have waited unread for the whole iteration
     assert [tx.ttl // 1_000_000 for tx in net.dispatcher.open_txs.values()] == [200]
     net.loop_timing.begin(net.dispatcher.now())
     slow = net.client()
@@ -76,11 +76,13 @@
         net.run(100)
         net.loop_timing.begin(net.dispatcher.now())
     slow.feed(mg(3, ttl=500))
-    assert list(net.dispatcher.open_txs.values())[-1].ttl // 1_000_000 == 400  # one turn, not the five since it came
+    assert (
+        list(net.dispatcher.open_txs.values())[-1].ttl // 1_000_000 == 400
+    )  # one iteration, not the five since it connected
 
 
-def test_it_listens_when_the_loop_runs_and_not_before(tmp_path: Path) -> None:
-    """Against what the system accepts while the start still takes its time, and which lies there unread."""
+def test_the_service_listens_once_the_loop_runs_and_not_before(tmp_path: Path) -> None:
+    """Connections that the operating system accepts during a slow start would wait unread."""
     path, net = tmp_path / "x.json", Net()
     path.write_text(json.dumps(balancer_config(1, 2, settings=FACTS)))
     service = Service(net.reactor, read_config(str(path), {}))
@@ -90,7 +92,7 @@
     assert net.reactor.tcpServers and not service.not_ready_reason()
 
 
-def test_on_loopback_true_clients_are_answered_beside_a_crowd_that_never_finishes(tmp_path: Path) -> None:
+def test_on_loopback_clients_are_answered_beside_a_crowd_that_never_completes_a_command(tmp_path: Path) -> None:
     listen, store = free_port(), Store(9)
     where = member(1) | {"host_port": f"127.0.0.1:{store.port}"}
     config = balancer_config(listen, free_port(), known={"revision": 1, "complete": True, "members": [where]})
@@ -98,7 +100,7 @@
         crowd, answered = [], 0
         until = time.monotonic() + 9
         while time.monotonic() < until:
-            # More than there is room for, all the time; each true client comes with a connection of its own.
+            # Always more connections than sockets; each ordinary client opens a new connection.
             for _ in range(4):
                 one = socket.create_connection(("127.0.0.1", listen), timeout=10)
                 one.sendall(b"mg k v")
--- a/tests/test_full_house.py
+++ b/tests/test_full_house.py
@@ -1,4 +1,4 @@
-"""Clients that take all places and do not go on, and those that come behind them with a request."""
+"""Clients that use up all sockets and stay inactive, and clients that connect after them with a request."""
 
 import socket
 import threading
@@ -11,13 +11,13 @@
 from tests.test_net import mg
 from tests.test_stopped_clients import balancer
 
-CROWD = 150  # more than there are places with 128 descriptors
-HONEST = 20
-LIMIT = 0.95  # seconds: what the requests of this file wait for, and the slack of the rules on sockets
+CROWD = 150  # more clients than sockets with 128 file descriptors
+LATE_CLIENTS = 20
+MAX_SECONDS = 0.95  # the hard limit of the requests in this file, plus the slack of the rules on sockets
 
 
-class Honest(threading.Thread):
-    """One client with one request; what it had, and when."""
+class LateClient(threading.Thread):
+    """A client with one request; its answer and how long it took."""
 
     def __init__(self, port: int, number: int) -> None:
         super().__init__(daemon=True)
@@ -33,26 +33,24 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "sent",
     [b"", b"mg k v O1 Pc=re", b"ms k 1000 O1 Pc=once,d=900\r\nxx"],
     ids=["silent", "half a line", "half a value"],
 )
-def test_on_loopback_who_comes_behind_a_crowd_that_stands_still_has_an_answer_in_time(
-    tmp_path: Path, said: bytes
-) -> None:
-    """Its request was taken by the system the moment it came, so it is owed an answer before its hard limit."""
+def test_on_loopback_a_client_behind_an_inactive_crowd_is_answered_in_time(tmp_path: Path, sent: bytes) -> None:
+    """The operating system accepts its request immediately, so it must be answered before its hard limit."""
     with balancer(tmp_path) as port, ExitStack() as crowd:
         for _ in range(CROWD):
             one = crowd.enter_context(socket.create_connection(("127.0.0.1", port), timeout=5))
-            one.sendall(said)
-        honest = [Honest(port, number) for number in range(HONEST)]
-        for client in honest:
+            one.sendall(sent)
+        clients = [LateClient(port, number) for number in range(LATE_CLIENTS)]
+        for client in clients:
             client.start()
-        for client in honest:
+        for client in clients:
             client.join(10)
     late = [
         (client.line[:20], round(client.took, 2))
-        for client in honest
-        if not client.line.startswith((b"VA", b"SERVER_ERROR")) or client.took > LIMIT
+        for client in clients
+        if not client.line.startswith((b"VA", b"SERVER_ERROR")) or client.took > MAX_SECONDS
     ]
     assert not late
--- a/tests/test_half_messages.py
+++ b/tests/test_half_messages.py
@@ -1,4 +1,4 @@
-"""Half a message of a caller or of another member: the class of docs/incidents/stopped-clients.md beside clients."""
+"""Incomplete messages of HTTP callers and of fleet members, the peers of docs/incidents/stopped-clients.md."""
 
 from collections import Counter
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class Port(RequestPort):
-    """Answers nothing by itself."""
+    """Records requests and answers none by itself."""
 
     def __init__(self, reactor: Any) -> None:
         super().__init__(RequestLimits(body_bytes=100, connections=4, idle_seconds=2))
@@ -33,7 +33,9 @@
 @pytest.mark.parametrize(
     "text", [b"GET /x HTTP/1.1\r\nHost: somewhere\r\n", b"POST /x HTTP/1.1\r\nContent-Length: 99\r\n\r\n" + b"x" * 50]
 )
-def test_a_caller_that_drips_a_call_is_closed_and_one_that_waits_for_its_answer_is_not(text: bytes) -> None:
+def test_a_caller_that_sends_its_request_too_slowly_is_closed_and_one_that_waits_for_an_answer_is_not(
+    text: bytes,
+) -> None:
     clock: Any = Clock()
     port = Port(clock)
     drips, waits = port.buildProtocol(None), port.buildProtocol(None)
@@ -52,7 +54,7 @@
     assert len(port.requests) == 2 and not kept.disconnecting
 
 
-def test_a_link_between_members_on_which_half_a_frame_stands_still_is_ended() -> None:
+def test_a_link_between_members_with_a_stalled_incomplete_frame_is_closed() -> None:
     clock: Any = Clock()
     dropped: Counter[str] = Counter()
     listener = LinkListener(clock, lambda text: True, dropped)
--- a/tests/test_meta.py
+++ b/tests/test_meta.py
@@ -1,4 +1,4 @@
-"""The protocol's machines: bytes in odd cuts, no sockets."""
+"""The protocol parsers: data split at arbitrary points, without sockets."""
 
 import pytest
 
@@ -12,50 +12,52 @@
 CUTS = (1, 2, 3, 5, 64, MIB)
 
 
-def pieces(data: bytes, cut: int) -> list[bytes]:
+def split(data: bytes, cut: int) -> list[bytes]:
     return [data[at : at + cut] for at in range(0, len(data), cut)]
 
 
 def client(data: bytes, cut: int) -> list[str]:
-    side, found = meta.RequestParser(400, 70), []
-    for piece in pieces(data, cut):
-        found += side.feed(piece)
+    parser, found = meta.RequestParser(400, 70), []
+    for piece in split(data, cut):
+        found += parser.feed(piece)
     return [f"{x.forward(77)!r}" if isinstance(x, meta.Command) else repr(x) for x in found]
 
 
 def host(data: bytes, cut: int, *asked: bytes) -> list[str]:
-    side, found = meta.ResponseParser(200, 70), list[meta.Answer]()
+    parser, found = meta.ResponseParser(200, 70), list[meta.Answer]()
     reader = meta.RequestParser(200, 70)
     for command in reader.feed(b"".join(asked)):
         assert isinstance(command, meta.Command)
-        side.expect(command)
-    for piece in pieces(data, cut):
-        found += [x for x in side.feed(piece) if isinstance(x, meta.Answer)]
-    fault = [f"fault: {side.fault}"] if side.fault else []
+        parser.expect(command)
+    for piece in split(data, cut):
+        found += [x for x in parser.feed(piece) if isinstance(x, meta.Answer)]
+    fault = [f"fault: {parser.fault}"] if parser.fault else []
     return [f"{x.outcome.name} {x.body!r} note {x.cache_result}" for x in found] + fault
 
 
-def test_commands_are_read_alike_however_they_are_cut() -> None:
+def test_commands_parse_the_same_however_the_data_is_split() -> None:
     data = READ + b"mn\r\n" + WRITE + b"ms k3 0 " + ID + b" Pc=mark,d=9,r=1,size=3\r\n\r\n" + READ
     assert len({tuple(client(data, cut)) for cut in CUTS}) == 1
     check_trace("net_commands", client(data, 7))
 
 
 @pytest.mark.parametrize("size", [0, 65536])
-def test_the_smallest_and_the_largest_value_pass_whole(size: int) -> None:
+def test_the_smallest_and_the_largest_value_are_passed_on_unchanged(size: int) -> None:
     value = bytes(range(256)) * (size // 256)
-    side = meta.RequestParser(2048, 65536)
+    parser = meta.RequestParser(2048, 65536)
     sent = b"ms k %d " % size + ID + b" Pc=once,d=480\r\n" + value + b"\r\n"
-    found = [x for piece in pieces(sent, 1000) for x in side.feed(piece)]
-    assert isinstance(found[0], meta.Command) and found[0].value == value and side.is_idle()
+    found = [x for piece in split(sent, 1000) for x in parser.feed(piece)]
+    assert isinstance(found[0], meta.Command) and found[0].value == value and parser.is_idle()
     assert found[0].forward(480) == sent
-    back = meta.ResponseParser(2048, 65536)
+    responses = meta.ResponseParser(2048, 65536)
     command = meta.RequestParser(2048, 65536).feed(READ)[0]
     assert isinstance(command, meta.Command)
-    back.expect(command)
+    responses.expect(command)
     answer = b"VA %d " % size + ID + b" h1\r\n" + value + b"\r\n"
-    got = [x for piece in pieces(answer, 999) for x in back.feed(piece)]
-    assert [x.body for x in got if isinstance(x, meta.Answer)] == [value] and not back.fault and not back.buffer
+    got = [x for piece in split(answer, 999) for x in responses.feed(piece)]
+    assert (
+        [x.body for x in got if isinstance(x, meta.Answer)] == [value] and not responses.fault and not responses.buffer
+    )
     assert meta.committed(command, value) == answer.replace(b" h1", b"")
 
 
@@ -88,16 +90,16 @@
 ]
 
 
-def test_what_is_no_command_is_told_and_what_follows_is_read_where_it_can_be() -> None:
+def test_an_invalid_command_is_reported_and_parsing_goes_on_where_possible() -> None:
     trace = []
     for data in BAD:
-        said = {tuple(client(data + READ, cut)) for cut in CUTS}
-        assert len(said) == 1
-        trace += [f"{data[:60]!r}", *(f"    {x}" for x in said.pop())]
+        results = {tuple(client(data + READ, cut)) for cut in CUTS}
+        assert len(results) == 1
+        trace += [f"{data[:60]!r}", *(f"    {x}" for x in results.pop())]
     check_trace("net_bad_commands", trace)
 
 
-def test_answers_are_read_alike_however_they_are_cut() -> None:
+def test_answers_parse_the_same_however_the_data_is_split() -> None:
     data = (
         b"VA 2 "
         + ID
@@ -112,7 +114,7 @@
     check_trace("net_answers", host(data, 7, *asked))
 
 
-def test_what_is_no_answer_is_a_fault_after_the_whole_answers_before_it() -> None:
+def test_an_invalid_answer_is_a_fault_after_the_complete_answers_before_it() -> None:
     whole, trace = b"VA 1 " + ID + b" h1\r\nx\r\n", []
     for bad in (
         b"EN\r\n",
@@ -126,7 +128,7 @@
         b"V" * 250,
         whole + b"more\r\n",
     ):
-        said = {tuple(host(whole + bad, cut, READ, READ)) for cut in CUTS}
-        assert len(said) == 1
-        trace += [f"{bad[:60]!r}", *(f"    {x}" for x in said.pop())]
+        results = {tuple(host(whole + bad, cut, READ, READ)) for cut in CUTS}
+        assert len(results) == 1
+        trace += [f"{bad[:60]!r}", *(f"    {x}" for x in results.pop())]
     check_trace("net_bad_answers", trace)
