--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -41,7 +41,7 @@
 from tests.test_review_links import balancer_config, free_port, serving
 from tests.test_system_calls import running
 
-OWED = 3.0  # seconds from its last byte in which a client that stopped has its error and its close
+MAX_END_SECONDS = 3.0  # a client that stopped gets an error and a close within this time after its last byte
 
 STOPS = {
     "one byte": b"m",
@@ -60,16 +60,16 @@
 
 @dataclass
 class Stopping:
-    """A client that writes its pieces, one each `every` seconds, and stays."""
+    """A client that writes one of its pieces every `every` seconds and then stays connected."""
 
     pieces: list[bytes]
     every: float = 0.0
     connection: socket.socket = field(default_factory=socket.socket)
-    written: float = 0.0  # when its last piece was
+    written: float = 0.0  # when it wrote its latest piece
     read: bytes = b""
-    closed: float = 0.0  # when it saw the end
+    closed: float = 0.0  # when it saw the end of the connection
 
-    def look(self) -> None:
+    def step(self) -> None:
         now = time.monotonic()
         try:
             if self.pieces and now >= self.written + self.every:
@@ -83,13 +83,13 @@
         except OSError:
             self.closed = now
 
-    def told(self) -> bool:
-        """Whether the end was an error that it could read, and nothing after it."""
+    def got_error(self) -> bool:
+        """Whether the last line that it read is an error."""
         return self.read.rpartition(b"\r\n")[0].rpartition(b"\r\n")[2].startswith(b"CLIENT_ERROR")
 
 
-def watched(port: int, clients: list[Stopping], seconds: float) -> None:
-    """Plays the clients until each has seen its end."""
+def run_clients(port: int, clients: list[Stopping], seconds: float) -> None:
+    """Connects the clients and runs them until the balancer has closed each."""
     for one in clients:
         one.connection = socket.create_connection(("127.0.0.1", port))
         one.connection.setblocking(False)
@@ -97,7 +97,7 @@
     while time.monotonic() < until and not all(one.closed for one in clients):
         for one in clients:
             if not one.closed:
-                one.look()
+                one.step()
         time.sleep(0.005)
     for one in clients:
         one.connection.close()
@@ -105,74 +105,78 @@
 
 @contextmanager
 def balancer(folder: Path) -> Iterator[int]:
-    """The real process with one cache host; the port that it listens on."""
+    """Runs a balancer process with one cache host. Yields the port that it listens on."""
     store, listen = Store(3), free_port()
     known = {"revision": 1, "complete": True, "members": [member(1) | {"host_port": f"127.0.0.1:{store.port}"}]}
     with serving(balancer_config(listen, free_port(), known=known), folder):
         yield listen
 
 
-def test_on_loopback_whoever_stops_in_a_request_is_told_and_closed_in_time(tmp_path: Path) -> None:
+def test_on_loopback_a_client_that_stops_in_a_request_gets_an_error_and_a_close_in_time(tmp_path: Path) -> None:
     clients = {name: Stopping([written]) for name, written in STOPS.items()}
     with balancer(tmp_path) as port:
-        watched(port, list(clients.values()), OWED + 4)
+        run_clients(port, list(clients.values()), MAX_END_SECONDS + 4)
     late = {
         name: round(one.closed - one.written, 2)
         for name, one in clients.items()
-        if not 0 < one.closed - one.written <= OWED
+        if not 0 < one.closed - one.written <= MAX_END_SECONDS
     }
-    assert not late, f"closed so long after the last byte, or (if under 0) never: {late}"
-    assert all(one.told() for one in clients.values()), {name: one.read[-80:] for name, one in clients.items()}
+    assert not late, f"seconds from the last byte to the close, or never closed (if negative): {late}"
+    assert all(one.got_error() for one in clients.values()), {name: one.read[-80:] for name, one in clients.items()}
 
 
-def test_on_loopback_whoever_drips_a_request_is_ended_too(tmp_path: Path) -> None:
-    """Bytes that never make a whole request begin no new time."""
+def test_on_loopback_a_client_that_sends_a_request_too_slowly_is_closed(tmp_path: Path) -> None:
+    """Bytes that do not complete a request must not restart its deadline."""
     line = Stopping([b"mg k v O1 Pc=read,d=900"[at : at + 1] for at in range(23)], every=0.4)
     value = Stopping([b"ms k 1000 O1 Pc=once,d=900\r\n", *[b"x"] * 22], every=0.4)
     with balancer(tmp_path) as port:
         began = time.monotonic()
-        watched(port, [line, value], 9.0)
-    assert 0 < line.closed - began <= OWED and 0 < value.closed - began <= 2 * OWED, (line, value)
+        run_clients(port, [line, value], 9.0)
+    assert 0 < line.closed - began <= MAX_END_SECONDS and 0 < value.closed - began <= 2 * MAX_END_SECONDS, (line, value)
 
 
 def late_ends(clients: list[Stopping]) -> list[float]:
-    """How long after their last byte those were closed that were closed too late; under 0: never."""
-    return [round(one.closed - one.written, 2) for one in clients if not 0 < one.closed - one.written <= OWED]
+    """Seconds from the last byte to the close of each client that was closed too late; negative: never closed."""
+    return [
+        round(one.closed - one.written, 2) for one in clients if not 0 < one.closed - one.written <= MAX_END_SECONDS
+    ]
 
 
 @pytest.mark.parametrize("filled", [0, 90])
-def test_on_loopback_whoever_stops_before_it_is_accepted_is_ended_in_time(tmp_path: Path, filled: int) -> None:
-    """More clients stop at once than there are places; in the second case others that say nothing have most of them."""
+def test_on_loopback_a_client_that_stops_before_it_is_accepted_is_closed_in_time(tmp_path: Path, filled: int) -> None:
+    """More clients stop at once than there are sockets. In the second case silent clients use most of them."""
     clients = [Stopping([b"mg k v O1 Pc=re"]) for _ in range(300 if not filled else 60)]
     with balancer(tmp_path) as port, ExitStack() as silent:
         for _ in range(filled):
             silent.enter_context(socket.create_connection(("127.0.0.1", port)))
-        watched(port, clients, OWED + 9)
+        run_clients(port, clients, MAX_END_SECONDS + 9)
     assert not late_ends(clients)
 
 
-def test_on_loopback_whoever_stops_before_it_is_accepted_is_ended_in_time_where_accepting_fails(tmp_path: Path) -> None:
-    """A failed accept() tells nothing of who else waits."""
+def test_on_loopback_a_client_that_stops_before_it_is_accepted_is_closed_in_time_where_accepting_fails(
+    tmp_path: Path,
+) -> None:
+    """A failed accept() does not mean that no other client waits."""
     clients = [Stopping([b"mg k v O1 Pc=re"]) for _ in range(200)]
     with running(tmp_path, CallFault("accept", "EMFILE", rate=0.1)) as one:
-        watched(one.port, clients, OWED + 4)
+        run_clients(one.port, clients, MAX_END_SECONDS + 4)
     assert not late_ends(clients) and max(client.closed - client.written for client in clients) < 2.8
 
 
-def test_on_loopback_whoever_stops_while_the_process_stands_still_is_ended_in_time(tmp_path: Path) -> None:
-    """The bytes came while the process was stopped: it reads them later, and they are as old as they are."""
+def test_on_loopback_a_client_that_stops_while_the_process_is_stopped_is_closed_in_time(tmp_path: Path) -> None:
+    """Bytes that arrive while the process is stopped are read later, but their age counts from their arrival."""
     store, listen = Store(3), free_port()
     known = {"revision": 1, "complete": True, "members": [member(1) | {"host_port": f"127.0.0.1:{store.port}"}]}
     clients = [Stopping([written]) for written in STOPS.values()]
     with serving(balancer_config(listen, free_port(), known=known), tmp_path) as process:
         process.send_signal(SIGSTOP)
         Timer(2.0, process.send_signal, [SIGCONT]).start()
-        watched(listen, clients, OWED + 4)
+        run_clients(listen, clients, MAX_END_SECONDS + 4)
     assert not late_ends(clients)
 
 
-def test_the_answers_that_are_owed_go_out_before_half_a_request_is_ended() -> None:
-    """A request that was read whole has its answer, whatever its client does behind it."""
+def test_pending_answers_are_written_before_an_incomplete_request_is_closed() -> None:
+    """A complete request is answered, whatever its client sends after it."""
     longest = {"Profiles": [one | {"HardLimit": 9_000_000, "ServiceGoal": 8_000_000} for one in FACTS["Profiles"]]}
     net = Net(facts=longest)
     client = net.client()
@@ -185,11 +189,11 @@
     assert "HD O1 cabc" in "".join(net.trace) and client.lost, net.trace
 
 
-def test_a_slow_client_that_goes_on_is_served() -> None:
+def test_a_slow_client_that_makes_progress_is_served() -> None:
     net = Net()
     client = net.client()
     whole = ms(1)
-    for at in range(len(whole)):  # some 2 s in all
+    for at in range(len(whole)):  # about 2 s in total
         client.feed(whole[at : at + 1])
         net.run(1900 // len(whole))
     net.accept().feed(b"HD O1 cabc\r\n")
@@ -198,10 +202,10 @@
     assert not client.lost and "VA 3 O2" in "".join(net.trace), net.trace
 
 
-# ---- the deadline itself ----
+# ---- request deadlines ----
 
 
-def test_a_line_has_one_bound_from_its_first_byte_whatever_comes() -> None:
+def test_a_command_line_has_one_deadline_from_its_first_byte() -> None:
     deadline = RequestDeadline()
     assert deadline.due_at() is None
     for at in range(10):
@@ -209,7 +213,7 @@
     assert deadline.due_at() == MAX_LINE_NS
 
 
-def test_a_value_has_a_bound_from_its_last_byte_and_one_by_its_size() -> None:
+def test_a_value_has_a_deadline_from_its_last_byte_and_one_by_its_size() -> None:
     deadline, value = RequestDeadline(), Position(RequestPart.VALUE, 1)
     deadline.record_read(SECOND, value, 0)
     assert deadline.due_at() == SECOND + MIN_VALUE_NS
@@ -220,7 +224,7 @@
     assert deadline.due_at() == 5 * SECOND + MAX_VALUE_PAUSE_NS
 
 
-def test_the_next_request_has_its_own_time_and_none_is_counted_between_two() -> None:
+def test_the_next_request_has_its_own_deadline_and_there_is_none_between_requests() -> None:
     deadline = RequestDeadline()
     deadline.record_read(SECOND, Position(RequestPart.LINE, 0), 5)
     deadline.record_read(2 * SECOND, Position(RequestPart.LINE, 1), 50)
@@ -231,7 +235,7 @@
     assert deadline.due_at() == 4 * SECOND + MAX_LINE_NS
 
 
-def test_time_in_which_the_client_was_kept_from_writing_does_not_count() -> None:
+def test_time_during_which_the_client_could_not_write_does_not_count() -> None:
     deadline = RequestDeadline()
     deadline.record_read(SECOND, Position(RequestPart.VALUE, 1), 5000)
     deadline.extend(4 * SECOND)
@@ -239,7 +243,7 @@
 
 
 def late_reader(waited: int, silent_ms: int) -> tuple[Net, Wire]:
-    """A client of a process that polled so long ago; its last byte came as long ago as the system says."""
+    """A client of a process whose last poll was `waited` ns ago. The system reports `silent_ms` since its last byte."""
     net = Net()
     net.loop_timing.begin(net.dispatcher.now(), net.dispatcher.now() - waited, timeout=0)
     client = net.client()
@@ -250,13 +254,13 @@
 @pytest.mark.parametrize(
     ("waited_ms", "silent_ms", "counted_ms"),
     [
-        (3000, 2000, 2000),  # the system tells how long ago the last byte came
-        (3000, 0, 0),  # a slow client that goes on: what it wrote last was read as it came
-        (1000, 5000, 1000),  # never more than the loop can have left it unread
+        (3000, 2000, 2000),  # the system reports when the last byte arrived
+        (3000, 0, 0),  # a slow client that makes progress: its last bytes were read on arrival
+        (1000, 5000, 1000),  # at most the time that the loop may have left it unread
         (80, 80, 0),
     ],
 )
-def test_bytes_that_waited_to_be_read_are_as_old_as_the_system_says(
+def test_the_age_of_bytes_that_waited_to_be_read_comes_from_the_system(
     waited_ms: int, silent_ms: int, counted_ms: int
 ) -> None:
     net, client = late_reader(waited_ms * MS, silent_ms)
@@ -267,19 +271,19 @@
     assert client.closing or client.lost
 
 
-def test_much_that_waited_is_as_old_in_each_of_the_turns_that_read_it() -> None:
+def test_a_large_backlog_has_the_same_age_in_each_iteration_that_reads_it() -> None:
     net, client = late_reader(2 * SECOND, 2000)
     client.feed(b"ms k 100000 O1 Pc=once,d=900\r\n" + b"x" * 20000)
     for _ in range(3):
         net.run(1)
         net.loop_timing.begin(net.dispatcher.now())
-        client.silent_ms = 0  # the system had no room for the rest before
+        client.silent_ms = 0  # the socket buffer had no room for the rest before
         client.feed(b"x" * 20000)
     net.run(MAX_VALUE_PAUSE_NS // MS - 2000 + 60)
     assert client.closing or client.lost
 
 
-def test_a_late_value_is_as_old_though_its_line_was_read_in_the_turn_before() -> None:
+def test_a_late_value_keeps_its_age_when_its_line_was_read_in_the_previous_iteration() -> None:
     net, client = late_reader(2 * SECOND, 1500)
     client.feed(b"ms k 1")
     net.run(2)
@@ -289,19 +293,19 @@
     assert client.closing or client.lost
 
 
-def test_a_request_that_begins_behind_a_late_read_has_its_own_time() -> None:
+def test_a_request_that_starts_after_a_late_read_has_its_own_deadline() -> None:
     net, client = late_reader(3 * SECOND, 2000)
     client.feed(b"mg k")
     net.run(10)
     net.loop_timing.begin(net.dispatcher.now())
     client.silent_ms = 0
-    client.feed(mg(1, profile="nobody")[4:] + b"mg k")  # ends that line, and begins another
+    client.feed(mg(1, profile="nobody")[4:] + b"mg k")  # completes that line and starts another
     net.run(MAX_LINE_NS // MS - 60)
     assert not client.closing and not client.lost
 
 
-def test_who_was_kept_from_writing_by_a_stop_is_given_a_moment_to_go_on() -> None:
-    """A process that stood still for 5 s reads what the system had room for; the rest comes once it has."""
+def test_a_client_that_could_not_write_during_a_stop_gets_time_to_continue() -> None:
+    """A process that was stopped for 5 s reads a full socket buffer first; the client writes the rest only then."""
     net, client = late_reader(5 * SECOND, 4900)
     client.feed(b"ms k 200000 O1 Pc=once,d=900\r\n" + b"x" * 60000)
     client.silent_ms = 0
@@ -329,19 +333,17 @@
         (b"ms k -1 O1 Pc=once,d=9\r\nxx", RequestPart.NONE, 1),
     ],
 )
-def test_where_a_stream_stands_is_told_for_every_part_of_a_request(
-    written: bytes, part: RequestPart, lines: int
-) -> None:
-    for whole in (8, 100):
-        side = RequestParser(2048, 4096, whole)
-        side.feed(written)
-        assert side.position() == Position(part, lines)
+def test_the_position_is_reported_for_every_part_of_a_request(written: bytes, part: RequestPart, lines: int) -> None:
+    for stream_above in (8, 100):
+        parser = RequestParser(2048, 4096, stream_above)
+        parser.feed(written)
+        assert parser.position() == Position(part, lines)
 
 
-# ---- what the deadline meets ----
+# ---- deadlines and other limits ----
 
 
-def test_a_value_that_a_cache_host_holds_up_is_not_its_clients_fault() -> None:
+def test_a_value_that_a_cache_host_delays_does_not_count_against_its_client() -> None:
     net = Net(limits={"stream_above_bytes": 8, "chunk_bytes": 4, "stall_timeout": 9 * SECOND})
     client = net.client()
     client.feed(b"ms k 20 O1 Pc=once,d=800\r\n")
@@ -355,7 +357,7 @@
     assert client.lost, net.trace
 
 
-def test_a_large_value_that_stops_costs_its_cache_host_the_connection_and_has_not_run() -> None:
+def test_a_large_value_that_stops_closes_its_cache_host_connection_and_has_not_run() -> None:
     net = Net(limits={"stream_above_bytes": 8, "chunk_bytes": 4})
     client = net.client()
     client.feed(mg(1) + b"ms k 20 O2 Pc=once,d=800\r\n0123456789")
@@ -366,7 +368,7 @@
     assert OVERDUE_ANSWER.decode() in "".join(net.trace)
 
 
-def test_bytes_that_lie_unread_keep_a_request_until_they_are_read() -> None:
+def test_unread_bytes_keep_a_request_open_until_they_are_read() -> None:
     net = Net()
     client = net.client()
     client.feed(mg(1)[:9])
@@ -379,7 +381,7 @@
 
 
 @pytest.mark.parametrize("step", ["drain", "end", "reload"])
-def test_on_loopback_whoever_stops_is_ended_in_time_whatever_the_process_is_told_meanwhile(
+def test_on_loopback_a_client_that_stops_is_closed_in_time_during_a_drain_a_shutdown_or_a_reload(
     tmp_path: Path, step: str
 ) -> None:
     clients = [Stopping([b"mg k v"]), Stopping([b"ms k 9 O1 Pc=once,d=900\r\nx"])]
@@ -394,19 +396,19 @@
         }
         timer = Timer(1.0, acts[step])
         timer.start()
-        watched(listen, clients, OWED + 1)
+        run_clients(listen, clients, MAX_END_SECONDS + 1)
         timer.join()
-    assert all(0 < one.closed - one.written <= OWED for one in clients), clients
+    assert all(0 < one.closed - one.written <= MAX_END_SECONDS for one in clients), clients
 
 
-# ---- the rules, and their check at run time ----
+# ---- safety rules and their check at run time ----
 
 
-def test_a_close_waits_for_what_is_owed_and_for_what_lies_unread() -> None:
+def test_a_close_waits_for_pending_answers_and_unread_bytes() -> None:
     for reason in CloseReason:
-        free_to_go = reason in UNCONDITIONAL_CLOSES
+        unconditional = reason in UNCONDITIONAL_CLOSES
         assert may_close(reason, owes_answer=False)
-        assert may_close(reason, owes_answer=True) == may_close(reason, owes_answer=False, unread=True) == free_to_go
+        assert may_close(reason, owes_answer=True) == may_close(reason, owes_answer=False, unread=True) == unconditional
 
 
 @pytest.mark.parametrize(
@@ -421,18 +423,20 @@
         (Attempt(False, True, 10, 6, False), True, AttemptRefusal.DEPARTED),
     ],
 )
-def test_an_attempt_begins_by_the_rules_alone(attempt: Attempt, departed: bool, why: AttemptRefusal | None) -> None:
+def test_an_attempt_starts_only_if_the_rules_allow_it(
+    attempt: Attempt, departed: bool, why: AttemptRefusal | None
+) -> None:
     assert attempt_refusal(attempt, 5, lambda: departed) is why
 
 
-def test_what_is_done_against_the_rules_is_counted_and_kept() -> None:
+def test_violations_of_the_rules_are_counted_and_recorded() -> None:
     net = Net()
     client = net.client()
     client.feed(mg(1))
-    owed = client.protocol.pending[0]
+    pending_answer = client.protocol.pending[0]
     client.protocol.close(CloseReason.IDLE)
-    owed.set_answer(b"SERVER_ERROR busy\r\n")
-    owed.set_answer(b"SERVER_ERROR failed\r\n")
+    pending_answer.set_answer(b"SERVER_ERROR busy\r\n")
+    pending_answer.set_answer(b"SERVER_ERROR failed\r\n")
     net.dispatcher.safety.record_attempt_start(True, lambda: "1", 1)
     safety = net.dispatcher.safety
     assert safety.violations == {Violation.CLOSED_OWING: 1, Violation.ANSWERED_TWICE: 1, Violation.BEGUN_FORBIDDEN: 1}
@@ -441,10 +445,10 @@
     assert "violations: 3" in safety.summary()
 
 
-def test_on_loopback_operators_read_why_clients_were_closed(tmp_path: Path) -> None:
+def test_on_loopback_operators_can_read_why_clients_were_closed(tmp_path: Path) -> None:
     listen, management = free_port(), free_port()
     with serving(balancer_config(listen, free_port(), management=f"127.0.0.1:{management}"), tmp_path) as process:
-        watched(listen, [Stopping([b"mg k v"]), Stopping([b"ms k -1 O1 Pc=once,d=9\r\n"])], OWED + 1)
+        run_clients(listen, [Stopping([b"mg k v"]), Stopping([b"ms k -1 O1 Pc=once,d=9\r\n"])], MAX_END_SECONDS + 1)
         metrics, events = (
             exchange(management, b"GET /control/%b HTTP/1.1\r\nHost: x\r\n\r\n" % name)
             for name in (b"metrics", b"events")
@@ -458,38 +462,38 @@
     assert "closed clients: malformed 1, request_overdue 1; violations: 0" in log
 
 
-# ---- the other side of a request: a cache host that stops in the middle ----
+# ---- cache hosts that stop in the middle of a request, and clients that read no answers ----
 
 
-def test_a_cache_host_that_takes_no_more_of_a_large_value_costs_its_client_no_silence() -> None:
+def test_a_client_is_answered_if_the_cache_host_stops_reading_its_large_value() -> None:
     net = Net(limits={"stream_above_bytes": 8, "chunk_bytes": 4})
     client = net.client()
     client.feed(b"ms k 40 O1 Pc=once,d=800\r\n0123456789")
     *_, factory, _, _ = net.reactor.tcpClients.pop(0)
-    stuck = Wire(net, "host 1", factory.buildProtocol(None))  # the system takes nothing of it
+    stuck = Wire(net, "host 1", factory.buildProtocol(None))  # its socket accepts no data
     net.run(2000)
-    client.feed(b"0123456789")  # and more of it is not read
+    client.feed(b"0123456789")  # the balancer reads no more of it
     net.run(3300)
     assert stuck.lost and "client 0 < b'SERVER_ERROR busy" in "".join(net.trace), net.trace  # it never ran
     client.feed(b"0123456789" * 2 + b"\r\nmn\r\n")
     assert not client.lost and "MN" in net.trace[-1], net.trace
 
 
-def test_whoever_takes_no_answers_is_ended_however_much_it_asks() -> None:
-    """What it sends, and what is written for it, are no sign that it takes anything."""
+def test_a_client_that_reads_no_answers_is_closed_however_much_it_sends() -> None:
+    """Its requests and the answers written for it are no sign that it reads anything."""
     net = Net()
     client = net.client()
     client.stuck = True
-    client.unread = b"m"  # more of it lies unread at each look
+    client.unread = b"m"  # there are unread bytes at each check
     for number in range(20):
         client.feed(mg(number, profile="nobody"))
         net.run(500)
         if client.lost:
             break
-    assert client.lost and 10 <= number <= 12  # some 5 s
+    assert client.lost and 10 <= number <= 12  # about 5 s
 
 
-def test_a_stop_of_the_process_is_no_time_in_which_a_client_takes_nothing() -> None:
+def test_the_time_of_a_process_stop_does_not_count_as_a_client_that_reads_nothing() -> None:
     net = Net()
     client = net.client()
     client.stuck = True
@@ -503,7 +507,7 @@
     assert client.lost
 
 
-def test_whoever_takes_its_answers_slowly_is_not_ended() -> None:
+def test_a_client_that_reads_its_answers_slowly_is_not_closed() -> None:
     net = Net()
     client = net.client()
     client.stuck = True
@@ -515,34 +519,34 @@
 
 
 @pytest.mark.parametrize("owner", ["frontend", "pool"])
-def test_a_fault_in_one_sweep_does_not_end_the_sweeps(owner: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_one_sweep_does_not_end_the_sweeps(owner: str, monkeypatch: pytest.MonkeyPatch) -> None:
     net = Net()
     part = getattr(net, owner)
-    looks = []
+    sweeps = []
 
     def broken() -> None:
-        looks.append(net.dispatcher.now())
+        sweeps.append(net.dispatcher.now())
         raise ValueError("broken on purpose")
 
     monkeypatch.setattr(part, "close_stale", broken)
     for _ in range(4):
         with suppress(ValueError):
             net.reactor.advance(net.limits.sweep_interval / SECOND)
-    assert len(looks) >= 3
+    assert len(sweeps) >= 3
 
 
-def test_the_end_of_one_request_may_close_another_that_is_overdue_too(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failing_one_overdue_request_may_close_another_overdue_client(monkeypatch: pytest.MonkeyPatch) -> None:
     net = Net()
     first, second = net.client(), net.client()
     for one in (first, second):
         one.feed(b"mg k v")
     real = type(first.protocol).fail_request
 
-    def ends_both(client: Any) -> None:
+    def fail_both(client: Any) -> None:
         real(client)
         net.frontend.drop(second.protocol, CloseReason.MEMORY)
 
-    monkeypatch.setattr(type(first.protocol), "fail_request", ends_both)
+    monkeypatch.setattr(type(first.protocol), "fail_request", fail_both)
     net.run(2700)
     assert first.lost and second.lost and not net.frontend.partial_requests
     assert net.dispatcher.safety.client_closes == {CloseReason.REQUEST_OVERDUE: 1, CloseReason.MEMORY: 1}
