--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -1,4 +1,4 @@
-"""Values too large to be kept: they flow through in pieces both ways, cut anywhere, read and written slowly."""
+"""Large values, which are streamed in both directions: split at arbitrary points, and read and written slowly."""
 
 import socket
 import threading
@@ -29,75 +29,77 @@
 
 
 def written(net: Net, name: str) -> bytes:
-    """All that one side was sent."""
+    """Returns all bytes that were sent to one side."""
     lines = [line.split("  ", 1)[1] for line in net.trace if f"{name} < " in line]
     return b"".join(eval(line.split(" < ", 1)[1]) for line in lines)
 
 
 @pytest.mark.parametrize("cut", [1, 2, 3, 7, 50, 4000])
-def test_the_machines_give_the_same_however_a_large_value_is_cut(cut: int) -> None:
+def test_a_large_value_parses_the_same_however_the_data_is_split(cut: int) -> None:
     value = bytes(range(256)) * 5
     sent = put(1, value) + b"mn\r\n" + put(2, b"tiny")
-    side = meta.RequestParser(2048, 4096, stream_above_bytes=100)
-    found = [x for at in range(0, len(sent), cut) for x in side.feed(sent[at : at + cut])]
+    parser = meta.RequestParser(2048, 4096, stream_above_bytes=100)
+    found = [x for at in range(0, len(sent), cut) for x in parser.feed(sent[at : at + cut])]
     command = found[0]
     assert isinstance(command, meta.Command) and command.stream_length == len(value) and command.value is None
     assert b"".join(x.data for x in found if isinstance(x, meta.ValueChunk)) == value
     kinds = [type(x) for x in found if not isinstance(x, meta.ValueChunk)]
-    assert kinds == [meta.Command, meta.ValueEnd, meta.NoOp, meta.Command] and side.is_idle()
+    assert kinds == [meta.Command, meta.ValueEnd, meta.NoOp, meta.Command] and parser.is_idle()
     assert command.forward(5) + value + b"\r\n" == put(1, value).replace(b"d=800", b"d=5")
 
-    back = meta.ResponseParser(2048, 4096, stream_above_bytes=100)
+    responses = meta.ResponseParser(2048, 4096, stream_above_bytes=100)
     for line in (mg(3), mg(4)):
         asked = meta.RequestParser(2048, 4096).feed(line)[0]
         assert isinstance(asked, meta.Command)
-        back.expect(asked)
+        responses.expect(asked)
     answers = va(3, value) + va(4, b"v")
-    got = [x for at in range(0, len(answers), cut) for x in back.feed(answers[at : at + cut])]
+    got = [x for at in range(0, len(answers), cut) for x in responses.feed(answers[at : at + cut])]
     assert (
-        b"".join(x.data for x in got if isinstance(x, meta.ValueChunk)) == value and not back.fault and not back.buffer
+        b"".join(x.data for x in got if isinstance(x, meta.ValueChunk)) == value
+        and not responses.fault
+        and not responses.buffer
     )
     assert got[0] == meta.ValueHeader(len(value), 1) and isinstance(got[-1], meta.Answer)
 
 
-def test_a_large_value_without_its_end_is_a_fault_on_both_sides() -> None:
-    side = meta.RequestParser(2048, 4096, stream_above_bytes=10)
-    found = side.feed(put(1, b"x" * 20)[:-2] + b"xx")
+def test_a_large_value_without_its_final_newline_is_an_error_on_both_sides() -> None:
+    parser = meta.RequestParser(2048, 4096, stream_above_bytes=10)
+    found = parser.feed(put(1, b"x" * 20)[:-2] + b"xx")
     assert found[-1] == meta.InvalidCommand(b"CLIENT_ERROR bad data chunk", True)
-    back = meta.ResponseParser(2048, 4096, stream_above_bytes=10)
+    responses = meta.ResponseParser(2048, 4096, stream_above_bytes=10)
     asked = meta.RequestParser(2048, 4096).feed(mg(1))[0]
     assert isinstance(asked, meta.Command)
-    back.expect(asked)
-    assert isinstance(back.feed(va(1, b"x" * 20)[:-2] + b"xx")[-1], meta.ValueChunk) and back.fault
+    responses.expect(asked)
+    assert isinstance(responses.feed(va(1, b"x" * 20)[:-2] + b"xx")[-1], meta.ValueChunk) and responses.fault
 
 
-def test_of_what_is_no_command_nothing_is_passed_on() -> None:
-    side = meta.RequestParser(2048, 4096, stream_above_bytes=10)
+def test_nothing_of_an_invalid_command_is_passed_on() -> None:
+    parser = meta.RequestParser(2048, 4096, stream_above_bytes=10)
     bad = b"ms k 20 Pc=once,d=8\r\n" + b"mg k v" * 3 + b"mn\r\n"[:2] + b"\r\n"
-    assert [x for at in range(len(bad)) for x in side.feed(bad[at : at + 1])] == [
+    assert [x for at in range(len(bad)) for x in parser.feed(bad[at : at + 1])] == [
         meta.InvalidCommand(b"CLIENT_ERROR bad id")
     ]
-    assert side.is_idle()
-
-
-def test_whoever_offers_is_paused_while_nobody_takes() -> None:
-    said: list[bool] = []
-    flow = ValueStream(20, 4, said.append)
-    flow.feed(b"abc")
-    assert not said
-    flow.feed(b"def")
-    flow.feed(b"g")
-    assert said == [True] and flow.take() == b"abcdefg" and said == [True]
-    flow.mark_written()
-    assert said == [True, False] and flow.partly_taken
-    flow.feed(b"hijkl")
-    flow.finish()
-    assert said == [True, False, True, False]  # the next on that connection is nobody's to hold back
-    flow.abort()
-    assert not flow.all_taken() and flow.take() == b"hijkl" and flow.all_taken() and not flow.aborted
-
-
-def test_a_large_read_is_answered_with_its_first_byte_and_flows_on_past_its_times() -> None:
+    assert parser.is_idle()
+
+
+def test_the_source_is_paused_while_the_receiver_takes_nothing() -> None:
+    pauses: list[bool] = []
+    stream = ValueStream(20, 4, pauses.append)
+    stream.feed(b"abc")
+    assert not pauses
+    stream.feed(b"def")
+    stream.feed(b"g")
+    assert pauses == [True] and stream.take() == b"abcdefg" and pauses == [True]
+    stream.mark_written()
+    assert pauses == [True, False] and stream.partly_taken
+    stream.feed(b"hijkl")
+    stream.finish()
+    assert pauses == [True, False, True, False]  # this stream no longer pauses what follows on the connection
+    stream.abort()
+    assert not stream.all_taken() and stream.take() == b"hijkl" and stream.all_taken() and not stream.aborted
+
+
+def test_a_large_read_is_answered_with_its_first_byte_and_may_take_longer_than_its_limits() -> None:
     net = Net(limits=SMALL)
     client = net.client()
     client.feed(mg(1) + mg(2))
@@ -115,7 +117,7 @@
     net.matches("net_large_read")
 
 
-def test_a_slow_reader_pauses_its_cache_host_and_holds_next_to_nothing() -> None:
+def test_a_slow_reader_pauses_its_cache_host_and_little_is_buffered() -> None:
     net = Net(limits=SMALL)
     client = net.client()
     client.feed(mg(1))
@@ -135,7 +137,7 @@
 
 
 @pytest.mark.parametrize("how", ["breaks", "wrong end", "silent"])
-def test_a_large_read_that_breaks_off_is_not_taken_for_whole(how: str) -> None:
+def test_an_interrupted_large_read_is_not_taken_for_complete(how: str) -> None:
     net = Net(limits=SMALL)
     client = net.client()
     client.feed(mg(1))
@@ -152,13 +154,13 @@
     assert not net.dispatcher.open_txs and net.sockets.clients == net.sockets.hosts == 0
 
 
-def test_what_is_small_is_not_put_behind_what_is_large() -> None:
+def test_small_requests_do_not_wait_behind_a_large_value() -> None:
     net = Net(limits=SMALL | {"sockets": 4})
     first, second = net.client(), net.client()
     first.feed(mg(1) + mg(2))
     host, other = net.accept(), net.accept()
     host.feed(b"VA 30 O1\r\n0123456789")
-    second.feed(mg(4))  # no socket is left: it shares the connection that has no large value on it
+    second.feed(mg(4))  # no socket is left: it shares the connection without a large value
     assert other.protocol.load() == 2 and host.protocol.load() == 1
 
 
@@ -176,13 +178,13 @@
 
 
 @pytest.mark.parametrize("cut", [1, 3, 1000])
-def test_a_large_write_goes_through_as_it_comes_and_its_times_run_from_its_last_byte(cut: int) -> None:
+def test_a_large_write_is_streamed_and_its_time_limits_start_at_its_last_byte(cut: int) -> None:
     net = Net(limits=SMALL)
     client, value = net.client(), b"0123456789" * 4
     text = put(1, value)
     client.feed(text[:-20], cut=cut)
     host = net.accept()
-    net.run(1200)  # a slow writer that goes on: far past its hard limit
+    net.run(1200)  # a slow writer that makes progress, far past its hard limit
     client.feed(text[-20:-10], cut=cut)
     net.run(1200)
     assert not host.lost and not net.dispatcher.balancer.in_flight
@@ -192,10 +194,12 @@
     net.run(300)
     host.feed(b"HD O1 cabc\r\n")
     assert written(net, "client 0") == b"HD O1 cabc\r\n" and not net.dispatcher.open_txs
-    assert net.dispatcher.balancer.mean_duration < 400_000_000  # what its writer took is not its cache host's
+    assert (
+        net.dispatcher.balancer.mean_duration < 400_000_000
+    )  # the time of the slow writer does not count as its cache host's
 
 
-def test_a_large_write_that_is_not_answered_is_given_up_by_its_times_from_the_last_byte() -> None:
+def test_an_unanswered_large_write_times_out_by_limits_from_its_last_byte() -> None:
     net = Net(limits=SMALL)
     client, value = net.client(), b"0123456789" * 4
     client.feed(put(1, value)[:-1])
@@ -208,7 +212,7 @@
     assert written(net, "client 0") == b"SERVER_ERROR failed\r\n"
 
 
-def test_before_its_first_byte_went_out_a_large_write_may_go_elsewhere_and_after_that_nowhere() -> None:
+def test_a_large_write_may_be_rerouted_only_before_its_first_byte_was_sent() -> None:
     net = Net(hosts=3, limits=SMALL)
     client, value = net.client(), b"0123456789" * 4
     text = put(1, value)
@@ -218,14 +222,14 @@
     assert written(net, host.name).startswith(b"ms k 40 O1")
     host.end()
     net.take()
-    # It never had its last byte, so it has not run: rolled back, though it may run but once.
+    # Its last byte was never sent, so it has not run and is rolled back, although it is non-idempotent.
     answer = written(net, "client 0")
     assert answer.startswith(b"SERVER_ERROR busy") and not net.reactor.tcpClients
-    client.feed(text[-20:] + b"mn\r\n")  # the rest is read and dropped
+    client.feed(text[-20:] + b"mn\r\n")  # the rest is read and discarded
     assert written(net, "client 0") == answer + b"MN\r\n" and not client.lost
 
 
-def test_after_its_last_byte_went_out_it_may_have_run() -> None:
+def test_a_large_write_may_have_run_after_its_last_byte_was_sent() -> None:
     net = Net(hosts=3, limits=SMALL)
     client = net.client()
     client.feed(put(1, b"0123456789" * 4))
@@ -234,7 +238,7 @@
     assert written(net, "client 0") == b"SERVER_ERROR failed\r\n" and not net.reactor.tcpClients
 
 
-def test_a_cache_host_that_answers_before_the_end_is_left_and_what_it_says_is_no_commit() -> None:
+def test_a_cache_host_that_answers_before_the_last_byte_is_dropped_and_its_answer_ignored() -> None:
     net = Net(hosts=1, limits=SMALL)
     client = net.client()
     client.feed(put(1, b"0123456789" * 4)[:-20])
@@ -243,7 +247,7 @@
     assert host.lost and written(net, "client 0").startswith(b"SERVER_ERROR busy")
 
 
-def test_a_writer_that_goes_away_blames_no_cache_host_and_takes_its_connection_with_it() -> None:
+def test_a_writer_that_disconnects_closes_its_cache_host_connection_without_counting_a_failure() -> None:
     net = Net(limits=SMALL)
     for number in range(20):
         client = net.client()
@@ -255,7 +259,7 @@
     assert not one.failures and not one.in_flight and not one.ejected_until and not net.sockets.hosts
 
 
-def test_a_large_write_that_has_no_end_where_it_should_is_cut_off_before_it_is_whole() -> None:
+def test_a_large_write_without_its_final_newline_is_cut_off_before_it_is_complete() -> None:
     net = Net(limits=SMALL)
     client = net.client()
     client.feed(put(1, b"0123456789" * 4)[:-2])
@@ -265,14 +269,14 @@
     assert not written(net, "host 1").endswith(b"\r\n0123456789" * 4 + b"\r\n")
 
 
-def test_a_cache_host_that_takes_slowly_pauses_the_writer() -> None:
+def test_a_cache_host_that_reads_slowly_pauses_the_writer() -> None:
     net = Net(limits=SMALL)
     client = net.client()
     client.feed(put(1, b"0123456789" * 4)[:-30])
-    held = [client.paused]  # nobody has taken any of it yet
+    paused = [client.paused]  # no receiver has taken any of it yet
     host = net.accept()
-    held.append(client.paused)
-    assert held == [True, False]
+    paused.append(client.paused)
+    assert paused == [True, False]
     take = host.take
     host.take = lambda: None  # type: ignore[method-assign]
     client.feed(b"01234567")
@@ -283,7 +287,7 @@
     assert not client.paused
 
 
-def test_a_host_that_drains_gets_the_rest_of_what_began_and_nothing_new() -> None:
+def test_a_draining_host_gets_the_rest_of_a_started_write_and_nothing_new() -> None:
     net = Net(hosts=1, limits=SMALL)
     client = net.client()
     text = put(1, b"0123456789" * 4)
@@ -300,7 +304,7 @@
 
 
 class Store(threading.Thread):
-    """A cache host that takes and gives any value, in pieces of odd sizes."""
+    """A cache host that stores and returns any value, and sends it in chunks of odd sizes."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(daemon=True)
@@ -339,15 +343,15 @@
 
 
 def resident(pid: int) -> int:
-    """Anonymous memory, in KiB."""
+    """Returns the anonymous resident memory of a process in KiB."""
     status = Path(f"/proc/{pid}/status").read_text().split()
     return int(status[status.index("RssAnon:") + 1])
 
 
-def test_many_slow_readers_and_writers_of_4_mib_stay_within_the_memory(tmp_path: Path) -> None:
+def test_many_slow_readers_and_writers_of_4_mib_values_stay_within_the_memory_limit(tmp_path: Path) -> None:
     listen, store = free_port(), Store(3)
     where = member(1) | {"host_port": f"127.0.0.1:{store.port}"}
-    # The one store and all its clients share this test's process, so that their times are long.
+    # The cache host and all clients share the process of this test, so the time limits are long.
     profiles = [one | {"ServiceGoal": 8_000_000, "HardLimit": 9_000_000} for one in FACTS["Profiles"]]
     config = balancer_config(
         listen,
@@ -362,13 +366,13 @@
     def read(number: int) -> None:
         with closing(socket.create_connection(("127.0.0.1", listen), timeout=30)) as client:
             reader, head = client.makefile("rb"), b"SERVER_ERROR busy"
-            while head.startswith(b"SERVER_ERROR busy"):  # the one store is slow at first
+            while head.startswith(b"SERVER_ERROR busy"):  # the cache host is slow at first
                 client.sendall(b"mg k%d v O%d Pc=read,d=9000\r\n" % (size, number))
                 head = reader.readline()
             found = bytearray()
             while len(found) < size + 2 and (data := reader.read1(1 << 18)):
                 found += data
-                time.sleep(0.02)  # slowly, and far past its hard limit
+                time.sleep(0.02)  # slow, far beyond the hard limit
             if head != b"VA %d O%d\r\n" % (size, number) or found != value_of(b"k%d" % size, size) + b"\r\n":
                 failed.append((head, len(found)))
 
@@ -386,15 +390,15 @@
 
     with serving(config, tmp_path) as process:
         before, most = resident(process.pid), 0
-        people = [threading.Thread(target=read, args=(n,)) for n in range(many)]
-        people += [threading.Thread(target=write, args=(n,)) for n in range(many, 2 * many)]
-        for one in people:
+        threads = [threading.Thread(target=read, args=(n,)) for n in range(many)]
+        threads += [threading.Thread(target=write, args=(n,)) for n in range(many, 2 * many)]
+        for one in threads:
             one.start()
-        while any(one.is_alive() for one in people):
+        while any(one.is_alive() for one in threads):
             most = max(most, resident(process.pid))
             assert hello_reply(listen) == b"MN\r\n"
             time.sleep(0.1)
-        wait_until(lambda: not any(one.is_alive() for one in people))
+        wait_until(lambda: not any(one.is_alive() for one in threads))
         assert not failed, failed[:3]
-        # 128 MiB were on their way; a bound of two reads each way, and not of the values.
+        # 128 MiB were in transit. Memory is bounded by two reads in each direction, not by the values.
         assert most - before < 16 << 10, (before, most)
