--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -27,7 +27,7 @@
 from tests.helper import FACTS, Net, ThreadedServer, member
 from tests.hosted_helper import ROOT
 from tests.test_flow import Store
-from tests.test_net import TOLD, Agent, mg, ms
+from tests.test_net import BASE_CONFIG, FakeAgent, mg, ms
 from tests.test_review_links import balancer_config, free_port, serving, wait_until
 
 Failed: Any = Failure  # the library's have no types
@@ -156,9 +156,9 @@
         protocol.connectionLost(Failed(self.how))
 
 
-def followed(monkeypatch: pytest.MonkeyPatch) -> tuple[Net, Agent, Discovery]:
+def followed(monkeypatch: pytest.MonkeyPatch) -> tuple[Net, FakeAgent, Discovery]:
     net = Net()
-    agent = Agent(net)
+    agent = FakeAgent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
     watch.revision, net.dispatcher.request_list = 0, watch.watch
@@ -244,16 +244,16 @@
     assert not ready(net) and "index=5" in net.trace[-1]
 
 
-def moved(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> tuple[Net, Agent, Service]:
+def moved(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> tuple[Net, FakeAgent, Service]:
     """SIGHUP has just moved discovery; the call to the old address is the first, and that to the new one the second."""
     path = tmp_path / "told.json"
-    path.write_bytes(orjson.dumps(TOLD))
+    path.write_bytes(orjson.dumps(BASE_CONFIG))
     net = Net()
-    agent = Agent(net)
+    agent = FakeAgent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     service = Service(net.reactor, read_config(str(path), {}))
     service.begin()
-    path.write_bytes(orjson.dumps(TOLD | {"discovery": "127.0.0.1:8600"}))
+    path.write_bytes(orjson.dumps(BASE_CONFIG | {"discovery": "127.0.0.1:8600"}))
     service.reload()
     return net, agent, service
 
@@ -350,9 +350,9 @@
 ) -> None:
     """What is pushed counts as told from the first moment of a process, and the list it was given may be old."""
     path = tmp_path / "told.json"
-    path.write_bytes(orjson.dumps(TOLD | {"settings": FACTS | {"Discovery": "pushed"}}))
+    path.write_bytes(orjson.dumps(BASE_CONFIG | {"settings": FACTS | {"Discovery": "pushed"}}))
     net = Net()
-    agent = Agent(net)
+    agent = FakeAgent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     service = Service(net.reactor, read_config(str(path), {}))
     service.begin()
@@ -465,7 +465,7 @@
 
 def ending(tmp_path: Path) -> tuple[Net, Service]:
     path = tmp_path / "told.json"
-    path.write_bytes(orjson.dumps(TOLD))
+    path.write_bytes(orjson.dumps(BASE_CONFIG))
     net = Net()
     service = Service(net.reactor, read_config(str(path), {}))
     net.frontend, net.dispatcher, net.pool = service.frontend, service.dispatcher, service.pool
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -22,7 +22,7 @@
 from tests.hosted_helper import HostedService
 from tests.test_endings import Ending, begun, drained, ready
 from tests.test_hosted import FakeCacheHost
-from tests.test_net import Agent, mg
+from tests.test_net import FakeAgent, mg
 from tests.test_registry import LIMITS, registry_of, tenant
 
 HELLO = b"mn\r\n"
@@ -224,7 +224,7 @@
     agent: Any = None
     monkeypatch.setattr("ternquay.net.discovery.Agent", lambda *_: agent)
     net = HostedNet(servers=())
-    agent = Agent(net)
+    agent = FakeAgent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     there = net.host.registry.tenants["sur"].tenant
     net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8500))))
@@ -243,7 +243,7 @@
 
 def test_a_list_of_the_old_source_is_ignored_once_servers_are_configured(monkeypatch: pytest.MonkeyPatch) -> None:
     net = HostedNet(servers=())
-    agent = Agent(net)
+    agent = FakeAgent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     there = net.host.registry.tenants["sur"].tenant
     net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8500))))
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -14,7 +14,7 @@
 from ternquay.net.limits import MIB, derive_limits
 from ternquay.rig.ports import free_place
 from tests.helper import FACTS, Net, member
-from tests.test_net import TOLD, mg, va
+from tests.test_net import BASE_CONFIG, mg, va
 
 HOST_COUNT = 1024
 ROOT = Path(__file__).parents[1]
@@ -77,7 +77,8 @@
     known = {"revision": 1, "complete": True, "members": members}
     path.write_bytes(
         orjson.dumps(
-            TOLD | {"listen": free_place("127.0.0.1"), "discovery": "127.0.0.1:9", "limits": limits, "known": known}
+            BASE_CONFIG
+            | {"listen": free_place("127.0.0.1"), "discovery": "127.0.0.1:9", "limits": limits, "known": known}
         )
     )
     process = subprocess.Popen(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""Front, door and pool together on a clock of the test's own; what is written stands in the traces."""
+"""Frontend, dispatcher and pool together on a simulated clock. The traces show all data that is written."""
 
 import sys
 from pathlib import Path
@@ -36,7 +36,7 @@
     return b"VA %d O%d h1\r\n%b\r\n" % (len(value), number, value)
 
 
-def test_a_connection_is_kept_for_the_next_transaction_and_closed_before_the_host_does_it() -> None:
+def test_a_host_connection_is_reused_and_closed_before_the_host_closes_it() -> None:
     net = Net()
     client = net.client()
     client.feed(b"mn\r\n" + mg(1), cut=4)
@@ -61,7 +61,7 @@
     net.matches("net_order")
 
 
-def test_a_break_before_the_last_byte_never_ran_and_one_after_it_may_have() -> None:
+def test_a_connection_lost_before_the_last_byte_has_not_run_the_transaction_and_after_it_may_have() -> None:
     net = Net(hosts=3)
     client = net.client()
     client.feed(ms(1))
@@ -83,7 +83,7 @@
     net.matches("net_break_before")
 
 
-def test_what_is_late_is_cut_off_and_answered_at_once() -> None:
+def test_a_late_hop_is_cut_off_and_its_transaction_answered_immediately() -> None:
     net = Net()
     client = net.client()
     client.feed(ms(1, "mark") + ms(2))
@@ -92,7 +92,7 @@
     net.matches("net_late")
 
 
-def test_a_client_that_goes_away_ends_its_hops() -> None:
+def test_a_client_that_disconnects_ends_its_hops() -> None:
     net = Net()
     client = net.client()
     client.feed(mg(1))
@@ -102,7 +102,7 @@
     net.matches("net_client_gone")
 
 
-def test_under_pressure_hops_share_a_connection_and_a_late_answer_reaches_nobody() -> None:
+def test_when_sockets_are_short_hops_share_a_connection_and_a_late_answer_is_dropped() -> None:
     net = Net(limits={"sockets": 3})
     first, second = net.client(), net.client()
     first.feed(mg(1, ttl=300))
@@ -115,7 +115,7 @@
     net.matches("net_shared")
 
 
-def test_a_shared_connection_with_nothing_but_given_up_hops_is_cut_off() -> None:
+def test_a_shared_connection_with_only_abandoned_hops_is_closed() -> None:
     net = Net(limits={"sockets": 3})
     first, second = net.client(), net.client()
     first.feed(mg(1, ttl=300))
@@ -127,7 +127,7 @@
     assert host.lost and not net.dispatcher.open_txs
 
 
-def test_where_no_second_copy_is_allowed_nothing_is_shared() -> None:
+def test_connections_are_not_shared_where_parallel_tries_are_forbidden() -> None:
     net = Net(limits={"sockets": 3}, ParallelTries=False)
     first, second = net.client(), net.client()
     first.feed(mg(1))
@@ -136,7 +136,7 @@
     net.matches("net_not_shared")
 
 
-def test_what_an_answer_sets_free_goes_out_on_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_an_answer_triggers_reuses_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     net = Net()
     client, other = net.client(), net.client()
     client.feed(mg(1))
@@ -152,7 +152,7 @@
     assert not net.reactor.tcpClients and net.sockets.hosts == 1
 
 
-def test_a_draining_host_gets_nothing_new_and_finishes_what_it_has() -> None:
+def test_a_draining_host_gets_no_new_hops_and_finishes_its_current_ones() -> None:
     net = Net(hosts=1)
     client = net.client()
     client.feed(mg(1) + mg(2))
@@ -166,7 +166,7 @@
     net.matches("net_drain")
 
 
-def test_a_malformed_answer_ends_the_connection_and_may_have_run() -> None:
+def test_a_malformed_answer_closes_the_connection_and_the_transaction_may_have_run() -> None:
     net = Net(hosts=1)
     client = net.client()
     client.feed(ms(1) + ms(2))
@@ -176,33 +176,33 @@
     net.matches("net_malformed")
 
 
-def test_at_the_limit_idle_sockets_go_first_and_then_work_is_turned_away() -> None:
+def test_at_the_socket_limit_idle_clients_are_closed_first_and_then_requests_are_refused() -> None:
     net = Net(limits={"sockets": 4, "clients": 2, "spare": 1})
     net.frontend.set_accepting = lambda accept: net.say("accepts on" if accept else "accepts no more")
     first, second = net.client(), net.client()
     first.feed(mg(1))
     net.accept().feed(va(1))
     second.feed(mg(2))
-    third = net.client()  # the first is idle and makes room
+    third = net.client()  # the first is idle and is closed for it
     net.take()
     assert first.lost
     third.feed(mg(3))
     net.accept()
-    fourth = net.client()  # nobody is idle: it is told so
+    fourth = net.client()  # no client is idle: its requests are refused
     fourth.feed(mg(4))
     net.run(19)
-    assert not fourth.lost  # what it wrote behind its request may be on its way
+    assert not fourth.lost  # another request of it may be on its way
     net.run(2)
     assert fourth.lost
     fifth = net.client()
-    net.run(1300)  # silent for so long that it is closed for the next one
+    net.run(1300)  # silent for long enough to be closed for the next one
     net.frontend.close_longest_idle()
     net.take()
     assert fifth.lost
     net.matches("net_full")
 
 
-def test_one_too_many_that_goes_on_before_it_is_closed_has_its_answer_too() -> None:
+def test_a_client_over_the_limit_that_sends_another_request_before_its_close_is_answered() -> None:
     net = Net(limits={"sockets": 4, "clients": 2, "spare": 1})
     for number in range(2):
         net.client().feed(mg(number))
@@ -218,7 +218,7 @@
     assert crowded.lost
 
 
-def test_an_idle_client_that_has_just_written_is_not_closed_on() -> None:
+def test_an_idle_client_with_unread_bytes_is_not_closed() -> None:
     net = Net(limits={"sockets": 4, "clients": 1, "spare": 1})
     first = net.client()
     first.feed(b"mn\r\n")
@@ -228,7 +228,7 @@
     assert not first.lost
 
 
-def test_a_client_that_reads_nothing_is_cut_off() -> None:
+def test_a_client_that_reads_no_answers_is_closed() -> None:
     net = Net(limits={"queued_bytes": 4 * 65536})
     client = net.client()
     client.take = lambda: None  # type: ignore[method-assign]
@@ -247,7 +247,7 @@
     assert many.lost and not net.frontend.queued_bytes
 
 
-def test_half_a_command_does_not_hold_its_place_for_ever() -> None:
+def test_an_incomplete_command_does_not_keep_its_connection_forever() -> None:
     net = Net(limits={"buffered_bytes": 1000})
     slow, big = net.client(), net.client()
     slow.feed(b"mg k v")
@@ -257,14 +257,16 @@
     assert slow.lost and not net.frontend.buffered_bytes
 
 
-def test_more_held_than_there_is_room_for_is_turned_away() -> None:
+def test_requests_beyond_the_memory_limit_are_refused() -> None:
     net = Net(limits={"buffered_bytes": 700})
     for number in (1, 2, 3):
         net.client().feed(mg(number))
     net.matches("net_held")
 
 
-def test_a_transaction_that_the_decisions_forget_is_answered_by_its_hard_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_transaction_that_the_decisions_never_answer_is_answered_at_its_hard_limit(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     net = Net()
     client = net.client()
     monkeypatch.setattr(net.dispatcher.balancer, "decide", lambda now, event: [])
@@ -280,7 +282,7 @@
     net.matches("net_forgotten")
 
 
-def test_hosts_that_are_gone_leave_nothing_behind_once_their_last_hop_has_ended() -> None:
+def test_removed_hosts_leave_no_state_once_their_last_hop_has_ended() -> None:
     net = Net(hosts=1)
     client = net.client()
     client.feed(mg(1) + mg(2))
@@ -301,7 +303,7 @@
 
 
 @pytest.mark.parametrize("unread", [b"", b"VA 1 O1 h1\r\nx\r\n"])
-def test_a_connection_that_was_closed_or_written_to_behind_our_back_gets_no_hop(unread: bytes) -> None:
+def test_an_idle_connection_that_the_host_closed_or_wrote_to_gets_no_hop(unread: bytes) -> None:
     net = Net(hosts=1)
     client = net.client()
     client.feed(mg(1))
@@ -312,7 +314,7 @@
     assert host.lost and not host.pending and len(net.reactor.tcpClients) == 1
 
 
-def test_a_value_that_is_kept_comes_back_whole_and_half_ones_have_a_bound() -> None:
+def test_a_buffered_value_is_returned_unchanged_and_incomplete_answers_have_a_memory_limit() -> None:
     net = Net(hosts=1, limits={"buffered_bytes": 700_000, "queued_bytes": 700_000, "stream_above_bytes": 1 << 20})
     client, other = net.client(), net.client()
     client.feed(mg(1))
@@ -329,8 +331,8 @@
     assert first.lost and not net.pool.buffered_bytes
 
 
-def test_connections_idle_for_as_long_as_others_that_broke_are_not_used_for_a_while() -> None:
-    """Against a network that forgets connections idle for 90 ms: the next hop on one is reset."""
+def test_connections_are_not_reused_after_idle_times_that_broke_others_for_a_while() -> None:
+    """The network drops connections that are idle for 90 ms: the next hop on one is reset."""
     net = Net(hosts=1)
     client = net.client()
     risked = []
@@ -349,10 +351,10 @@
     net.accept().feed(va(200)) if net.reactor.tcpClients else None
     net.run(10)
     client.feed(mg(201))
-    assert not net.reactor.tcpClients  # so short a rest does no harm
+    assert not net.reactor.tcpClients  # such a short idle time is safe
 
 
-def test_clients_that_ask_once_and_stay_do_not_take_the_place_of_others() -> None:
+def test_clients_that_stay_idle_after_one_request_do_not_use_up_the_sockets() -> None:
     net = Net(limits={"idle_clients": 2})
     clients = [net.client() for _ in range(4)]
     host = None
@@ -367,7 +369,7 @@
     assert len(net.frontend.answered_idle) == len(net.frontend.idle_clients) == 2
 
 
-def test_an_unreadable_list_changes_nothing() -> None:
+def test_an_invalid_host_list_changes_nothing() -> None:
     net = Net()
     watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
     odd: tuple[Any, ...] = (
@@ -385,8 +387,8 @@
     assert len(net.reactor.tcpClients) == 1
 
 
-class Response:
-    """One answer of discovery, as the HTTP library hands it over."""
+class FakeResponse:
+    """A response of discovery, with the interface of the HTTP library."""
 
     def __init__(self, code: int, body: bytes) -> None:
         self.code, self.body = code, body
@@ -396,14 +398,14 @@
         protocol.connectionLost(Failure(ResponseDone()))  # type: ignore[no-untyped-call]
 
 
-class Agent:
-    """In place of the HTTP library's: keeps the calls, and makes none."""
+class FakeAgent:
+    """Replaces the agent of the HTTP library: records requests and sends none."""
 
     def __init__(self, net: Net) -> None:
         self.net = net
         self.calls: list[Deferred[Any]] = []
 
-    def usingEndpointFactory(self, *_: Any, **__: Any) -> "Agent":
+    def usingEndpointFactory(self, *_: Any, **__: Any) -> "FakeAgent":
         return self
 
     def request(self, verb: bytes, url: bytes) -> "Deferred[Any]":
@@ -412,38 +414,38 @@
         return self.calls[-1]
 
 
-def test_the_list_is_watched_without_a_gap_and_a_failed_call_of_any_kind_is_told(
+def test_the_host_list_is_watched_without_a_gap_and_every_kind_of_failure_is_logged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     net = Net()
-    agent = Agent(net)
+    agent = FakeAgent(net)
     calls = agent.calls
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
     watch.revision, net.dispatcher.request_list = 0, watch.watch
     watch.watch()
     good = {"revision": 5, "complete": False, "members": [member(2)]}
-    calls[-1].callback(Response(200, orjson.dumps(good)))
-    odd = Response(503, b""), Response(200, b"{"), Response(200, b'{"members":1}')
+    calls[-1].callback(FakeResponse(200, orjson.dumps(good)))
+    odd = FakeResponse(503, b""), FakeResponse(200, b"{"), FakeResponse(200, b'{"members":1}')
     for end in (*odd, None, connectionDone):
-        watch.watch()  # a second one while one is out is not made
+        watch.watch()  # no second request while one is in flight
         before = len(calls)
         if end is None:
             net.run(7000)
-        elif isinstance(end, Response):
+        elif isinstance(end, FakeResponse):
             calls[-1].callback(end)
         else:
             calls[-1].errback(end)
         net.say("the call has failed")
         while len(calls) == before:
             net.run(50)
-    calls[-1].callback(Response(200, orjson.dumps(good | {"revision": 6})))
-    calls[-1].callback(Response(200, orjson.dumps(good | {"revision": 6, "members": []})))
+    calls[-1].callback(FakeResponse(200, orjson.dumps(good | {"revision": 6})))
+    calls[-1].callback(FakeResponse(200, orjson.dumps(good | {"revision": 6, "members": []})))
     net.run(101)
     net.matches("net_discovery")
 
 
-TOLD = {
+BASE_CONFIG = {
     "name": "n1",
     "listen": "127.0.0.1:4000",
     "discovery": "127.0.0.1:8500",
@@ -471,64 +473,64 @@
         ({"known": {}}, "known.members"),
     ],
 )
-def test_a_bad_configuration_is_named(tmp_path: Path, change: dict[str, Any], named: str) -> None:
+def test_an_error_names_the_bad_field_of_the_configuration(tmp_path: Path, change: dict[str, Any], named: str) -> None:
     path = tmp_path / "told.json"
-    path.write_bytes(orjson.dumps(TOLD | change))
+    path.write_bytes(orjson.dumps(BASE_CONFIG | change))
     with pytest.raises(ConfigError, match=named):
         read_config(str(path), {})
 
 
-def test_the_command_line_says_what_is_wrong_in_one_line_and_with_a_status(tmp_path: Path) -> None:
+def test_the_command_line_reports_an_error_in_one_line_and_by_its_exit_status(tmp_path: Path) -> None:
     path = tmp_path / "told.json"
-    for told, status, said in ((TOLD, 0, "n1: listens on 127.0.0.1:4000"), ({}, 2, "ternquay: settings:")):
+    for told, status, said in ((BASE_CONFIG, 0, "n1: listens on 127.0.0.1:4000"), ({}, 2, "ternquay: settings:")):
         path.write_bytes(orjson.dumps(told))
         result = CliRunner().invoke(app, ["check", "--config", str(path)])
         assert result.exit_code == status and result.output.startswith(said)
         assert result.output.count("\n") == 1
 
 
-def test_no_configuration_at_all_is_named(tmp_path: Path) -> None:
+def test_a_missing_configuration_is_reported(tmp_path: Path) -> None:
     for env in ({}, {"EDGE_CONFIG": str(tmp_path / "none")}):
         with pytest.raises(ConfigError, match="EDGE_CONFIG"):
             read_config("", env)
 
 
-def test_a_new_configuration_moves_the_watch_and_a_bad_one_changes_nothing(
+def test_a_reload_moves_the_watch_to_the_new_address_and_a_bad_configuration_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "told.json"
-    path.write_bytes(orjson.dumps(TOLD))
+    path.write_bytes(orjson.dumps(BASE_CONFIG))
     net = Net()
-    agent = Agent(net)
+    agent = FakeAgent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     service = Service(net.reactor, read_config(str(path), {}))
     reload = service.signals()[SIGHUP]
     service.begin()
-    bad = b'{"discovery":', orjson.dumps(TOLD | {"discovery": 5}), orjson.dumps(TOLD | {"settings": 3})
-    for told in (*bad, orjson.dumps(TOLD | {"listen": "127.0.0.9:1", "discovery": "127.0.0.1:8600"})):
+    bad = b'{"discovery":', orjson.dumps(BASE_CONFIG | {"discovery": 5}), orjson.dumps(BASE_CONFIG | {"settings": 3})
+    for told in (*bad, orjson.dumps(BASE_CONFIG | {"listen": "127.0.0.9:1", "discovery": "127.0.0.1:8600"})):
         path.write_bytes(told)
         reload()
         net.say(f"told to read {told[:15]!r}")
     moved = service.discovery
-    # What the old address had written by then counts as told; what it tells later is nobody's.
+    # A list that the old address had sent by then counts as delivered; later ones are ignored.
     net.run(101)
-    agent.calls[0].callback(Response(200, orjson.dumps({"revision": 9, "complete": True, "members": []})))
+    agent.calls[0].callback(FakeResponse(200, orjson.dumps({"revision": 9, "complete": True, "members": []})))
     assert not moved.stopped and len(service.pool.hosts) == 1
     told_anew = {"revision": 2, "complete": True, "members": [member(2)]}
-    agent.calls[1].callback(Response(200, orjson.dumps(told_anew)))
+    agent.calls[1].callback(FakeResponse(200, orjson.dumps(told_anew)))
     assert list(service.pool.hosts) == [1] and list(service.dispatcher.host_indices) == ["h2"]
     agent.calls[-1].errback(connectionDone)
     net.run(1500)
-    path.write_bytes(orjson.dumps(TOLD))
+    path.write_bytes(orjson.dumps(BASE_CONFIG))
     reload()
     net.run(5000)
     assert moved.stopped
     net.matches("net_reload")
 
 
-def test_a_planned_end_finishes_what_was_taken_and_closes_between_transactions(tmp_path: Path) -> None:
+def test_a_planned_shutdown_answers_open_transactions_and_closes_between_transactions(tmp_path: Path) -> None:
     path = tmp_path / "told.json"
-    path.write_bytes(orjson.dumps(TOLD))
+    path.write_bytes(orjson.dumps(BASE_CONFIG))
     net = Net()
     reactor = net.reactor
     service = Service(reactor, read_config(str(path), {}))
@@ -555,7 +557,7 @@
     net.matches("net_end")
 
 
-def test_a_flood_of_one_warning_is_held_to_a_rate_and_counted(capsys: pytest.CaptureFixture[str]) -> None:
+def test_repeated_warnings_are_rate_limited_and_counted(capsys: pytest.CaptureFixture[str]) -> None:
     net = Net(hosts=1)
     handler = logger.add(sys.stdout, format="{level} {message}")
     client = net.client()
@@ -570,8 +572,8 @@
     assert len(told) <= 3 and told[1].endswith("more like it were held back)")
 
 
-def test_a_turn_that_lasts_too_long_takes_no_more_and_what_waited_for_it_has_less_time() -> None:
-    # Before, a balancer with twice the load that it can carry answered a third of it, much past the hard limit.
+def test_a_long_loop_iteration_accepts_no_more_and_requests_that_waited_have_less_time() -> None:
+    # Without this, a balancer under twice its capacity answered a third of the load, far past the hard limit.
     net = Net()
     start = net.dispatcher.now()
     net.loop_timing.begin(start)
@@ -581,7 +583,7 @@
     host.feed(va(1))
     net.loop_timing.begin(start + 300_000_000)
     net.reactor.advance(0.3)
-    client.feed(mg(2, ttl=600))  # may have come just after the poll before
+    client.feed(mg(2, ttl=600))  # may have arrived just after the previous poll
     host.feed(va(2))
     net.reactor.advance(net.limits.turn_duration / 1e9 + 0.001)
     client.feed(mg(3))
@@ -591,35 +593,35 @@
     net.matches("net_long_turn")
 
 
-def test_a_client_that_waited_to_be_accepted_has_waited_since_the_last_look_at_all() -> None:
-    turn = LoopTiming(10)
-    turn.begin(100)
-    assert (turn.max_unread_time(105, 0), turn.waiting_since()) == (5, 100)
-    turn.begin(200)
-    turn.accept_ended(more_waiting=True)  # there may be more, and they may have come since the poll at 100
-    turn.begin(300)
-    turn.accept_ended(more_waiting=True)
+def test_the_wait_of_an_accepted_client_counts_from_the_last_time_the_queue_was_emptied() -> None:
+    timing = LoopTiming(10)
+    timing.begin(100)
+    assert (timing.max_unread_time(105, 0), timing.waiting_since()) == (5, 100)
+    timing.begin(200)
+    timing.accept_ended(more_waiting=True)  # more may wait, possibly since the poll at 100
+    timing.begin(300)
+    timing.accept_ended(more_waiting=True)
     assert (
-        turn.waiting_since() == 100
-        and turn.max_unread_time(310, turn.waiting_since()) == 210
-        and turn.max_unread_time(310, 0) == 110
+        timing.waiting_since() == 100
+        and timing.max_unread_time(310, timing.waiting_since()) == 210
+        and timing.max_unread_time(310, 0) == 110
     )
-    turn.accept_ended(more_waiting=False)
-    assert turn.waiting_since() == 200
-    assert not turn.is_overrun(310) and turn.is_overrun(311)
+    timing.accept_ended(more_waiting=False)
+    assert timing.waiting_since() == 200
+    assert not timing.is_overrun(310) and timing.is_overrun(311)
 
 
-def test_what_comes_while_the_loop_stands_idle_has_not_waited() -> None:
-    turn = LoopTiming(1_000_000)
-    turn.begin(1_000_000_000)
-    # The poll had nothing to tell for 250 ms, and came back at once when there was something.
-    turn.begin(1_250_000_000, polled_at=1_000_200_000)
-    assert turn.max_unread_time(1_250_010_000, 0) == 10_000
-    turn.begin(1_253_000_000, polled_at=1_252_990_000)
-    assert turn.max_unread_time(1_253_000_000, 0) == 3_000_000
+def test_input_that_arrives_while_the_loop_is_idle_has_not_waited() -> None:
+    timing = LoopTiming(1_000_000)
+    timing.begin(1_000_000_000)
+    # The poll blocked for 250 ms and returned as soon as there was input.
+    timing.begin(1_250_000_000, polled_at=1_000_200_000)
+    assert timing.max_unread_time(1_250_010_000, 0) == 10_000
+    timing.begin(1_253_000_000, polled_at=1_252_990_000)
+    assert timing.max_unread_time(1_253_000_000, 0) == 3_000_000
 
 
-def test_no_more_clients_are_accepted_at_once_than_fit() -> None:
+def test_no_more_clients_are_accepted_at_once_than_there_are_sockets() -> None:
     net = Net(sockets=64)
     most = net.limits.sockets + net.limits.spare
     while not net.sockets.full():
@@ -629,7 +631,7 @@
     assert net.sockets.clients == most and net.frontend.accept_room() == 1
 
 
-def test_a_drain_told_while_a_hop_is_half_written_lets_it_end_and_sends_nothing_new() -> None:
+def test_a_drain_during_a_partly_written_hop_lets_it_end_and_sends_nothing_new() -> None:
     net = Net(hosts=2)
     client = net.client()
     client.feed(ms(1))
@@ -644,5 +646,5 @@
     assert other.name != half.name
     other.feed(b"HD O2 cabc\r\n")
     half.take()
-    assert half.lost  # idle to a host that drains: closed
+    assert half.lost  # an idle connection to a draining host is closed
     net.matches("net_drain_half_written")
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -20,7 +20,7 @@
 from ternquay.net.serve import Service
 from ternquay.net.start_times import StartTimes
 from tests.helper import FACTS, Net, Scenario, listed_host, member
-from tests.test_net import TOLD, Agent, Response, mg, va
+from tests.test_net import BASE_CONFIG, FakeAgent, FakeResponse, mg, va
 
 ROOT = Path(__file__).parents[1]
 
@@ -93,14 +93,14 @@
 @pytest.mark.parametrize(("change", "named"), ODD_FACTS + ODD_LISTS)
 def test_at_a_start_one_line_names_the_field(tmp_path: Path, change: dict[str, Any], named: str) -> None:
     path = tmp_path / "told.json"
-    path.write_text(json.dumps(TOLD | change))
+    path.write_text(json.dumps(BASE_CONFIG | change))
     result = CliRunner().invoke(app, ["check", "--config", str(path)])
     assert result.exit_code == 2 and result.output.count("\n") == 1, (result.output, result.exception)
     assert named in result.output and len(result.output) < 400
 
 
 def test_a_start_with_a_file_cut_off_ends_with_status_2(tmp_path: Path) -> None:
-    path, whole = tmp_path / "told.json", orjson.dumps(TOLD)
+    path, whole = tmp_path / "told.json", orjson.dumps(BASE_CONFIG)
     for cut in range(len(whole)):
         path.write_bytes(whole[:cut])
         with pytest.raises(ConfigError) as told:
@@ -118,11 +118,11 @@
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and "EDGE_CONFIG" in done.stderr
 
 
-def started(net: Net, path: Path, monkeypatch: pytest.MonkeyPatch) -> tuple[Service, Agent]:
+def started(net: Net, path: Path, monkeypatch: pytest.MonkeyPatch) -> tuple[Service, FakeAgent]:
     """A service over the net's reactor, whose discovery answers by hand."""
-    agent = Agent(net)
+    agent = FakeAgent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    path.write_bytes(orjson.dumps(TOLD))
+    path.write_bytes(orjson.dumps(BASE_CONFIG))
     service = Service(net.reactor, read_config(str(path), {}))
     net.frontend, net.dispatcher = service.frontend, service.dispatcher
     service.begin()
@@ -135,9 +135,9 @@
     net, path, lines = Net(), tmp_path / "told.json", []
     service, agent = started(net, path, monkeypatch)
     handler = logger.add(lambda text: lines.append(str(text)), format="{level} {message}")
-    client, whole = net.client(), orjson.dumps(TOLD | {"discovery": "127.0.0.1:8600"})
+    client, whole = net.client(), orjson.dumps(BASE_CONFIG | {"discovery": "127.0.0.1:8600"})
     bad = [whole[:cut] for cut in range(0, len(whole), 7)]
-    bad += [json.dumps(TOLD | change).encode() for change, _ in ODD_FACTS]
+    bad += [json.dumps(BASE_CONFIG | change).encode() for change, _ in ODD_FACTS]
     # The net's clock stands still between; each reload falls into a transaction that is out.
     for n, told in enumerate(bad):
         client.feed(mg(n))
@@ -158,7 +158,7 @@
 ) -> None:
     net, path = Net(), tmp_path / "told.json"
     service, agent = started(net, path, monkeypatch)
-    path.write_bytes(orjson.dumps(TOLD | {"discovery": "127.0.0.1:8600"}))
+    path.write_bytes(orjson.dumps(BASE_CONFIG | {"discovery": "127.0.0.1:8600"}))
     service.reload()
     service.reload()
     assert len(agent.calls) == 2
@@ -169,7 +169,7 @@
     assert "client 0 < b'VA 3 O1" in "".join(net.trace) and len(service.pool.hosts) == 1
     assert 4 <= len(agent.calls) <= 12  # it goes on asking the new one, more and more rarely
     service.end()
-    path.write_bytes(orjson.dumps(TOLD))
+    path.write_bytes(orjson.dumps(BASE_CONFIG))
     service.reload()
     assert service.config.discovery.port == 8600
 
@@ -177,8 +177,8 @@
 # ---- lists while it serves ----
 
 
-def followed(net: Net, monkeypatch: pytest.MonkeyPatch) -> tuple[Discovery, Agent]:
-    agent = Agent(net)
+def followed(net: Net, monkeypatch: pytest.MonkeyPatch) -> tuple[Discovery, FakeAgent]:
+    agent = FakeAgent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
     net.dispatcher.request_list = watch.watch
@@ -186,11 +186,13 @@
     return watch, agent
 
 
-def told(revision: int, *members: Any, complete: Any = True) -> Response:
-    return Response(200, json.dumps({"revision": revision, "complete": complete, "members": list(members)}).encode())
+def told(revision: int, *members: Any, complete: Any = True) -> FakeResponse:
+    return FakeResponse(
+        200, json.dumps({"revision": revision, "complete": complete, "members": list(members)}).encode()
+    )
 
 
-def until_asked(net: Net, agent: Agent, many: int) -> None:
+def until_asked(net: Net, agent: FakeAgent, many: int) -> None:
     for _ in range(200):
         if len(agent.calls) >= many:
             return
@@ -209,7 +211,7 @@
     client = net.client()
     client.feed(mg(1))
     before = dict(net.dispatcher.host_indices)
-    agent.calls[1].callback(Response(200, json.dumps(change["known"]).encode()))
+    agent.calls[1].callback(FakeResponse(200, json.dumps(change["known"]).encode()))
     net.accept().feed(va(1))
     logger.remove(handler)
     assert net.dispatcher.host_indices == before and "client 0 < b'VA 3 O1" in "".join(net.trace)
--- a/tests/test_review_step.py
+++ b/tests/test_review_step.py
@@ -13,7 +13,7 @@
 from ternquay.net.listing import Address
 from ternquay.net.start_times import StartTimes
 from tests.helper import CONFIG, T0, Net
-from tests.test_net import Agent, mg
+from tests.test_net import FakeAgent, mg
 
 MANY, HOSTS = 24, 12
 BIN = 100 * MS
@@ -179,7 +179,7 @@
     asked: Counter[int] = Counter()
     for number in range(MANY):
         net = Net(facts={"Discovery": "pushed", "MyNumber": number, "Balancers": MANY})
-        agent = Agent(net)
+        agent = FakeAgent(net)
         monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
         watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
         watch.watch()
