--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -20,7 +20,7 @@
 from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, State
 from tests.helper import Net, Wire, member
 from tests.hosted_helper import HostedService
-from tests.test_endings import Ending, begun, drained, ready
+from tests.test_endings import EndingResponse, draining_list, first_host_ready, sent_commands
 from tests.test_hosted import FakeCacheHost
 from tests.test_net import FakeAgent, mg
 from tests.test_registry import LIMITS, registry_of, tenant
@@ -116,7 +116,7 @@
     waits, other, third = net.client(), net.idle_client(), net.idle_client()
     net.reactor.advance(0.01)
     waits.feed(mg(1))
-    assert not begun(net) and not net.reactor.tcpClients, "it waits for its turn"
+    assert not sent_commands(net) and not net.reactor.tcpClients, "it waits for its turn"
     if way == "reclaimed":
         net.frontend.reclaim(1)
     elif way == "leave":
@@ -131,7 +131,7 @@
     net.run(2)
     assert not waits.lost and (other.lost or third.lost)
     net.accept()
-    assert len(begun(net)) == 1
+    assert len(sent_commands(net)) == 1
 
 
 def test_a_client_whose_command_continues_in_unread_data_is_not_closed_for_another() -> None:
@@ -229,14 +229,14 @@
     there = net.host.registry.tenants["sur"].tenant
     net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8500))))
     agent.calls[0].callback(
-        Ending(orjson.dumps({"revision": 1, "complete": True, "members": [member(1)]}), ResponseDone())
+        EndingResponse(orjson.dumps({"revision": 1, "complete": True, "members": [member(1)]}), ResponseDone())
     )
-    assert ready(net)
+    assert first_host_ready(net)
     net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8600))))
     assert len(agent.calls) == 3, "the first list, the watch, and the first list of the new source"
     net.run(after)
-    agent.calls[1].callback(Ending(drained(5), ResponseDone()))
-    assert ready(net) is not taken
+    agent.calls[1].callback(EndingResponse(draining_list(5), ResponseDone()))
+    assert first_host_ready(net) is not taken
     net.run(1000)
     assert len(agent.calls) == 3, "the old source is not called any more"
 
@@ -248,8 +248,8 @@
     there = net.host.registry.tenants["sur"].tenant
     net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8500))))
     net.host.change(ReplaceTenant(tenant("sur")))
-    agent.calls[0].callback(Ending(drained(5), ResponseDone()))
-    assert list(net.runtime.host_list) == ["127.0.1.1:11211"] and ready(net)
+    agent.calls[0].callback(EndingResponse(draining_list(5), ResponseDone()))
+    assert list(net.runtime.host_list) == ["127.0.1.1:11211"] and first_host_ready(net)
 
 
 def test_on_loopback_clients_in_the_backlog_at_a_shutdown_are_accepted_and_answered(tmp_path: Path) -> None:
@@ -285,7 +285,7 @@
     net.reactor.advance(0.01)
     waits = net.client()
     waits.feed(mg(1))
-    assert waits.protocol.waiting and not begun(net)
+    assert waits.protocol.waiting and not sent_commands(net)
     net.runtime.resources.scheduler.scheduled_run.cancel()  # its turn does not come for 6 s
     for _ in range(6):
         net.reactor.advance(1.0)
--- a/tests/test_stood_still.py
+++ b/tests/test_stood_still.py
@@ -14,7 +14,7 @@
 from ternquay.net.loop_timing import STALL_NS, LoopTiming
 from tests.helper import FACTS, Net, ThreadedServer, member
 from tests.hosted_helper import ROOT
-from tests.test_endings import TurnsAway, begun
+from tests.test_endings import BusyHost, sent_commands
 from tests.test_net import mg
 from tests.test_review_links import balancer_config, free_port, wait_until
 
@@ -84,7 +84,7 @@
     net.run(2)
     while net.reactor.tcpClients:
         net.accept()
-    assert len(begun(net)) == 1 and "host 2" in begun(net)[0], net.trace
+    assert len(sent_commands(net)) == 1 and "host 2" in sent_commands(net)[0], net.trace
 
 
 def test_a_hop_whose_dial_came_up_while_the_process_stood_still_is_decided_on_anew() -> None:
@@ -94,13 +94,13 @@
     first = net.reactor.tcpClients[0][0]
     net.dispatcher.process_stalled = lambda now: True
     net.accept()
-    assert not begun(net)
+    assert not sent_commands(net)
     net.list(member(int(first[-1]), "draining"))
     net.dispatcher.process_stalled = lambda now: False
     net.run(2)
     while net.reactor.tcpClients:
         net.accept()
-    assert len(begun(net)) == 1 and f"host {first[-1]}" not in begun(net)[0], net.trace
+    assert len(sent_commands(net)) == 1 and f"host {first[-1]}" not in sent_commands(net)[0], net.trace
 
 
 def test_a_loop_that_is_late_in_each_turn_still_sends() -> None:
@@ -114,7 +114,7 @@
             net.accept()
         net.run(3)
         host = next(wire for wire in net.wires if wire.name.startswith("host") and not wire.lost)
-        assert len(begun(net)) == number + 1
+        assert len(sent_commands(net)) == number + 1
         host.feed(b"VA 3 O%d h1\r\nval\r\n" % number)
 
 
@@ -151,7 +151,7 @@
 
 
 def test_on_loopback_nothing_goes_to_a_host_whose_drain_was_told_while_the_process_was_stopped(tmp_path: Path) -> None:
-    hosts, discovery, listen = (TurnsAway(), TurnsAway()), Discovery(), free_port()
+    hosts, discovery, listen = (BusyHost(), BusyHost()), Discovery(), free_port()
     members = [member(n) | {"host_port": f"127.0.0.1:{one.port}"} for n, one in enumerate(hosts, 1)]
     discovery.listed = orjson.dumps({"revision": 1, "complete": True, "members": members})
     settings = FACTS | {"Profiles": LONG, "Invariants": FACTS["Invariants"] | {"DrainGrace": int(GRACE * 1e6)}}
