--- a/tests/hosted_helper.py
+++ b/tests/hosted_helper.py
@@ -125,28 +125,28 @@
     def create_tenant(self, name: str, servers: tuple[str, ...] = (), **fields: Any) -> str:
         """Creates a tenant; returns the address at which it listens."""
         listen = free_place("127.0.0.1")
-        found = self.call("POST", "/v1/tenants", document(name, listen, servers, **fields))
-        assert found.status == 201, found.body
+        reply = self.call("POST", "/v1/tenants", document(name, listen, servers, **fields))
+        assert reply.status == 201, reply.body
         return listen
 
     def create_key(self, tenant: str, name: str, scope: str, **fields: Any) -> str:
         """Creates an API key of the tenant; returns its token."""
-        found = self.call("POST", f"/v1/tenants/{tenant}/keys", {"name": name, "scope": scope, **fields})
-        assert found.status == 201, found.body
-        return str(found.body["token"])
+        reply = self.call("POST", f"/v1/tenants/{tenant}/keys", {"name": name, "scope": scope, **fields})
+        assert reply.status == 201, reply.body
+        return str(reply.body["token"])
 
     def exchange(self, listen: str, text: bytes, wait: float = 0.5) -> bytes:
         """Sends the text as a client of the tenant; returns what comes back until nothing does for `wait` seconds."""
         with socket.create_connection(self.parse_address(listen), timeout=5) as client:
             client.sendall(text)
             client.settimeout(wait)
-            found = b""
+            received = b""
             try:
                 while more := client.recv(1 << 16):
-                    found += more
+                    received += more
             except TimeoutError:
                 pass
-            return found
+            return received
 
 
 def descriptors(process: "subprocess.Popen[bytes]") -> int:
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -43,13 +43,13 @@
             )
 
 
-def set_state(one: HostedService, state: str) -> int:
+def set_state(service: HostedService, state: str) -> int:
     """Sets the state of the tenant. Returns the version that was acknowledged, 0 if the change was refused."""
-    found = one.call("PUT", STATE, {"state": state}, if_match="*")
-    assert found.status in (200, 503, 504, 507), (found.status, found.body)
-    if found.status != 200:
-        assert found.body["detail" if "detail" in found.body else "title"]  # the reason
-    return int(found.body["version"]) if found.status == 200 else 0
+    reply = service.call("PUT", STATE, {"state": state}, if_match="*")
+    assert reply.status in (200, 503, 504, 507), (reply.status, reply.body)
+    if reply.status != 200:
+        assert reply.body["detail" if "detail" in reply.body else "title"]  # the reason
+    return int(reply.body["version"]) if reply.status == 200 else 0
 
 
 @pytest.mark.parametrize(
@@ -74,15 +74,15 @@
 ) -> None:
     always_fails = all(fault.rate == 1.0 for fault in faults)
     host = FakeCacheHost()
-    one = FailingDisk(tmp_path, *faults)
-    one.start()
-    port = one.create_tenant("sur", (host.address,))
+    service = FailingDisk(tmp_path, *faults)
+    service.start()
+    port = service.create_tenant("sur", (host.address,))
     acknowledged, asked, refused, states = 1, 0, 0, {1: "active"}
     try:
-        while time.monotonic() < one.began + FAILURE_START_SECONDS + FAILURE_SECONDS:
-            state, began = STATES[asked % 2], time.monotonic() - one.began
-            version, asked = set_state(one, state), asked + 1
-            ended = time.monotonic() - one.began
+        while time.monotonic() < service.began + FAILURE_START_SECONDS + FAILURE_SECONDS:
+            state, began = STATES[asked % 2], time.monotonic() - service.began
+            version, asked = set_state(service, state), asked + 1
+            ended = time.monotonic() - service.began
             if version:
                 assert version > acknowledged
                 # Nothing can reach the disk while every call fails.
@@ -95,23 +95,23 @@
                 states[version] = state
             refused += not version
             # Transactions go on under the configuration in force, whatever the disk does.
-            assert one.exchange(port, READ % (1, 1), 0.3).startswith((b"VA 2", b"SERVER_ERROR busy"))
+            assert service.exchange(port, READ % (1, 1), 0.3).startswith((b"VA 2", b"SERVER_ERROR busy"))
         end = time.monotonic() + 10
-        while not (version := set_state(one, "active")):
-            assert time.monotonic() < end, one.log.read_text()[-2000:]
+        while not (version := set_state(service, "active")):
+            assert time.monotonic() < end, service.log.read_text()[-2000:]
             time.sleep(0.1)
         acknowledged, states[version] = version, "active"
-        assert one.exchange(port, READ % (1, 2), 0.5).startswith(b"VA 2")
-        log = one.log.read_text()
-        assert struck(one.scratch).total() > 0 and "Traceback" not in log
-        one.kill()
-        one.faults = ()
-        one.start()
-        found = one.call("GET", "/v1/tenants/sur").body
-        assert found["version"] == acknowledged and found["state"] == states[acknowledged]
+        assert service.exchange(port, READ % (1, 2), 0.5).startswith(b"VA 2")
+        log = service.log.read_text()
+        assert struck(service.scratch).total() > 0 and "Traceback" not in log
+        service.kill()
+        service.faults = ()
+        service.start()
+        tenant = service.call("GET", "/v1/tenants/sur").body
+        assert tenant["version"] == acknowledged and tenant["state"] == states[acknowledged]
     finally:
-        if one.process is not None and one.process.poll() is None:
-            one.kill()
+        if service.process is not None and service.process.poll() is None:
+            service.kill()
 
 
 @pytest.mark.parametrize(
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -73,10 +73,10 @@
 
 @pytest.fixture(scope="module")
 def hosted(tmp_path_factory: pytest.TempPathFactory) -> Iterator[HostedService]:
-    one = HostedService(tmp_path_factory.mktemp("hosted")).start()
-    yield one
-    if one.process is not None and one.process.poll() is None:
-        one.kill()
+    service = HostedService(tmp_path_factory.mktemp("hosted")).start()
+    yield service
+    if service.process is not None and service.process.poll() is None:
+        service.kill()
 
 
 def remove_tenant(hosted: HostedService, name: str) -> None:
@@ -97,8 +97,8 @@
     remove_tenant(hosted, "sur")
     with pytest.raises(OSError):
         hosted.exchange(listen, b"mn\r\n")
-    found = hosted.call("POST", "/v1/tenants", document("sur", listen, (host.address,)))
-    assert found.status == 201 and found.body["version"] > before
+    reply = hosted.call("POST", "/v1/tenants", document("sur", listen, (host.address,)))
+    assert reply.status == 201 and reply.body["version"] > before
     assert hosted.call("GET", "/v1/tenants/sur", token=token).status == 401
     usage = hosted.call("GET", "/v1/process").body["tenants"]["sur"]
     assert (usage["clients"], usage["host_connections"], usage["open"], usage["cpu_s"]) == (0, 0, 0, 0.0)
@@ -138,59 +138,59 @@
     with socket.create_server(("127.0.0.1", 0)) as taken:
         lleno = document("lleno", "{}:{}".format(*taken.getsockname()))
         other = free_place("127.0.0.1")
-        found = hosted.call("POST", "/v1/tenants", lleno | {"listeners": [other, *lleno["listeners"]]})
-    assert found.status == 422 and found.body["field"] == "listeners[1]" and "bound" in found.body["detail"]
-    assert found.headers["content-type"] == "application/problem+json"
+        reply = hosted.call("POST", "/v1/tenants", lleno | {"listeners": [other, *lleno["listeners"]]})
+    assert reply.status == 422 and reply.body["field"] == "listeners[1]" and "bound" in reply.body["detail"]
+    assert reply.headers["content-type"] == "application/problem+json"
     assert hosted.call("GET", "/v1/tenants").body["version"] == version
     socket.create_server(hosted.parse_address(other)).close()  # the first listener has been released
 
 
 def test_of_concurrent_changes_to_one_tenant_only_one_succeeds(hosted: HostedService) -> None:
     hosted.create_tenant("doble")
-    found = hosted.call("GET", "/v1/tenants/doble/limits")
-    headers = {"if_match": found.headers["etag"]}
+    reply = hosted.call("GET", "/v1/tenants/doble/limits")
+    headers = {"if_match": reply.headers["etag"]}
     statuses: list[int] = []
     threads = [
         threading.Thread(
             target=lambda burst=burst: statuses.append(
-                hosted.call("PUT", "/v1/tenants/doble/limits", found.body | {"burst": burst}, **headers).status
+                hosted.call("PUT", "/v1/tenants/doble/limits", reply.body | {"burst": burst}, **headers).status
             )
         )
         for burst in (7, 8, 9)
     ]
-    for one in threads:
-        one.start()
-    for one in threads:
-        one.join()
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join()
     assert sorted(statuses) == [200, 412, 412]
     remove_tenant(hosted, "doble")
 
 
 def test_a_watch_of_the_change_log_returns_the_next_change(hosted: HostedService) -> None:
     version = hosted.call("GET", "/v1/tenants").body["version"]
-    found: list[Any] = []
-    watch = threading.Thread(target=lambda: found.append(hosted.call("GET", f"/v1/changes?after={version}&wait_s=8")))
+    replies: list[Any] = []
+    watch = threading.Thread(target=lambda: replies.append(hosted.call("GET", f"/v1/changes?after={version}&wait_s=8")))
     began = time.monotonic()
     watch.start()
     time.sleep(0.5)
     hosted.create_tenant("visto")
     watch.join(5)
     assert time.monotonic() - began < 5
-    assert [(one["tenant"], one["kind"]) for one in found[0].body["changes"]] == [("visto", "make")]
+    assert [(one["tenant"], one["kind"]) for one in replies[0].body["changes"]] == [("visto", "make")]
     remove_tenant(hosted, "visto")
 
 
 def raw(hosted: HostedService, text: bytes, wait: float = 3.0) -> bytes:
     """Sends the text to the API; returns what comes back."""
     with socket.create_connection(hosted.parse_address(hosted.api), timeout=wait) as client:
-        found = b""
+        received = b""
         try:
             client.sendall(text)
             while more := client.recv(1 << 16):
-                found += more
+                received += more
         except OSError:
             pass
-        return found
+        return received
 
 
 def test_bodies_headers_and_incomplete_requests_are_bounded(hosted: HostedService) -> None:
@@ -213,91 +213,91 @@
 
 
 def test_calls_over_the_rate_are_told_to_retry(tmp_path: Path) -> None:
-    one = HostedService(tmp_path)
-    one.config_file.write_text(
-        one.config_text.replace("calls_a_second = 500.0\nburst = 500", "calls_a_second = 10.0\nburst = 5")
+    service = HostedService(tmp_path)
+    service.config_file.write_text(
+        service.config_text.replace("calls_a_second = 500.0\nburst = 500", "calls_a_second = 10.0\nburst = 5")
     )
-    one.start()
+    service.start()
     try:
         statuses, waits = [], []
-        connection = http.client.HTTPConnection(*one.parse_address(one.api), timeout=10)
+        connection = http.client.HTTPConnection(*service.parse_address(service.api), timeout=10)
         began = time.monotonic()
         for _ in range(20):
-            connection.request("GET", "/v1/tenants", headers={"authorization": f"Bearer {one.operator_token}"})
-            found = connection.getresponse()
-            found.read()
-            statuses.append(found.status)
-            waits += [found.getheader("retry-after")] if found.status == 429 else []
+            connection.request("GET", "/v1/tenants", headers={"authorization": f"Bearer {service.operator_token}"})
+            reply = connection.getresponse()
+            reply.read()
+            statuses.append(reply.status)
+            waits += [reply.getheader("retry-after")] if reply.status == 429 else []
         # Such calls get 429 and the connection is closed. New connections are accepted at the same rate, which slows
         # down a client that goes on at once.
         assert statuses[:5] == [200] * 5 and statuses.count(429) >= 3 and set(waits) == {"1"}
         assert time.monotonic() - began > 0.3
         connection.close()
     finally:
-        one.kill()
+        service.kill()
 
 
 def test_connections_beyond_the_limit_get_503(tmp_path: Path) -> None:
-    one = HostedService(tmp_path, "connections = 3").start()
+    service = HostedService(tmp_path, "connections = 3").start()
     try:
-        open_connections = [socket.create_connection(one.parse_address(one.api)) for _ in range(3)]
+        open_connections = [socket.create_connection(service.parse_address(service.api)) for _ in range(3)]
         time.sleep(0.3)
-        assert raw(one, b"GET / HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 503")
+        assert raw(service, b"GET / HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 503")
         for client in open_connections:
             client.close()
         time.sleep(0.3)
-        assert one.call("GET", "/v1/tenants").status == 200
+        assert service.call("GET", "/v1/tenants").status == 200
     finally:
-        one.kill()
+        service.kill()
 
 
 def test_after_a_kill_and_a_restart_acknowledged_changes_hold(tmp_path: Path, host: FakeCacheHost) -> None:
-    one = HostedService(tmp_path).start()
+    service = HostedService(tmp_path).start()
     try:
-        listen = one.create_tenant("sur", (host.address,))
-        token = one.create_key("sur", "admin", "administrator")
-        body = one.call("GET", "/v1/tenants/sur/limits").body | {"burst": 77}
-        first = one.call("PUT", "/v1/tenants/sur/limits", body, if_match='"2"', idempotency_key="mine")
+        listen = service.create_tenant("sur", (host.address,))
+        token = service.create_key("sur", "admin", "administrator")
+        body = service.call("GET", "/v1/tenants/sur/limits").body | {"burst": 77}
+        first = service.call("PUT", "/v1/tenants/sur/limits", body, if_match='"2"', idempotency_key="mine")
         assert first.status == 200
-        one.kill()
-        one.start()
-        again = one.call("PUT", "/v1/tenants/sur/limits", body, if_match='"2"', idempotency_key="mine")
+        service.kill()
+        service.start()
+        again = service.call("PUT", "/v1/tenants/sur/limits", body, if_match='"2"', idempotency_key="mine")
         assert (again.status, again.body, again.headers["idempotency-replayed"]) == (200, first.body, "true")
-        assert one.call("GET", "/v1/tenants/sur", token=token).body["version"] == 3
-        assert one.exchange(listen, READ % (1, 1)) == b"VA 2 Oi1\r\nhi\r\n"
-        assert token not in one.log.read_text() and one.operator_token not in one.log.read_text()
-        for line in one.log.read_text().splitlines():
+        assert service.call("GET", "/v1/tenants/sur", token=token).body["version"] == 3
+        assert service.exchange(listen, READ % (1, 1)) == b"VA 2 Oi1\r\nhi\r\n"
+        assert token not in service.log.read_text() and service.operator_token not in service.log.read_text()
+        for line in service.log.read_text().splitlines():
             assert {"at", "level", "message"} <= json.loads(line).keys()
-        changes = [json.loads(line) for line in one.log.read_text().splitlines() if '"changed"' in line]
+        changes = [json.loads(line) for line in service.log.read_text().splitlines() if '"changed"' in line]
         assert [(x["tenant"], x["version"], x["who"], x["kind"]) for x in changes] == [
             ("sur", 1, "operator/main", "make"),
             ("sur", 2, "operator/main", "key-made"),
             ("sur", 3, "operator/main", "limits"),
         ]
         assert token.encode() not in b"".join(path.read_bytes() for path in tmp_path.glob("registry.db*"))
-        assert one.terminate() == 0
+        assert service.terminate() == 0
     finally:
-        one.kill()
+        service.kill()
 
 
 def test_a_shutdown_answers_open_transactions(tmp_path: Path) -> None:
     slow = socket.create_server(("127.0.0.1", 0))  # accepts connections and never answers
-    one = HostedService(tmp_path).start()
+    service = HostedService(tmp_path).start()
     try:
-        listen = one.create_tenant("sur", ("{}:{}".format(*slow.getsockname()),))
-        with socket.create_connection(one.parse_address(listen)) as client:
+        listen = service.create_tenant("sur", ("{}:{}".format(*slow.getsockname()),))
+        with socket.create_connection(service.parse_address(listen)) as client:
             client.sendall(READ % (1, 1) + b"mg k v Oonce Pc=once,d=800\r\n")
             time.sleep(0.2)
-            assert one.process is not None
-            one.process.send_signal(signal.SIGTERM)
+            assert service.process is not None
+            service.process.send_signal(signal.SIGTERM)
             client.settimeout(5)
-            found = b""
+            received = b""
             while more := client.recv(4096):
-                found += more
-        assert found.count(b"SERVER_ERROR") == 2
-        assert one.process.wait(10) == 0
+                received += more
+        assert received.count(b"SERVER_ERROR") == 2
+        assert service.process.wait(10) == 0
     finally:
-        one.kill()
+        service.kill()
         slow.close()
 
 
@@ -330,14 +330,14 @@
     (tmp_path / "api.pem").write_bytes((tmp_path / "one.pem").read_bytes())
     (tmp_path / "api.key").write_bytes((tmp_path / "one.key").read_bytes())
     tls = '[api.tls]\ncertificate = "api.pem"\nkey = "api.key"\nclients_ca = "caller.pem"\n'
-    one = HostedService(tmp_path, tls=tls).start()
+    service = HostedService(tmp_path, tls=tls).start()
 
     def status(ca: str, caller: bool = True) -> int:
         context = ssl.create_default_context(cafile=str(tmp_path / f"{ca}.pem"))
         if caller:
             context.load_cert_chain(tmp_path / "caller.pem", tmp_path / "caller.key")
-        connection = http.client.HTTPSConnection(*one.parse_address(one.api), timeout=5, context=context)
-        connection.request("GET", "/v1/tenants", headers={"authorization": f"Bearer {one.operator_token}"})
+        connection = http.client.HTTPSConnection(*service.parse_address(service.api), timeout=5, context=context)
+        connection.request("GET", "/v1/tenants", headers={"authorization": f"Bearer {service.operator_token}"})
         return connection.getresponse().status
 
     try:
@@ -346,18 +346,18 @@
             status("one", caller=False)
         with pytest.raises(ssl.SSLError):
             status("two")
-        assert one.process is not None
+        assert service.process is not None
         (tmp_path / "api.pem").write_text("nonsense")
-        one.process.send_signal(signal.SIGHUP)
+        service.process.send_signal(signal.SIGHUP)
         time.sleep(0.5)
-        assert status("one") == 200 and "certificate" in one.log.read_text()  # the old certificate stays in use
+        assert status("one") == 200 and "certificate" in service.log.read_text()  # the old certificate stays in use
         (tmp_path / "api.pem").write_bytes((tmp_path / "two.pem").read_bytes())
         (tmp_path / "api.key").write_bytes((tmp_path / "two.key").read_bytes())
-        one.process.send_signal(signal.SIGHUP)
+        service.process.send_signal(signal.SIGHUP)
         time.sleep(0.5)
         assert status("two") == 200
     finally:
-        one.kill()
+        service.kill()
 
 
 def test_without_a_store_the_file_is_the_registry_and_is_reloaded(tmp_path: Path, host: FakeCacheHost) -> None:
@@ -381,11 +381,11 @@
         process = subprocess.Popen(
             [sys.executable, "-m", "ternquay", "host", "--config", str(file)], cwd=ROOT, stderr=log
         )
-    one = HostedService.__new__(HostedService)
+    service = HostedService.__new__(HostedService)
 
     def answers(listen: str) -> bytes:
         try:
-            return one.exchange(listen, READ % (1, 1), 0.3)
+            return service.exchange(listen, READ % (1, 1), 0.3)
         except OSError:
             return b""
 
@@ -434,7 +434,7 @@
     file = tmp_path / "s.toml"
     file.write_text(f"{text}\n[end]\n")
     for command in ("check", "host"):
-        found = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "ternquay", command, "--config", str(file)],
             cwd=ROOT,
             capture_output=True,
@@ -442,19 +442,19 @@
             timeout=30,
             check=False,
         )
-        assert found.returncode == 2 and found.stderr.count("\n") == 1, found.stderr
-        assert expected in found.stderr or expected == "TOML"
+        assert result.returncode == 2 and result.stderr.count("\n") == 1, result.stderr
+        assert expected in result.stderr or expected == "TOML"
 
 
 def test_the_file_under_deploy_is_valid() -> None:
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "ternquay", "check", "--config", "deploy/service.toml"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
     )
-    assert (found.returncode, found.stdout) == (0, "ternquay: 1 tenants, no store, no API, 1024 sockets\n")
+    assert (result.returncode, result.stdout) == (0, "ternquay: 1 tenants, no store, no API, 1024 sockets\n")
 
 
 def test_serve_loads_nothing_of_the_hosted_service_or_the_rig() -> None:
@@ -463,8 +463,8 @@
         "wrong = tuple('ternquay.' + n for n in ('hosted', 'rig', 'peers', 'consensus')) + ('msgspec', 'sqlite3'); "
         "print([n for n in sys.modules if n.startswith(wrong)])"
     )
-    found = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert found.stdout == "[]\n"
+    result = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
+    assert result.stdout == "[]\n"
 
 
 # ---- the command-line client ----
@@ -472,7 +472,7 @@
 
 def admin(hosted: HostedService, *words: str, token: str | None = None) -> tuple[int, str, str]:
     """Runs `ternquay admin`; returns its exit code, output and errors."""
-    done = subprocess.run(
+    result = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -490,7 +490,7 @@
         timeout=60,
         check=False,
     )
-    return done.returncode, done.stdout, done.stderr
+    return result.returncode, result.stdout, result.stderr
 
 
 def test_the_client_plans_and_applies_and_sets_exit_codes(hosted: HostedService, tmp_path: Path) -> None:
@@ -559,8 +559,8 @@
                 return
 
     floods = [threading.Thread(target=flood, daemon=True) for _ in range(10)]
-    for one in floods:
-        one.start()
+    for thread in floods:
+        thread.start()
     time.sleep(0.5)
     durations, committed = [], 0
     with socket.create_connection(hosted.parse_address(listen)) as client:
@@ -582,20 +582,20 @@
 
 
 def test_idle_tenants_cost_little_memory(tmp_path: Path) -> None:
-    one = HostedService(tmp_path).start()
+    service = HostedService(tmp_path).start()
     try:
-        assert one.process is not None
-        meter = psutil.Process(one.process.pid)
+        assert service.process is not None
+        meter = psutil.Process(service.process.pid)
         unlimited = {resource: {"least": 0.0, "most": 1.0} for resource in ("cpu", "sockets", "memory")}
         for n in range(10):
-            one.create_tenant(f"warm-{n}", tuple(f"10.0.{n}.{k}:80" for k in range(5)), limits=unlimited)
+            service.create_tenant(f"warm-{n}", tuple(f"10.0.{n}.{k}:80" for k in range(5)), limits=unlimited)
         before = meter.memory_info().rss
         for n in range(40):
-            one.create_tenant(f"t-{n}", tuple(f"10.1.{n}.{k}:80" for k in range(5)), limits=unlimited)
+            service.create_tenant(f"t-{n}", tuple(f"10.1.{n}.{k}:80" for k in range(5)), limits=unlimited)
         each = (meter.memory_info().rss - before) / 40
         assert each < 200_000, each
     finally:
-        one.kill()
+        service.kill()
 
 
 def test_an_empty_registry_has_version_0_and_tokens_match_their_pattern(tmp_path: Path) -> None:
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -255,10 +255,10 @@
 def test_on_loopback_clients_in_the_backlog_at_a_shutdown_are_accepted_and_answered(tmp_path: Path) -> None:
     """SIGTERM while all sockets of a tenant are in use: the clients in the backlog must still get an answer."""
     cache = FakeCacheHost()
-    one = HostedService(tmp_path).start()
+    service = HostedService(tmp_path).start()
     try:
-        listen = one.parse_address(
-            one.create_tenant("sur", (cache.address,), limits={"sockets": {"least": 0.05, "most": 0.1}})
+        listen = service.parse_address(
+            service.create_tenant("sur", (cache.address,), limits={"sockets": {"least": 0.05, "most": 0.1}})
         )
         with ExitStack() as ended:
             for _ in range(25):  # as many as it may have; they are new, so none of them is closed for another yet
@@ -267,13 +267,13 @@
             waits = [ended.enter_context(socket.create_connection(listen, timeout=5)) for _ in range(4)]
             for number, client in enumerate(waits):
                 client.sendall(b"mg k v O%d Pc=read,d=900\r\n" % number)
-            assert one.process is not None
-            one.process.terminate()
+            assert service.process is not None
+            service.process.terminate()
             answers = [client.recv(200) for client in waits]
         assert all(text.startswith((b"VA 2", b"SERVER_ERROR busy")) for text in answers), answers
-        assert one.process.wait(10) == 0
+        assert service.process.wait(10) == 0
     finally:
-        one.kill()
+        service.kill()
 
 
 def test_a_client_that_waits_long_for_its_turn_is_not_closed_as_stalled() -> None:
