--- a/ternquay/hosted/administration/admin.py
+++ b/ternquay/hosted/administration/admin.py
@@ -17,7 +17,7 @@
 
 from ternquay.hosted.administration import keys as tokens
 from ternquay.hosted.administration.caller import BAD, Caller, CallFailed, Target
-from ternquay.hosted.administration.plan import Step, planned
+from ternquay.hosted.administration.plan import Step, plan_steps
 from ternquay.hosted.service import ListedTenantDocument, ServiceConfigError, read_tables, tenant_from_listed
 from ternquay.hosted.tenants.documents import TenantDocument, convert_document, to_json_value
 from ternquay.hosted.tenants.tenant import InvalidField
@@ -346,7 +346,7 @@
 @app.command("new-operator")
 def new_operator(name: str) -> None:
     """A new operator's token, and the lines that let it in; neither goes anywhere by itself."""
-    token = tokens.made("", name)
+    token = tokens.generate_token("", name)
     found = {"token": token, "name": name, "digest": tokens.digest_of(token).hex()}
     if Chosen.as_json:
         return show(found)
@@ -423,7 +423,7 @@
 # ---- files ----
 
 
-def wanted(path: Path) -> list[tuple[TenantDocument, str]]:
+def read_tenant_file(path: Path) -> list[tuple[TenantDocument, str]]:
     told = read_tables(path).get("tenants", [])
     found: list[tuple[TenantDocument, str]] = []
     for i, one in enumerate(told if isinstance(told, list) else [told]):
@@ -438,8 +438,8 @@
 
 
 def steps_of(one: Caller, path: Path, remove: bool) -> list[Step]:
-    file = wanted(path)
-    return planned(file, one.pages("/v1/tenants", "tenants"), remove)
+    file = read_tenant_file(path)
+    return plan_steps(file, one.pages("/v1/tenants", "tenants"), remove)
 
 
 TomlFile = Annotated[Path, typer.Argument(help="TOML with [[tenants]], as in deploy/service.toml.")]
--- a/ternquay/hosted/administration/api.py
+++ b/ternquay/hosted/administration/api.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ternquay.hosted.administration import keys
-from ternquay.hosted.administration.keys import Denied, Who
+from ternquay.hosted.administration.keys import AccessDenied, Principal
 from ternquay.hosted.administration.openapi import description
 from ternquay.hosted.administration.routes import ROUTES, Route
 from ternquay.hosted.tenants import documents as d
@@ -54,14 +54,14 @@
     status: int
     body: Any = None
     headers: Mapping[str, str] = field(default_factory=dict)
-    why: str = ""  # for the audit log, of what was turned away
+    reason: str = ""  # for the audit log, of what was turned away
 
 
 @dataclass(slots=True, frozen=True)
 class Proposal:
     """A change that the call asks for; `reply` is made of the registry after it."""
 
-    who: Who
+    who: Principal
     change: Change
     kind: str
     tenant: str
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Look:
+class Query:
     """Something that the store or the process has to be asked for: changes, audit, process."""
 
     what: str
@@ -80,14 +80,14 @@
     tenant: str = ""
 
 
-Outcome = Reply | Proposal | Look
+Outcome = Reply | Proposal | Query
 
 
-class Turned(Exception):
+class CallRejected(Exception):
     """The call is answered with a problem."""
 
     def __init__(self, reply: Reply) -> None:
-        super().__init__(reply.why)
+        super().__init__(reply.reason)
         self.reply = reply
 
 
@@ -129,7 +129,7 @@
     """The route of a path as it came: nothing is decoded, as no name needs it. Raises Turned."""
     parts = path.split("/")[1:]
     if not path.startswith("/") or not all(SEGMENT.fullmatch(part) for part in parts):
-        raise Turned(problem(404, "there is nothing of that name"))
+        raise CallRejected(problem(404, "there is nothing of that name"))
     allowed = []
     for route in ROUTES:
         wanted = route.path.split("/")[1:]
@@ -139,8 +139,8 @@
             return route, {w[1:-1]: p for w, p in zip(wanted, parts, strict=True) if w[0] == "{"}
         allowed.append(route.method)
     if allowed:
-        raise Turned(problem(405, f"it takes {', '.join(allowed)}", headers={"allow": ", ".join(allowed)}))
-    raise Turned(problem(404, "there is nothing of that name"))
+        raise CallRejected(problem(405, f"it takes {', '.join(allowed)}", headers={"allow": ", ".join(allowed)}))
+    raise CallRejected(problem(404, "there is nothing of that name"))
 
 
 def number_in(call: Call, name: str, usual: int, most: int) -> int:
@@ -148,7 +148,7 @@
     if not text:
         return usual
     if not text.isascii() or not text.isdigit() or len(text) > 15:
-        raise Turned(problem(400, "a whole number is wanted", name))
+        raise CallRejected(problem(400, "a whole number is wanted", name))
     return min(int(text), most)
 
 
@@ -156,14 +156,14 @@
     """If-Match: against changes made upon what has changed since. Raises Turned."""
     told = call.headers.get("if-match", "")
     if not told:
-        raise Turned(problem(428, "If-Match with the version that the change is meant for is wanted", "If-Match"))
+        raise CallRejected(problem(428, "If-Match with the version that the change is meant for is wanted", "If-Match"))
     if told.strip() == "*":
         return
     tags = [TAG.fullmatch(part.strip()) for part in told.split(",")]
     if not all(tags):
-        raise Turned(problem(400, "an entity tag is wanted", "If-Match"))
+        raise CallRejected(problem(400, "an entity tag is wanted", "If-Match"))
     if str(entry.version) not in {found[1] for found in tags if found}:
-        raise Turned(problem(412, f"it is at version {entry.version} by now", "If-Match", tag(entry.version)))
+        raise CallRejected(problem(412, f"it is at version {entry.version} by now", "If-Match", tag(entry.version)))
 
 
 def shown(entry: TenantEntry) -> dict[str, Any]:
@@ -186,18 +186,18 @@
 class Api:
     """`operators` are the keys that belong to no tenant; `make` makes tokens."""
 
-    def __init__(self, operators: tuple[ApiKey, ...], make: Callable[[str, str], str] = keys.made) -> None:
+    def __init__(self, operators: tuple[ApiKey, ...], make: Callable[[str, str], str] = keys.generate_token) -> None:
         self.operators, self.make = operators, make
 
     def handle(self, call: Call, registry: Registry, now: int) -> Outcome:
         """`now` is the wall clock's, in nanoseconds. Whatever the call is, this raises nothing."""
         try:
             return self._handled(call, registry, now)
-        except Turned as turned:
+        except CallRejected as turned:
             return turned.reply
-        except Denied as denied:
+        except AccessDenied as denied:
             headers = {"www-authenticate": "Bearer"} if denied.status == 401 else None
-            return problem(denied.status, denied.why, headers=headers)
+            return problem(denied.status, denied.reason, headers=headers)
         except InvalidField as fault:
             return problem(422, fault.reason, fault.field)
         except NotFound:
@@ -205,24 +205,24 @@
         except VersionConflict as stale:
             return problem(412, f"it is at version {stale.current} by now", "If-Match", tag(stale.current))
 
-    def identified(self, call: Call, registry: Registry, now: int) -> Who:
+    def identified(self, call: Call, registry: Registry, now: int) -> Principal:
         kind, _, token = call.headers.get("authorization", "").partition(" ")
         if kind.lower() != "bearer":
-            raise Denied("a bearer token is wanted", 401)
-        return keys.who(token.strip(), registry, self.operators, now)
+            raise AccessDenied("a bearer token is wanted", 401)
+        return keys.authenticate(token.strip(), registry, self.operators, now)
 
     def _handled(self, call: Call, registry: Registry, now: int) -> Outcome:
         who = self.identified(call, registry, now)
         route, names = found_route(call.method, call.path)
         if RANKS[who.scope] < RANKS[route.scope]:
-            raise Denied(f"a key of scope {who.scope.value} does not allow that", 403)
+            raise AccessDenied(f"a key of scope {who.scope.value} does not allow that", 403)
         if who.tenant and names.get("tenant", who.tenant) != who.tenant:
             # Whether there is such a tenant is not this one's to know.
-            raise Denied("the key is another tenant's", 403)
+            raise AccessDenied("the key is another tenant's", 403)
         if route.changes and route.takes is not None:
             kind = call.headers.get("content-type", "application/json").partition(";")[0].strip().lower()
             if kind != "application/json":
-                raise Turned(problem(415, "application/json is wanted", "Content-Type"))
+                raise CallRejected(problem(415, "application/json is wanted", "Content-Type"))
         told = d.decode_document(route.takes, call.body) if route.takes is not None else None
         do: Callable[..., Outcome] = getattr(self, f"_{route.name}")
         if "tenant" not in names:
@@ -236,12 +236,12 @@
 
     # ---- reading ----
 
-    def _list_tenants(self, call: Call, registry: Registry, who: Who, now: int, told: None) -> Outcome:
+    def _list_tenants(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
         most = max(1, number_in(call, "limit", PAGE, PAGE_MOST))
         try:
             after = b64decode(call.query.get("cursor", "").encode(), altchars=b"-_", validate=True).decode()
         except ValueError:
-            raise Turned(problem(400, "is none that was given out", "cursor")) from None
+            raise CallRejected(problem(400, "is none that was given out", "cursor")) from None
         names = [who.tenant] if who.tenant else sorted(registry.tenants)
         names = [name for name in names if name > after]
         page = names[:most]
@@ -254,7 +254,7 @@
         return Reply(200, body)
 
     def _get_tenant(
-        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry
+        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry
     ) -> Outcome:
         return Reply(200, shown(entry), tag(entry.version))
 
@@ -264,28 +264,32 @@
         return Reply(200, body, tag(entry.version))
 
     def _get_servers(
-        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry
+        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry
     ) -> Outcome:
         return self._part(entry, "servers")
 
     def _get_limits(
-        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry
+        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry
     ) -> Outcome:
         return self._part(entry, "limits")
 
     def _get_profiles(
-        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry
+        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry
     ) -> Outcome:
         return self._part(entry, "profiles")
 
-    def _get_state(self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry) -> Outcome:
+    def _get_state(
+        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry
+    ) -> Outcome:
         return Reply(200, {"state": entry.tenant.state.value}, tag(entry.version))
 
-    def _list_keys(self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry) -> Outcome:
+    def _list_keys(
+        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry
+    ) -> Outcome:
         return Reply(200, {"keys": [shown_key(key) for key in entry.tenant.keys]}, tag(entry.version))
 
-    def _list_changes(self, call: Call, registry: Registry, who: Who, now: int, told: None) -> Outcome:
-        return Look(
+    def _list_changes(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
+        return Query(
             "changes",
             number_in(call, "after", 0, 10**15),
             max(1, number_in(call, "limit", PAGE, PAGE_MOST)),
@@ -293,29 +297,29 @@
             who.tenant,
         )
 
-    def _list_audit(self, call: Call, registry: Registry, who: Who, now: int, told: None) -> Outcome:
-        return Look("audit", number_in(call, "after", 0, 10**15), max(1, number_in(call, "limit", PAGE, PAGE_MOST)))
+    def _list_audit(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
+        return Query("audit", number_in(call, "after", 0, 10**15), max(1, number_in(call, "limit", PAGE, PAGE_MOST)))
 
-    def _get_process(self, call: Call, registry: Registry, who: Who, now: int, told: None) -> Outcome:
-        return Look("process")
+    def _get_process(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
+        return Query("process")
 
-    def _get_fleet(self, call: Call, registry: Registry, who: Who, now: int, told: None) -> Outcome:
-        return Look("fleet")
+    def _get_fleet(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
+        return Query("fleet")
 
-    def _leave_fleet(self, call: Call, registry: Registry, who: Who, now: int, told: None) -> Outcome:
-        return Look("leave", tenant=call.path.rpartition("/")[2])
+    def _leave_fleet(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
+        return Query("leave", tenant=call.path.rpartition("/")[2])
 
-    def _join_fleet(self, call: Call, registry: Registry, who: Who, now: int, told: None) -> Outcome:
-        return Look("join", tenant=call.path.rpartition("/")[2])
+    def _join_fleet(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
+        return Query("join", tenant=call.path.rpartition("/")[2])
 
-    def _get_openapi(self, call: Call, registry: Registry, who: Who, now: int, told: None) -> Outcome:
+    def _get_openapi(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
         return Reply(200, description())
 
     # ---- changing ----
 
     def _proposal(
         self,
-        who: Who,
+        who: Principal,
         change: Change,
         kind: str,
         tenant: str,
@@ -332,44 +336,55 @@
 
         return Proposal(who, change, kind, tenant, detail, reply)
 
-    def _make_tenant(self, call: Call, registry: Registry, who: Who, now: int, told: d.TenantDocument) -> Outcome:
+    def _make_tenant(self, call: Call, registry: Registry, who: Principal, now: int, told: d.TenantDocument) -> Outcome:
         if told.name in registry.tenants:
-            raise Turned(problem(409, f"{told.name} is there already", "name"))
+            raise CallRejected(problem(409, f"{told.name} is there already", "name"))
         return self._proposal(
             who, CreateTenant(d.tenant_from_document(told)), "make", told.name, d.to_json_value(told), 201
         )
 
-    def _replaced(self, who: Who, entry: TenantEntry, tenant: Tenant, kind: str, detail: Any, now: int) -> Proposal:
+    def _replaced(
+        self, who: Principal, entry: TenantEntry, tenant: Tenant, kind: str, detail: Any, now: int
+    ) -> Proposal:
         old = entry.tenant
         tenant = replace(tenant, keys=old.keys, state=old.state, servers=started(old.servers, tenant.servers, now))
         return self._proposal(who, ReplaceTenant(tenant, entry.version), kind, old.name, detail)
 
     def _replace_tenant(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.TenantDocument, entry: TenantEntry
+        self, call: Call, registry: Registry, who: Principal, now: int, told: d.TenantDocument, entry: TenantEntry
     ) -> Outcome:
         if told.name != entry.tenant.name:
             raise InvalidField("name", "a tenant keeps its name")
         return self._replaced(who, entry, d.tenant_from_document(told), "replace", d.to_json_value(told), now)
 
     def _end_tenant(
-        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry
+        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry
     ) -> Outcome:
         name = entry.tenant.name
         return self._proposal(who, SetState(name, State.ENDING, entry.version), "end", name, {}, 202)
 
-    def _servers(self, who: Who, entry: TenantEntry, servers: tuple[Server, ...], now: int, detail: Any) -> Proposal:
+    def _servers(
+        self, who: Principal, entry: TenantEntry, servers: tuple[Server, ...], now: int, detail: Any
+    ) -> Proposal:
         servers = started(entry.tenant.servers, servers, now)
         return self._proposal(
             who, SetServers(entry.tenant.name, servers, entry.version), "servers", entry.tenant.name, detail
         )
 
     def _set_servers(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.ServersDocument, entry: TenantEntry
+        self, call: Call, registry: Registry, who: Principal, now: int, told: d.ServersDocument, entry: TenantEntry
     ) -> Outcome:
         return self._servers(who, entry, d.servers_from_documents(told.servers), now, d.to_json_value(told))
 
     def _set_server(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.ServerDocument, entry: TenantEntry, name: str
+        self,
+        call: Call,
+        registry: Registry,
+        who: Principal,
+        now: int,
+        told: d.ServerDocument,
+        entry: TenantEntry,
+        name: str,
     ) -> Outcome:
         if told.name != name:
             raise InvalidField("name", "is another than the path's")
@@ -382,7 +397,7 @@
         return self._servers(who, entry, (*there, one), now, d.to_json_value(told))
 
     def _remove_server(
-        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry, name: str
+        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry, name: str
     ) -> Outcome:
         left = tuple(server for server in entry.tenant.servers if server.name != name)
         if len(left) == len(entry.tenant.servers):
@@ -390,19 +405,19 @@
         return self._servers(who, entry, left, now, {"removed": name})
 
     def _set_limits(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.LimitsDocument, entry: TenantEntry
+        self, call: Call, registry: Registry, who: Principal, now: int, told: d.LimitsDocument, entry: TenantEntry
     ) -> Outcome:
         change = SetLimits(entry.tenant.name, d.limits_from_document(told), entry.version)
         return self._proposal(who, change, "limits", entry.tenant.name, d.to_json_value(told))
 
     def _set_profiles(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.ProfilesDocument, entry: TenantEntry
+        self, call: Call, registry: Registry, who: Principal, now: int, told: d.ProfilesDocument, entry: TenantEntry
     ) -> Outcome:
         tenant = replace(entry.tenant, profiles=tuple(map(d.profile_from_document, told.profiles)))
         return self._replaced(who, entry, tenant, "profiles", d.to_json_value(told), now)
 
     def _set_state(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.StateDocument, entry: TenantEntry
+        self, call: Call, registry: Registry, who: Principal, now: int, told: d.StateDocument, entry: TenantEntry
     ) -> Outcome:
         change = SetState(entry.tenant.name, d.parse_state(told.state), entry.version)
         return self._proposal(who, change, "state", entry.tenant.name, d.to_json_value(told))
@@ -411,7 +426,7 @@
 
     def _with_key(
         self,
-        who: Who,
+        who: Principal,
         entry: TenantEntry,
         left: tuple[ApiKey, ...],
         name: str,
@@ -434,7 +449,7 @@
         )
 
     def _make_key(
-        self, call: Call, registry: Registry, who: Who, now: int, told: d.KeyDocument, entry: TenantEntry
+        self, call: Call, registry: Registry, who: Principal, now: int, told: d.KeyDocument, entry: TenantEntry
     ) -> Outcome:
         until = now + told.expires_in_s * SECOND if told.expires_in_s else 0
         return self._with_key(who, entry, entry.tenant.keys, told.name, Scope(told.scope), now, until, "key-made")
@@ -443,7 +458,7 @@
         self,
         call: Call,
         registry: Registry,
-        who: Who,
+        who: Principal,
         now: int,
         told: d.RotationDocument,
         entry: TenantEntry,
@@ -459,7 +474,7 @@
         return self._with_key(who, entry, left, told.name, old.scope, now, 0, "key-rotated")
 
     def _remove_key(
-        self, call: Call, registry: Registry, who: Who, now: int, told: None, entry: TenantEntry, name: str
+        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry, name: str
     ) -> Outcome:
         left = tuple(key for key in entry.tenant.keys if key.name != name)
         if len(left) == len(entry.tenant.keys):
--- a/ternquay/hosted/administration/caller.py
+++ b/ternquay/hosted/administration/caller.py
@@ -97,7 +97,7 @@
             headers["content-type"] = "application/json"
         for last in (False,) * (TRIES - 1) + (True,):
             try:
-                status, found, told = self._once(method, path, text, headers)
+                status, found, told = self._send_once(method, path, text, headers)
             except (OSError, http.client.HTTPException) as fault:
                 self.close()
                 if last or isinstance(fault, ssl.SSLCertVerificationError):
@@ -110,7 +110,7 @@
             return _read(status, found, told)
         raise AssertionError
 
-    def _once(
+    def _send_once(
         self, method: str, path: str, text: str | None, headers: Mapping[str, str]
     ) -> tuple[int, bytes, dict[str, str]]:
         if self.connection is None:
--- a/ternquay/hosted/administration/changes.py
+++ b/ternquay/hosted/administration/changes.py
@@ -1,6 +1,6 @@
 """Carries out the API's calls: one change at a time, stored, applied, then answered.
 
-    keeper.call(call)      # -> a Deferred of the Reply; it never fails
+    executor.call(call)      # -> a Deferred of the Reply; it never fails
 
 What is acknowledged is on disk. While the disk is at work the loop goes on; changes wait in their order, a bounded
 number of them.
@@ -18,7 +18,7 @@
 from twisted.python.threadpool import ThreadPool
 
 from ternquay.consensus.errors import ChangeAborted, OutcomeUnknown, RetryLater
-from ternquay.hosted.administration.api import Api, Call, Look, Proposal, Reply, problem, tag
+from ternquay.hosted.administration.api import Api, Call, Proposal, Query, Reply, problem, tag
 from ternquay.hosted.store import AuditRecord, ChangeRecord, Commit, Store, StoredReply, StoreError, StoreOutcomeUnknown
 from ternquay.hosted.tenants.registry import Registry, RemoveTenant
 from ternquay.hosted.tenants.tenant import InvalidField
@@ -48,7 +48,7 @@
     def process(self) -> dict[str, Any]: ...
 
 
-class Stored:
+class StoreThread:
     """The store in its own thread, as each sync of the disk would stop the loop."""
 
     def __init__(self, reactor: Any, store: Store) -> None:
@@ -56,7 +56,7 @@
         self.threads = ThreadPool(1, 1, "store")
         self.threads.start()
 
-    def do(self, what: Callable[..., Any], *terms: Any) -> "Deferred[Any]":
+    def run(self, what: Callable[..., Any], *terms: Any) -> "Deferred[Any]":
         return deferToThreadPool(self.reactor, self.threads, what, *terms)
 
     def end(self) -> None:
@@ -65,9 +65,11 @@
         self.store.close()
 
 
-class Keeper:
-    def __init__(self, reactor: Any, api: Api, applier: Applier, stored: Stored, clock: Callable[[], int]) -> None:
-        self.reactor, self.api, self.applier, self.stored, self.clock = reactor, api, applier, stored, clock
+class ChangeExecutor:
+    def __init__(
+        self, reactor: Any, api: Api, applier: Applier, store_thread: StoreThread, clock: Callable[[], int]
+    ) -> None:
+        self.reactor, self.api, self.applier, self.store_thread, self.clock = reactor, api, applier, store_thread, clock
         self.waiting: deque[tuple[Call | RemoveTenant, Deferred[Reply]]] = deque()
         self.busy = False
         self.watches: list[Deferred[None]] = []
@@ -85,7 +87,7 @@
     def call(self, call: Call) -> "Deferred[Reply]":
         """Answers a call; denied ones go to the audit log."""
         outcome = self.api.handle(call, self.registry, self.clock())
-        if isinstance(outcome, Look):
+        if isinstance(outcome, Query):
             if outcome.what in ("leave", "join") and self.fleet is not None and not self.fleet.is_leader():
                 return self._passed_on(call)
             return self._guarded(self._looked, outcome)
@@ -214,7 +216,7 @@
             return
         prepared = self.applier.prepare(after, tenant)
         try:
-            yield self.stored.do(self.stored.store.commit, commit)
+            yield self.store_thread.run(self.store_thread.store.commit, commit)
         except BaseException:
             prepared.drop()
             raise
@@ -235,7 +237,7 @@
         """What is stored goes before what is in force: a change of which nothing was known may be there."""
         if not self.unsure:
             return
-        there, here = (yield self.stored.do(self.stored.store.registry)), self.registry
+        there, here = (yield self.store_thread.run(self.store_thread.store.registry)), self.registry
         for name in sorted({*there.tenants, *here.tenants}):
             if there.tenants.get(name) != here.tenants.get(name):
                 self._apply(there, name, self.applier.prepare(there, name))
@@ -259,7 +261,7 @@
         who = str(self.api.identified(call, self.registry, self.clock()))
         found: StoredReply | None = self.fleet.pending_reply(who, _digest(key)) if self.fleet is not None else None
         if found is None:
-            found = yield self.stored.do(self.stored.store.find_reply, who, _digest(key))
+            found = yield self.store_thread.run(self.store_thread.store.find_reply, who, _digest(key))
         if found is None:
             return None
         if found.call_digest != _asked(call):
@@ -270,7 +272,7 @@
     # ---- logs ----
 
     @inlineCallbacks
-    def _looked(self, look: Look) -> Any:
+    def _looked(self, look: Query) -> Any:
         if look.what in ("fleet", "leave", "join"):
             if self.fleet is None:
                 return problem(404, "this process is a member of no fleet")
@@ -286,7 +288,7 @@
         if look.what == "process":
             return Reply(200, self.applier.process())
         if look.what == "audit":
-            rows = yield self.stored.do(self.stored.store.audit, look.after, look.most)
+            rows = yield self.store_thread.run(self.store_thread.store.audit, look.after, look.most)
             lines = [
                 {
                     "id": id,
@@ -306,7 +308,7 @@
             if self.fleet is not None:
                 # Else the version below could be told without the lines up to it, and a watcher would pass them over.
                 yield self.fleet.when_flushed()
-            changes = yield self.stored.do(self.stored.store.changes, look.after, look.most, look.tenant)
+            changes = yield self.store_thread.run(self.store_thread.store.changes, look.after, look.most, look.tenant)
             left = until - self.clock()
             if changes or left <= 0 or len(self.watches) >= WATCHES_MOST or self.ended:
                 break
@@ -345,7 +347,7 @@
     def note(self, call: Call, reply: Reply) -> None:
         """A denied call goes to the audit log; those that are alike and come at once make one line."""
         who = call.headers.get("authorization", "").partition(".")[2].rpartition(".")[0][:100]
-        key = (who, call.peer, f"{call.method[:10]} {call.path[:200]}", reply.status, reply.why)
+        key = (who, call.peer, f"{call.method[:10]} {call.path[:200]}", reply.status, reply.reason)
         if key not in self.notes and len(self.notes) >= NOTES_MOST:
             key = ("", "", "many calls", reply.status, "more kinds of denied calls than are kept apart")
         old = self.notes.get(key)
@@ -358,7 +360,7 @@
         self.noting = False
         notes, self.notes = list(self.notes.values()), {}
         if notes and not self.ended:
-            self.stored.do(self.stored.store.append_audit, notes).addErrback(
+            self.store_thread.run(self.store_thread.store.append_audit, notes).addErrback(
                 lambda failure: logger.error("denied calls could not be noted: {}", failure.value)
             )
 
@@ -366,7 +368,9 @@
         """No further change is begun; what waits is told so."""
         self.ended = True
         if self.notes:
-            self.stored.do(self.stored.store.append_audit, list(self.notes.values())).addErrback(lambda failure: None)
+            self.store_thread.run(self.store_thread.store.append_audit, list(self.notes.values())).addErrback(
+                lambda failure: None
+            )
         waiting, self.waiting = self.waiting, deque()
         for _, done in waiting:
             done.callback(ENDS)
--- a/ternquay/hosted/administration/http.py
+++ b/ternquay/hosted/administration/http.py
@@ -13,7 +13,7 @@
 from twisted.internet.error import CannotListenError
 
 from ternquay.hosted.administration.api import Call, Reply, problem
-from ternquay.hosted.administration.changes import Keeper
+from ternquay.hosted.administration.changes import ChangeExecutor
 from ternquay.hosted.service import ApiDocument, ServiceConfig
 from ternquay.hosted.shared.fairness import SECOND, TokenBucket
 from ternquay.hosted.tenants.documents import format_endpoint
@@ -61,10 +61,10 @@
 class ApiPort(RequestPort):
     """The listener of the API."""
 
-    def __init__(self, reactor: Any, service: ServiceConfig, keeper: Keeper) -> None:
+    def __init__(self, reactor: Any, service: ServiceConfig, executor: ChangeExecutor) -> None:
         assert service.api is not None
         super().__init__(limits_of(service.api))
-        self.reactor, self.service, self.keeper = reactor, service, keeper
+        self.reactor, self.service, self.executor = reactor, service, executor
         self.api: ApiDocument = service.api
         self.calls = TokenBucket(self.api.calls_a_second, float(self.api.burst))
         self.comers = TokenBucket(self.api.calls_a_second, float(self.api.burst))  # connections, at the same rate
@@ -131,6 +131,6 @@
         call = call_of(call_in)
         if isinstance(call, Reply):
             return answer(call_in, call)
-        self.keeper.call(call).addCallback(lambda reply: answer(call_in, reply)).addErrback(
+        self.executor.call(call).addCallback(lambda reply: answer(call_in, reply)).addErrback(
             lambda failure: logger.error("an answer failed: {}", failure.getTraceback())
         )
--- a/ternquay/hosted/administration/keys.py
+++ b/ternquay/hosted/administration/keys.py
@@ -14,12 +14,12 @@
 from ternquay.hosted.tenants.registry import Registry
 from ternquay.hosted.tenants.tenant import ApiKey, Scope
 
-TOKEN = re.compile(r"tq1\.(-|[a-z][a-z0-9-]{0,47})\.([a-z][a-z0-9-]{0,47})\.([A-Za-z0-9_-]{43})")
+TOKEN_PATTERN = re.compile(r"tq1\.(-|[a-z][a-z0-9-]{0,47})\.([a-z][a-z0-9-]{0,47})\.([A-Za-z0-9_-]{43})")
 NOBODY = bytes(32)
 
 
 @dataclass(slots=True, frozen=True)
-class Who:
+class Principal:
     """Whose call it is; an operator's has no tenant."""
 
     scope: Scope
@@ -30,26 +30,26 @@
         return f"{self.tenant or 'operator'}/{self.key}"
 
 
-class Denied(Exception):
+class AccessDenied(Exception):
     """No such token, or no longer, or it does not allow that; the text says which without telling more."""
 
-    def __init__(self, why: str, status: int) -> None:
-        super().__init__(why)
-        self.why, self.status = why, status
+    def __init__(self, reason: str, status: int) -> None:
+        super().__init__(reason)
+        self.reason, self.status = reason, status
 
 
 def digest_of(token: str) -> bytes:
     return sha256(token.encode()).digest()
 
 
-def made(tenant: str, name: str) -> str:
+def generate_token(tenant: str, name: str) -> str:
     """A new token; it is shown once and kept nowhere."""
     return f"tq1.{tenant or '-'}.{name}.{token_urlsafe(32)}"
 
 
-def who(token: str, registry: Registry, operators: tuple[ApiKey, ...], now: int) -> Who:
+def authenticate(token: str, registry: Registry, operators: tuple[ApiKey, ...], now: int) -> Principal:
     """Whose token it is at `now`, in wall-clock nanoseconds. Raises Denied."""
-    found = TOKEN.fullmatch(token)
+    found = TOKEN_PATTERN.fullmatch(token)
     tenant, name = (found[1], found[2]) if found else ("-", "")
     entry = registry.tenants.get(tenant)
     keys = operators if tenant == "-" else entry.tenant.keys if entry is not None else ()
@@ -57,9 +57,9 @@
     # Compared whether there is such a key or not, as the time taken would tell.
     same = compare_digest(digest_of(token), key.digest if key is not None else NOBODY)
     if key is None or not same:
-        raise Denied("no such token", 401)
+        raise AccessDenied("no such token", 401)
     if now < key.since:
-        raise Denied("the token is not valid yet", 401)
+        raise AccessDenied("the token is not valid yet", 401)
     if key.until and now >= key.until:
-        raise Denied("the token has expired", 401)
-    return Who(key.scope, "" if tenant == "-" else tenant, name)
+        raise AccessDenied("the token has expired", 401)
+    return Principal(key.scope, "" if tenant == "-" else tenant, name)
--- a/ternquay/hosted/administration/plan.py
+++ b/ternquay/hosted/administration/plan.py
@@ -56,7 +56,7 @@
     return {**new, "servers": servers}
 
 
-def planned(file: list[tuple[TenantDocument, str]], there: list[dict[str, Any]], remove: bool = False) -> list[Step]:
+def plan_steps(file: list[tuple[TenantDocument, str]], there: list[dict[str, Any]], remove: bool = False) -> list[Step]:
     """`file`: tenants with their wanted states; `there`: tenants as the API shows them. With `remove`, those that the
     file does not name are ended, first of all, as they may hold what others want."""
     now, steps = {one["tenant"]["name"]: one for one in there}, []
--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -1,6 +1,6 @@
 """One running member of a fleet: drives the consensus core with links, disk and tenants, and reports its status.
 
-    fleet = FleetMember(reactor, config, host, stored, store, store.begin_boot())
+    fleet = FleetMember(reactor, config, host, store_thread, store, store.begin_boot())
     fleet.start()                          # raises InvalidField where the members' port can't be bound
     fleet.propose(commit)                  # -> a Deferred: fires once the change is in force, or fails with
                                            #    ChangeAborted, OutcomeUnknown or RetryLater
@@ -150,12 +150,12 @@
         reactor: Any,
         config: FleetConfig,
         host: Any,
-        stored: Any,
+        store_thread: Any,
         store: FleetStore,
         boot: BootState,
         clock: Callable[[], int] = clock,
     ) -> None:
-        self.reactor, self.config, self.host, self.stored, self.store = reactor, config, host, stored, store
+        self.reactor, self.config, self.host, self.store_thread, self.store = reactor, config, host, store_thread, store
         self.clock, self.random = clock, Random()
         self.timing = Timing.for_lease(config.lease_ns, config.serve_without_majority)
         self.outcome_timeout_seconds = OUTCOME_TIMEOUT_SECONDS + 3 * config.lease_ns / SECOND
@@ -402,7 +402,7 @@
                 DISK_RETRY_SECONDS, lambda: self._on_disk_rolled_back() if self.boot.boot_id == boot_id else None
             )
 
-        self.stored.do(self.store.discard_disk_state).addCallbacks(over, fault)
+        self.store_thread.run(self.store.discard_disk_state).addCallbacks(over, fault)
 
     # ---- driving the core ----
 
@@ -428,7 +428,7 @@
             self.links.send(name, self._frame(name, FrameKind.CONSENSUS, encode(message)))
         if core.snapshot_needed and not self.is_reading_snapshot:
             self.is_reading_snapshot = True
-            self.stored.do(self.store.snapshot).addCallbacks(self._on_snapshot_read, self._on_snapshot_failed)
+            self.store_thread.run(self.store.snapshot).addCallbacks(self._on_snapshot_read, self._on_snapshot_failed)
         if to_validate or core.writes or core.outcomes or core.to_validate:
             self._drive()
         self._fail_superseded()
@@ -567,7 +567,7 @@
             return
         self.is_writing = True
         jobs = list(self.jobs)
-        self.stored.do(self.store.execute, jobs).addCallbacks(
+        self.store_thread.run(self.store.execute, jobs).addCallbacks(
             self._on_written, self._on_write_failed, callbackArgs=(jobs,)
         )
 
--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -334,9 +334,9 @@
 
     def __init__(self, reactor: Any, service: ServiceConfig) -> None:
         self.reactor, self.service = reactor, service
-        self.keeper: Any = None
+        self.executor: Any = None
         self.api: Any = None
-        self.stored: Any = None
+        self.store_thread: Any = None
         self.fleet: Any = None
         if service.store:
             self._with_store()
@@ -346,7 +346,7 @@
     def _with_store(self) -> None:
         # Imported here, because a process without a store does not load any of this.
         from ternquay.hosted.administration.api import Api
-        from ternquay.hosted.administration.changes import Keeper, Stored
+        from ternquay.hosted.administration.changes import ChangeExecutor, StoreThread
         from ternquay.hosted.store import Store, StoreError
 
         fleet_config, boot = self.service.fellows, None
@@ -367,15 +367,17 @@
         except StoreError as fault:
             raise ServiceConfigError(f"store.path: {fault}") from fault
         self.host = TenantHost(self.reactor, self.service, registry)
-        self.stored = Stored(self.reactor, store)
-        self.keeper = Keeper(self.reactor, Api(self.service.operators), self.host, self.stored, time.time_ns)
-        self.host.remove = self.keeper.remove
+        self.store_thread = StoreThread(self.reactor, store)
+        self.executor = ChangeExecutor(
+            self.reactor, Api(self.service.operators), self.host, self.store_thread, time.time_ns
+        )
+        self.host.remove = self.executor.remove
         if fleet_config is not None:
             from ternquay.hosted.fleet.member import FleetMember
 
             assert boot is not None
-            self.fleet = FleetMember(self.reactor, fleet_config, self.host, self.stored, member, boot)
-            self.keeper.join(self.fleet)
+            self.fleet = FleetMember(self.reactor, fleet_config, self.host, self.store_thread, member, boot)
+            self.executor.join(self.fleet)
             self.host.resources.admission_delay = self.fleet.admission_delay
 
     def start(self) -> None:
@@ -387,7 +389,7 @@
             if self.service.api is not None:
                 from ternquay.hosted.administration.http import ApiPort
 
-                self.api = ApiPort(self.reactor, self.service, self.keeper)
+                self.api = ApiPort(self.reactor, self.service, self.executor)
                 self.api.begin()
         except InvalidField as fault:
             raise ServiceConfigError(f"{self.service.path}: {fault.field}: {fault.reason}") from fault
@@ -405,9 +407,9 @@
         for field in ("process", "store", "listen", "log", "fellows"):
             if getattr(new, field) != getattr(self.service, field) and field != "process":
                 logger.warning("the reloaded file changes {}, which takes effect at the next start", field)
-        if self.keeper is not None:
+        if self.executor is not None:
             if new.api is not None:  # else all operators would be locked out until the next start
-                self.keeper.api.operators = new.operators
+                self.executor.api.operators = new.operators
         elif not self.host.ending:
             self.host.follow(new.registry)
         logger.info("reloaded the file")
@@ -416,8 +418,8 @@
         """Stops the API and the changes, and lets the tenants finish."""
         if self.api is not None:
             self.api.end()
-        if self.keeper is not None:
-            self.keeper.end()
+        if self.executor is not None:
+            self.executor.end()
         if self.fleet is not None:
             self.fleet.step_down()
         self.host.shut_down()  # a member votes and renews its lease while it finishes open transactions
@@ -426,8 +428,8 @@
         """Closes the fleet's links and the store, after the event loop has stopped."""
         if self.fleet is not None:
             self.fleet.stop()
-        if self.stored is not None:
-            self.stored.end()
+        if self.store_thread is not None:
+            self.store_thread.end()
 
 
 def run(service: ServiceConfig) -> None:
--- a/ternquay/rig/agree.py
+++ b/ternquay/rig/agree.py
@@ -169,7 +169,7 @@
     if method != "GET":
         headers |= {"if-match": "*", "idempotency-key": key}
     try:
-        status, text, _ = caller._once(method, path, json.dumps(body) if body is not None else None, headers)
+        status, text, _ = caller._send_once(method, path, json.dumps(body) if body is not None else None, headers)
     except http.client.HTTPException as fault:
         raise OSError(str(fault)) from fault
     finally:
@@ -417,7 +417,7 @@
     )
     try:
         ports = {tenant: int(free_place("127.7.0.1").rpartition(":")[2]) for tenant in (STILL, CHANGED)}
-        token = keys.made("", "rig")
+        token = keys.generate_token("", "rig")
         fellows = [
             Fellow(
                 stage,
--- a/ternquay/rig/tenants.py
+++ b/ternquay/rig/tenants.py
@@ -130,7 +130,7 @@
 
     def __init__(self, stage: Stage, day: Day, seed: int, core: int) -> None:
         super().__init__(stage, day, 0, by_decisions("pat"), seed, core)
-        self.token = keys.made("", "rig")
+        self.token = keys.generate_token("", "rig")
         self.api = free_place("127.0.0.1")
         self.file = stage.out / "service.toml"
 
--- a/tests/fleet_helper.py
+++ b/tests/fleet_helper.py
@@ -64,7 +64,7 @@
 
         addresses = {name: HostedService.parse_address(free_place("127.0.0.1")) for name in names}
         self.between = Between(addresses)
-        operator = keys.made("", "main")
+        operator = keys.generate_token("", "main")
         self.members: dict[str, MemberProcess] = {}
         self.port = HostedService.parse_address(free_place("127.7.0.1"))[1]
         for n, name in enumerate(names):
--- a/tests/hosted_helper.py
+++ b/tests/hosted_helper.py
@@ -47,7 +47,7 @@
 
     def __init__(self, folder: Path, more: str = "", tls: str = "") -> None:
         self.folder, self.api = folder, free_place("127.0.0.1")
-        self.operator_token = keys.made("", "main")
+        self.operator_token = keys.generate_token("", "main")
         self.config_file, self.log = folder / "service.toml", folder / "log"
         self.config_text = (
             f'[process]\nsockets = 256\n[store]\npath = "registry.db"\n[api]\nlisten = "{self.api}"\n'
--- a/tests/test_hosted.py
+++ b/tests/test_hosted.py
@@ -599,4 +599,4 @@
 
 
 def test_an_empty_registry_has_version_0_and_tokens_match_their_pattern(tmp_path: Path) -> None:
-    assert Registry().version == 0 and keys.TOKEN.fullmatch(keys.made("", "x"))
+    assert Registry().version == 0 and keys.TOKEN_PATTERN.fullmatch(keys.generate_token("", "x"))
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -10,9 +10,9 @@
 from ternquay import model as m
 from ternquay.balance import Balancer
 from ternquay.hosted.administration import keys
-from ternquay.hosted.administration.api import Api, Call, Look, Proposal, Reply
+from ternquay.hosted.administration.api import Api, Call, Proposal, Query, Reply
 from ternquay.hosted.administration.openapi import description
-from ternquay.hosted.administration.plan import planned
+from ternquay.hosted.administration.plan import plan_steps
 from ternquay.hosted.administration.routes import ROUTES
 from ternquay.hosted.shared.fairness import (
     SECOND,
@@ -262,8 +262,8 @@
 
 
 NOW = 1_800_000_000 * SECOND
-OPERATOR = keys.made("", "main")
-ADMINISTRATOR, READER, OLD = (keys.made("sur", name) for name in ("admin", "reader", "old"))
+OPERATOR = keys.generate_token("", "main")
+ADMINISTRATOR, READER, OLD = (keys.generate_token("sur", name) for name in ("admin", "reader", "old"))
 OPERATORS = (ApiKey("main", keys.digest_of(OPERATOR), Scope.OPERATOR, 0),)
 
 
@@ -398,7 +398,7 @@
     mine = handled("GET", "/v1/tenants", READER).body["tenants"]
     assert [one["tenant"]["name"] for one in mine] == ["sur"]  # of the others it does not even learn the names
     look = handled("GET", "/v1/changes?after=3&wait_s=999", READER)
-    assert look == Look("changes", 3, 50, 60 * SECOND, "sur")
+    assert look == Query("changes", 3, 50, 60 * SECOND, "sur")
 
 
 def test_a_cache_host_that_a_change_adds_is_cold_from_then_on_and_a_known_one_keeps_its_start() -> None:
@@ -423,10 +423,10 @@
     assert token not in repr(kept) and kept["admin-2"].digest == keys.digest_of(token)
     assert kept["admin"].until == NOW + 60 * SECOND and kept["admin-2"].scope is Scope.ADMINISTRATOR
     assert "old" not in kept  # what has expired makes room
-    assert keys.who(token, after, OPERATORS, NOW).key == "admin-2"
-    assert keys.who(ADMINISTRATOR, after, OPERATORS, NOW + 59 * SECOND).key == "admin"
-    with pytest.raises(keys.Denied):
-        keys.who(ADMINISTRATOR, after, OPERATORS, NOW + 60 * SECOND)
+    assert keys.authenticate(token, after, OPERATORS, NOW).key == "admin-2"
+    assert keys.authenticate(ADMINISTRATOR, after, OPERATORS, NOW + 59 * SECOND).key == "admin"
+    with pytest.raises(keys.AccessDenied):
+        keys.authenticate(ADMINISTRATOR, after, OPERATORS, NOW + 60 * SECOND)
     assert "digest" not in json.dumps(handled("GET", "/v1/tenants/sur/keys", ADMINISTRATOR).body)
 
 
@@ -448,16 +448,16 @@
 def test_a_plan_shows_what_differs_and_nothing_where_nothing_does() -> None:
     file = convert_document(TenantDocument, TOLD)
     there = [{"version": 4, "state": "active", "tenant": to_json_value(tenant_to_document(tenant_from_document(file)))}]
-    assert planned([(file, "active")], there) == []
+    assert plan_steps([(file, "active")], there) == []
     there[0]["tenant"]["servers"][0]["started_ms"] = 77  # stamped by the API; the file does not tell of it
     there[0]["tenant"]["limits"]["burst"] = 3
-    steps = planned([(file, "suspended")], there)
+    steps = plan_steps([(file, "suspended")], there)
     assert [(s.kind, s.version, s.lines) for s in steps] == [
         ("replace", 4, ("limits.burst: 3 -> 500",)),
         ("state", -1, ("state: active -> suspended",)),
     ]
     other = there[0] | {"tenant": there[0]["tenant"] | {"name": "norte"}}
-    steps = planned([(file, "active")], [other], remove=True)
+    steps = plan_steps([(file, "active")], [other], remove=True)
     assert [(s.kind, s.tenant) for s in steps] == [("end", "norte"), ("make", "sur")]
 
 
--- a/tests/test_review_stops.py
+++ b/tests/test_review_stops.py
@@ -32,7 +32,7 @@
 from tests.test_hosted_parts import SMALL
 from tests.test_registry import tenant
 from tests.test_review_links import balancer_config, free_port, serving, wait_until
-from tests.test_store import CALLS, UNLIMITED, answer, call, keeper, whole
+from tests.test_store import CALLS, UNLIMITED, answer, call, executor, whole
 
 # ---- a COMMIT that raises ----
 
@@ -57,23 +57,23 @@
 
 @pytest.mark.parametrize("on_disk", [True, False])
 def test_after_a_commit_that_raised_the_response_says_what_is_on_disk(tmp_path: Path, on_disk: bool) -> None:
-    one = keeper(tmp_path / "x.db")
+    one = executor(tmp_path / "x.db")
     assert answer(one, CALLS[0]).status == 201
-    one.stored.store.db = FailingCommit(one.stored.store.db, on_disk)  # type: ignore[assignment]
+    one.store_thread.store.db = FailingCommit(one.store_thread.store.db, on_disk)  # type: ignore[assignment]
     found = answer(one, CALLS[1])
     assert found.status == (201 if on_disk else 507)
-    assert whole(one.applier.registry) == whole(one.stored.store.registry())
+    assert whole(one.applier.registry) == whole(one.store_thread.store.registry())
     # Further changes are accepted, as the versions of the store and of memory agree.
     assert answer(one, CALLS[1]).status == 201 and answer(one, CALLS[2]).status == 200
-    one.stored.store.close()
+    one.store_thread.store.close()
     again = Store(tmp_path / "x.db")
     assert whole(again.registry()) == whole(one.applier.registry) and again.registry().version == 3
     again.close()
 
 
 def test_a_commit_with_an_unknown_outcome_is_not_reported_as_not_made(tmp_path: Path) -> None:
-    one = keeper(tmp_path / "x.db")
-    store = one.stored.store
+    one = executor(tmp_path / "x.db")
+    store = one.store_thread.store
     store.db = FailingCommit(store.db, True)  # type: ignore[assignment]
     real = store._initialize  # the disk is unavailable while the outcome is checked
 
@@ -99,7 +99,7 @@
     child = os.fork()
     if child == 0:
         try:
-            one = keeper(path)
+            one = executor(path)
             statuses = [answer(one, CALLS[0]).status]
             wal = os.path.getsize(f"{path}-wal")
             resource.setrlimit(resource.RLIMIT_FSIZE, (wal + 5000, wal + 5000))
@@ -123,7 +123,7 @@
 
 
 def test_a_stored_change_that_can_not_be_applied_is_reported_as_stored_and_blocks_no_other(tmp_path: Path) -> None:
-    one = keeper(tmp_path / "x.db")
+    one = executor(tmp_path / "x.db")
     real = one.applier.apply
 
     def broken(registry: Registry, name: str, prepared: Any) -> None:
@@ -137,8 +137,8 @@
     assert found.status == 500 and "stored" in found.body["detail"]
     assert answer(one, CALLS[1]).status == 201
     assert answer(one, CALLS[0]).headers["idempotency-replayed"] == "true"
-    assert whole(one.applier.registry) == whole(one.stored.store.registry())
-    assert [entry.version for entry in one.stored.store.changes(0, 9)] == [1, 2]
+    assert whole(one.applier.registry) == whole(one.store_thread.store.registry())
+    assert [entry.version for entry in one.store_thread.store.changes(0, 9)] == [1, 2]
 
 
 def hosts(registry: Registry, tmp_path: Path) -> TenantHost:
@@ -260,12 +260,12 @@
         held.append(Deferred())
         return held[-1].addCallback(lambda _: what(*terms))
 
-    one.stored.do = later
+    one.store_thread.run = later
     return held
 
 
 def test_a_shutdown_during_a_disk_write_answers_each_call_once(tmp_path: Path) -> None:
-    one = keeper(tmp_path / "x.db")
+    one = executor(tmp_path / "x.db")
     held, replies = manual_store(one), []
     for n in range(3):
         asked = call("POST", "/v1/tenants", document(f"t{n}", f"127.0.0.1:{7000 + n}", limits=UNLIMITED))
@@ -277,11 +277,11 @@
     one.call(late).addCallback(lambda reply: replies.append((9, reply.status)))
     assert replies[2:] == [(9, 503)]
     held.pop().callback(None)
-    assert replies[3:] == [(0, 201)] and one.stored.store.registry().version == 1
+    assert replies[3:] == [(0, 201)] and one.store_thread.store.registry().version == 1
 
 
 def test_a_waiting_call_whose_key_is_removed_is_unauthorized(tmp_path: Path) -> None:
-    one = keeper(tmp_path / "x.db")
+    one = executor(tmp_path / "x.db")
     answer(one, CALLS[0])
     token = answer(one, call("POST", "/v1/tenants/sur/keys", {"name": "k", "scope": "administrator"})).body["token"]
     held, replies = manual_store(one), []
@@ -356,14 +356,14 @@
 
 
 def test_no_plan_is_made_from_a_truncated_file(tmp_path: Path) -> None:
-    from ternquay.hosted.administration.admin import wanted
+    from ternquay.hosted.administration.admin import read_tenant_file
 
     file = tmp_path / "tenants.toml"
     file.write_text(TENANT.format("uno", "127.0.0.1:7001"))
     with pytest.raises(ServiceConfigError, match="end"):
-        wanted(file)
+        read_tenant_file(file)
     file.write_text(TENANT.format("uno", "127.0.0.1:7001") + "[end]\n# nothing after it\n")
-    assert len(wanted(file)) == 1
+    assert len(read_tenant_file(file)) == 1
 
 
 # ---- a balancer that is killed and restarted at once ----
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,7 +16,7 @@
 
 from ternquay.hosted.administration import keys
 from ternquay.hosted.administration.api import Api, Call, Reply
-from ternquay.hosted.administration.changes import Keeper
+from ternquay.hosted.administration.changes import ChangeExecutor
 from ternquay.hosted.store import AuditRecord, ChangeRecord, Commit, Store, StoreError
 from ternquay.hosted.tenants.registry import CreateTenant, Registry
 from ternquay.hosted.tenants.tenant import ApiKey, Scope
@@ -24,7 +24,7 @@
 from tests.test_hosted_parts import SMALL
 from tests.test_registry import tenant
 
-OPERATOR = keys.made("", "main")
+OPERATOR = keys.generate_token("", "main")
 OPERATORS = (ApiKey("main", keys.digest_of(OPERATOR), Scope.OPERATOR, 0),)
 NOW = 1_800_000_000 * 10**9
 
@@ -35,7 +35,7 @@
     def __init__(self, store: Store) -> None:
         self.store = store
 
-    def do(self, operation: Callable[..., Any], *arguments: Any) -> "Deferred[Any]":
+    def run(self, operation: Callable[..., Any], *arguments: Any) -> "Deferred[Any]":
         return maybeDeferred(operation, *arguments)
 
 
@@ -61,14 +61,14 @@
         return {}
 
 
-def keeper(path: Path, on_step: Callable[[str], None] = lambda step: None) -> Keeper:
+def executor(path: Path, on_step: Callable[[str], None] = lambda step: None) -> ChangeExecutor:
     store = Store(path, on_step)
     applier: Any = FakeApplier(store.registry(), on_step)
-    stored: Any = DirectStore(store)
-    return Keeper(Clock(), Api(OPERATORS), applier, stored, lambda: NOW)
+    store_thread: Any = DirectStore(store)
+    return ChangeExecutor(Clock(), Api(OPERATORS), applier, store_thread, lambda: NOW)
 
 
-def answer(one: Keeper, call: Call) -> Reply:
+def answer(one: ChangeExecutor, call: Call) -> Reply:
     found: list[Reply] = []
     one.call(call).addCallback(found.append)
     return found[0]
@@ -105,7 +105,7 @@
 def test_after_a_kill_at_any_step_a_change_is_stored_as_a_whole_or_not_at_all(tmp_path: Path) -> None:
     steps: list[str] = []
     expected, replies = [whole(Registry())], []
-    one = keeper(tmp_path / "whole.db", steps.append)
+    one = executor(tmp_path / "whole.db", steps.append)
     steps.clear()
     for one_call in CALLS:
         replies.append(answer(one, one_call))
@@ -116,7 +116,7 @@
         path = tmp_path / f"{last}.db"
         Store(path).close()
         acknowledged = run_until_killed(path, last)
-        again = keeper(path)
+        again = executor(path)
         found = whole(again.applier.registry)
         assert found in expected, f"half of a change after step {last}, {steps[last - 1]}"
         done = expected.index(found)
@@ -129,9 +129,9 @@
             assert ("idempotency-replayed" in reply.headers) == (n < done)
             expected_body = {name: value for name, value in replies[n].body.items() if name != "token"}
             assert {name: value for name, value in reply.body.items() if name != "token"} == expected_body
-        assert whole(again.applier.registry) == whole(again.stored.store.registry()) == expected[-1]
-        assert [one.version for one in again.stored.store.changes(0, 100)] == [1, 2, 3, 4, 5, 6]
-        again.stored.store.close()
+        assert whole(again.applier.registry) == whole(again.store_thread.store.registry()) == expected[-1]
+        assert [one.version for one in again.store_thread.store.changes(0, 100)] == [1, 2, 3, 4, 5, 6]
+        again.store_thread.store.close()
     assert unacknowledged >= len(CALLS)  # stored but not answered yet: the repeated call finds its reply
 
 
@@ -148,7 +148,7 @@
                 if not remaining[0]:
                     os.kill(os.getpid(), signal.SIGKILL)
 
-            one = keeper(path, on_step)
+            one = executor(path, on_step)
             for one_call in CALLS:
                 if answer(one, one_call).status < 300:
                     os.write(writer, b"x")
@@ -205,26 +205,26 @@
 
 
 def test_a_full_disk_rejects_a_change_and_a_later_one_succeeds(tmp_path: Path) -> None:
-    one = keeper(tmp_path / "full.db")
+    one = executor(tmp_path / "full.db")
     assert answer(one, CALLS[0]).status == 201
-    db = one.stored.store.db
+    db = one.store_thread.store.db
     pages = db.execute("PRAGMA page_count").fetchone()[0]
     db.execute(f"PRAGMA max_page_count = {pages}")
     big = document("norte", "127.0.0.1:7002", tuple(f"10.1.{n // 250}.{n % 250}:80" for n in range(900)))
     before = whole(one.applier.registry)
     reply = answer(one, call("POST", "/v1/tenants", big))
-    assert reply.status == 507 and whole(one.applier.registry) == before == whole(one.stored.store.registry())
+    assert reply.status == 507 and whole(one.applier.registry) == before == whole(one.store_thread.store.registry())
     assert answer(one, call("GET", "/v1/tenants/sur", None)).status == 200
     db.execute("PRAGMA max_page_count = 100000")
     assert answer(one, call("POST", "/v1/tenants", big)).status == 201
 
 
 def test_a_read_only_disk_rejects_changes(tmp_path: Path) -> None:
-    one = keeper(tmp_path / "ro.db")
+    one = executor(tmp_path / "ro.db")
     assert answer(one, CALLS[0]).status == 201
-    one.stored.store.db.execute("PRAGMA query_only = ON")
+    one.store_thread.store.db.execute("PRAGMA query_only = ON")
     assert answer(one, CALLS[2]).status == 507 and answer(one, call("GET", "/v1/tenants/sur", None)).status == 200
-    one.stored.store.db.execute("PRAGMA query_only = OFF")
+    one.store_thread.store.db.execute("PRAGMA query_only = OFF")
     assert answer(one, CALLS[2]).status == 200
 
 
@@ -266,7 +266,7 @@
 
 
 def test_an_idempotency_key_is_bound_to_its_call(tmp_path: Path) -> None:
-    one = keeper(tmp_path / "x.db")
+    one = executor(tmp_path / "x.db")
     first = answer(one, CALLS[0])
     again = answer(one, CALLS[0])
     assert again.body == first.body and again.headers["idempotency-replayed"] == "true"
@@ -277,7 +277,7 @@
 
 
 def test_denied_calls_are_audited_and_equal_ones_share_a_line(tmp_path: Path) -> None:
-    one = keeper(tmp_path / "x.db")
+    one = executor(tmp_path / "x.db")
     for n in range(5000):
         wrong = Call(
             "GET", f"/v1/tenants/t{n % 3000}", {}, {"authorization": "Bearer tq1.-.main." + "A" * 43}, b"", "127.0.0.9"
@@ -285,20 +285,20 @@
         assert answer(one, wrong).status == 401
     assert len(one.notes) <= 1001
     one.reactor.advance(1.0)
-    rows = [record for _, record in one.stored.store.audit(0, 5000)]
+    rows = [record for _, record in one.store_thread.store.audit(0, 5000)]
     assert sum(record.count for record in rows) == 5000 and {record.status for record in rows} == {401}
     assert {record.who for record in rows} <= {"-.main", ""} and "AAAA" not in repr(rows)
 
 
 def test_changes_beyond_the_queue_are_told_to_retry(tmp_path: Path) -> None:
-    one = keeper(tmp_path / "x.db")
+    one = executor(tmp_path / "x.db")
     delayed: list[Deferred[Any]] = []
 
     def delay(what: Callable[..., Any], *arguments: Any) -> "Deferred[Any]":
         delayed.append(Deferred())
         return delayed[-1].addCallback(lambda _: what(*arguments))
 
-    one.stored.do = delay  # type: ignore[method-assign]
+    one.store_thread.run = delay  # type: ignore[method-assign]
     replies: list[Reply] = []
     for n in range(100):
         creation = call("POST", "/v1/tenants", document(f"t{n}", f"127.0.0.1:{7000 + n}", limits=UNLIMITED))
