--- a/ternquay/hosted/administration/api.py
+++ b/ternquay/hosted/administration/api.py
@@ -1,9 +1,10 @@
-"""The administration API without its sockets: what a call is answered with, or what it would change.
+"""The request handling of the administration API, without I/O.
 
-    outcome = api.handle(call, registry, now)    # -> Reply, Proposal, or Look
+    outcome = api.handle(call, registry, now)    # -> Reply, Proposal or Query
 
-Pure. A Proposal is carried out by whoever owns the store, in its turn: handle() is called again then, with the
-registry as it stands by that time. Errors are problem details (RFC 9457); versions go as entity tags (RFC 9110).
+A Proposal is executed by the owner of the store, one at a time. The owner calls handle() again immediately before it
+executes the change, with the registry of that moment. Errors are problem details (RFC 9457), versions are entity tags
+(RFC 9110).
 """
 
 import re
@@ -32,36 +33,42 @@
 )
 from ternquay.hosted.tenants.tenant import ApiKey, InvalidField, Scope, Server, State, Tenant
 
-SECOND = 1_000_000_000
-PAGE, PAGE_MOST, WAIT_MOST = 50, 200, 60
-SEGMENT = re.compile(r"[a-z0-9][a-z0-9.-]{0,63}")
-TAG = re.compile(r'(?:W/)?"([0-9]{1,15})"')
-RANKS = {Scope.READER: 0, Scope.ADMINISTRATOR: 1, Scope.OPERATOR: 2}
+SECOND = 1_000_000_000  # in nanoseconds
+DEFAULT_PAGE_SIZE = 50
+MAX_PAGE_SIZE = 200
+MAX_WAIT_SECONDS = 60
+PATH_SEGMENT = re.compile(r"[a-z0-9][a-z0-9.-]{0,63}")
+ENTITY_TAG = re.compile(r'(?:W/)?"([0-9]{1,15})"')
+SCOPE_RANKS = {Scope.READER: 0, Scope.ADMINISTRATOR: 1, Scope.OPERATOR: 2}
 
 
 @dataclass(slots=True, frozen=True)
 class Call:
+    """A request to the API."""
+
     method: str
-    path: str  # as it came, without the query
+    path: str  # as received, without the query
     query: Mapping[str, str] = field(default_factory=dict)
-    headers: Mapping[str, str] = field(default_factory=dict)  # names in small letters
+    headers: Mapping[str, str] = field(default_factory=dict)  # lowercase names
     body: bytes = b""
     peer: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class Reply:
+    """The response to a call. `body` is encoded as JSON."""
+
     status: int
     body: Any = None
     headers: Mapping[str, str] = field(default_factory=dict)
-    reason: str = ""  # for the audit log, of what was turned away
+    reason: str = ""  # of a rejected call, for the audit log
 
 
 @dataclass(slots=True, frozen=True)
 class Proposal:
-    """A change that the call asks for; `reply` is made of the registry after it."""
+    """The change that a call requests. `reply` makes the response from the registry after the change."""
 
-    who: Principal
+    principal: Principal
     change: Change
     kind: str
     tenant: str
@@ -71,27 +78,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Query:
-    """Something that the store or the process has to be asked for: changes, audit, process."""
+    """A request that the store, the process or the fleet answers."""
 
-    what: str
+    kind: str  # changes, audit, process, fleet, leave, join
     after: int = 0
-    most: int = PAGE
-    wait: int = 0  # how long for something new, in nanoseconds
-    tenant: str = ""
+    limit: int = DEFAULT_PAGE_SIZE
+    wait_ns: int = 0  # maximum wait for new changes
+    name: str = ""  # of the tenant; of the member for leave and join
 
 
 Outcome = Reply | Proposal | Query
 
 
 class CallRejected(Exception):
-    """The call is answered with a problem."""
+    """Ends the handling of a call with `reply`, a problem."""
 
     def __init__(self, reply: Reply) -> None:
         super().__init__(reply.reason)
         self.reply = reply
 
 
-TITLES = {
+PROBLEM_TITLES = {
     400: "Bad call",
     401: "Unauthorized",
     403: "Forbidden",
@@ -113,60 +120,73 @@
 }
 
 
-def problem(status: int, detail: str, at: str = "", headers: Mapping[str, str] | None = None) -> Reply:
-    """Problem details (RFC 9457), naming the field where there is one."""
-    body = {"type": f"urn:ternquay:problem:{status}", "title": TITLES[status], "status": status, "detail": detail}
-    if at:
-        body["field"] = at
+def problem(status: int, detail: str, field_name: str = "", headers: Mapping[str, str] | None = None) -> Reply:
+    """Returns problem details (RFC 9457), with the name of the faulty field if there is one."""
+    body = {
+        "type": f"urn:ternquay:problem:{status}",
+        "title": PROBLEM_TITLES[status],
+        "status": status,
+        "detail": detail,
+    }
+    if field_name:
+        body["field"] = field_name
     return Reply(status, body, {"content-type": "application/problem+json", **(headers or {})}, detail)
 
 
-def tag(version: int) -> dict[str, str]:
+def etag_header(version: int) -> dict[str, str]:
+    """Returns the header that carries the version as an entity tag."""
     return {"etag": f'"{version}"'}
 
 
-def found_route(method: str, path: str) -> tuple[Route, dict[str, str]]:
-    """The route of a path as it came: nothing is decoded, as no name needs it. Raises Turned."""
-    parts = path.split("/")[1:]
-    if not path.startswith("/") or not all(SEGMENT.fullmatch(part) for part in parts):
+def find_route(method: str, path: str) -> tuple[Route, dict[str, str]]:
+    """Returns the route and its path parameters. Raises CallRejected.
+
+    Percent-encoding is not decoded, because no valid name needs it.
+    """
+    segments = path.split("/")[1:]
+    if not path.startswith("/") or not all(PATH_SEGMENT.fullmatch(segment) for segment in segments):
         raise CallRejected(problem(404, "there is nothing of that name"))
     allowed = []
     for route in ROUTES:
-        wanted = route.path.split("/")[1:]
-        if len(wanted) != len(parts) or any(w != p for w, p in zip(wanted, parts, strict=True) if w[0] != "{"):
+        pattern = route.path.split("/")[1:]
+        if len(pattern) != len(segments) or any(p != s for p, s in zip(pattern, segments, strict=True) if p[0] != "{"):
             continue
         if route.method == method:
-            return route, {w[1:-1]: p for w, p in zip(wanted, parts, strict=True) if w[0] == "{"}
+            return route, {p[1:-1]: s for p, s in zip(pattern, segments, strict=True) if p[0] == "{"}
         allowed.append(route.method)
     if allowed:
         raise CallRejected(problem(405, f"it takes {', '.join(allowed)}", headers={"allow": ", ".join(allowed)}))
     raise CallRejected(problem(404, "there is nothing of that name"))
 
 
-def number_in(call: Call, name: str, usual: int, most: int) -> int:
+def integer_parameter(call: Call, name: str, default: int, maximum: int) -> int:
+    """Returns the query parameter, at most `maximum`. Raises CallRejected."""
     text = call.query.get(name, "")
     if not text:
-        return usual
+        return default
     if not text.isascii() or not text.isdigit() or len(text) > 15:
         raise CallRejected(problem(400, "a whole number is wanted", name))
-    return min(int(text), most)
+    return min(int(text), maximum)
 
 
-def meant(call: Call, entry: TenantEntry) -> None:
-    """If-Match: against changes made upon what has changed since. Raises Turned."""
-    told = call.headers.get("if-match", "")
-    if not told:
+def check_if_match(call: Call, entry: TenantEntry) -> None:
+    """Checks If-Match, so that no change overwrites one that its caller has not seen. Raises CallRejected."""
+    header = call.headers.get("if-match", "")
+    if not header:
         raise CallRejected(problem(428, "If-Match with the version that the change is meant for is wanted", "If-Match"))
-    if told.strip() == "*":
+    if header.strip() == "*":
         return
-    tags = [TAG.fullmatch(part.strip()) for part in told.split(",")]
-    if not all(tags):
+    entity_tags = [ENTITY_TAG.fullmatch(item.strip()) for item in header.split(",")]
+    if not all(entity_tags):
         raise CallRejected(problem(400, "an entity tag is wanted", "If-Match"))
-    if str(entry.version) not in {found[1] for found in tags if found}:
-        raise CallRejected(problem(412, f"it is at version {entry.version} by now", "If-Match", tag(entry.version)))
+    if str(entry.version) not in {match[1] for match in entity_tags if match}:
+        raise CallRejected(
+            problem(412, f"it is at version {entry.version} by now", "If-Match", etag_header(entry.version))
+        )
 
 
-def shown(entry: TenantEntry) -> dict[str, Any]:
+def entry_to_json(entry: TenantEntry) -> dict[str, Any]:
+    """Returns the tenant as the API shows it, without its keys."""
     return {
         "version": entry.version,
         "state": entry.tenant.state.value,
@@ -174,7 +194,8 @@
     }
 
 
-def shown_key(key: ApiKey) -> dict[str, Any]:
+def key_to_json(key: ApiKey) -> dict[str, Any]:
+    """Returns the key as the API shows it, without its digest."""
     return {
         "name": key.name,
         "scope": key.scope.value,
@@ -184,251 +205,308 @@
 
 
 class Api:
-    """`operators` are the keys that belong to no tenant; `make` makes tokens."""
+    """Handles calls. `operators` are the keys that belong to no tenant; `make_token` generates bearer tokens."""
 
-    def __init__(self, operators: tuple[ApiKey, ...], make: Callable[[str, str], str] = keys.generate_token) -> None:
-        self.operators, self.make = operators, make
+    def __init__(
+        self, operators: tuple[ApiKey, ...], make_token: Callable[[str, str], str] = keys.generate_token
+    ) -> None:
+        self.operators, self.make_token = operators, make_token
 
     def handle(self, call: Call, registry: Registry, now: int) -> Outcome:
-        """`now` is the wall clock's, in nanoseconds. Whatever the call is, this raises nothing."""
+        """Returns the outcome of a call. `now` is in wall-clock nanoseconds. No content of a call makes this raise."""
         try:
-            return self._handled(call, registry, now)
-        except CallRejected as turned:
-            return turned.reply
+            return self._dispatch(call, registry, now)
+        except CallRejected as rejection:
+            return rejection.reply
         except AccessDenied as denied:
             headers = {"www-authenticate": "Bearer"} if denied.status == 401 else None
             return problem(denied.status, denied.reason, headers=headers)
-        except InvalidField as fault:
-            return problem(422, fault.reason, fault.field)
+        except InvalidField as invalid:
+            return problem(422, invalid.reason, invalid.field)
         except NotFound:
             return problem(404, "there is nothing of that name")
         except VersionConflict as stale:
-            return problem(412, f"it is at version {stale.current} by now", "If-Match", tag(stale.current))
+            return problem(412, f"it is at version {stale.current} by now", "If-Match", etag_header(stale.current))
 
-    def identified(self, call: Call, registry: Registry, now: int) -> Principal:
-        kind, _, token = call.headers.get("authorization", "").partition(" ")
-        if kind.lower() != "bearer":
+    def authenticate(self, call: Call, registry: Registry, now: int) -> Principal:
+        """Returns the owner of the call's bearer token. Raises AccessDenied."""
+        scheme, _, token = call.headers.get("authorization", "").partition(" ")
+        if scheme.lower() != "bearer":
             raise AccessDenied("a bearer token is wanted", 401)
         return keys.authenticate(token.strip(), registry, self.operators, now)
 
-    def _handled(self, call: Call, registry: Registry, now: int) -> Outcome:
-        who = self.identified(call, registry, now)
-        route, names = found_route(call.method, call.path)
-        if RANKS[who.scope] < RANKS[route.scope]:
-            raise AccessDenied(f"a key of scope {who.scope.value} does not allow that", 403)
-        if who.tenant and names.get("tenant", who.tenant) != who.tenant:
-            # Whether there is such a tenant is not this one's to know.
+    def _dispatch(self, call: Call, registry: Registry, now: int) -> Outcome:
+        principal = self.authenticate(call, registry, now)
+        route, parameters = find_route(call.method, call.path)
+        if SCOPE_RANKS[principal.scope] < SCOPE_RANKS[route.scope]:
+            raise AccessDenied(f"a key of scope {principal.scope.value} does not allow that", 403)
+        if principal.tenant and parameters.get("tenant", principal.tenant) != principal.tenant:
+            # The answer doesn't depend on whether the tenant exists: a tenant's key must not find that out.
             raise AccessDenied("the key is another tenant's", 403)
         if route.changes and route.takes is not None:
-            kind = call.headers.get("content-type", "application/json").partition(";")[0].strip().lower()
-            if kind != "application/json":
+            media_type = call.headers.get("content-type", "application/json").partition(";")[0].strip().lower()
+            if media_type != "application/json":
                 raise CallRejected(problem(415, "application/json is wanted", "Content-Type"))
-        told = d.decode_document(route.takes, call.body) if route.takes is not None else None
-        do: Callable[..., Outcome] = getattr(self, f"_{route.name}")
-        if "tenant" not in names:
-            return do(call, registry, who, now, told)
-        entry = registry.tenants.get(names["tenant"])
+        document = d.decode_document(route.takes, call.body) if route.takes is not None else None
+        handler: Callable[..., Outcome] = getattr(self, f"_{route.name}")
+        if "tenant" not in parameters:
+            return handler(call, registry, principal, now, document)
+        entry = registry.tenants.get(parameters["tenant"])
         if entry is None:
-            raise NotFound(names["tenant"])
+            raise NotFound(parameters["tenant"])
         if route.changes and call.method != "POST":
-            meant(call, entry)
-        return do(call, registry, who, now, told, entry, *list(names.values())[1:])
+            check_if_match(call, entry)
+        return handler(call, registry, principal, now, document, entry, *list(parameters.values())[1:])
 
-    # ---- reading ----
+    # ---- reads ----
 
-    def _list_tenants(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
-        most = max(1, number_in(call, "limit", PAGE, PAGE_MOST))
+    def _list_tenants(self, call: Call, registry: Registry, principal: Principal, now: int, document: None) -> Outcome:
+        limit = max(1, integer_parameter(call, "limit", DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE))
         try:
             after = b64decode(call.query.get("cursor", "").encode(), altchars=b"-_", validate=True).decode()
         except ValueError:
             raise CallRejected(problem(400, "is none that was given out", "cursor")) from None
-        names = [who.tenant] if who.tenant else sorted(registry.tenants)
+        names = [principal.tenant] if principal.tenant else sorted(registry.tenants)
         names = [name for name in names if name > after]
-        page = names[:most]
+        page = names[:limit]
         body: dict[str, Any] = {
-            "tenants": [shown(registry.tenants[name]) for name in page],
+            "tenants": [entry_to_json(registry.tenants[name]) for name in page],
             "version": registry.version,
         }
-        if len(names) > most:
+        if len(names) > limit:
             body["next"] = urlsafe_b64encode(page[-1].encode()).decode()
         return Reply(200, body)
 
     def _get_tenant(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry
+        self, call: Call, registry: Registry, principal: Principal, now: int, document: None, entry: TenantEntry
     ) -> Outcome:
-        return Reply(200, shown(entry), tag(entry.version))
+        return Reply(200, entry_to_json(entry), etag_header(entry.version))
 
-    def _part(self, entry: TenantEntry, name: str) -> Reply:
-        document = d.to_json_value(d.tenant_to_document(entry.tenant))
-        body = {name: document[name]} if name in ("servers", "profiles") else document[name]
-        return Reply(200, body, tag(entry.version))
+    def _part_reply(self, entry: TenantEntry, name: str) -> Reply:
+        value = d.to_json_value(d.tenant_to_document(entry.tenant))
+        body = {name: value[name]} if name in ("servers", "profiles") else value[name]
+        return Reply(200, body, etag_header(entry.version))
 
     def _get_servers(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry
+        self, call: Call, registry: Registry, principal: Principal, now: int, document: None, entry: TenantEntry
     ) -> Outcome:
-        return self._part(entry, "servers")
+        return self._part_reply(entry, "servers")
 
     def _get_limits(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry
+        self, call: Call, registry: Registry, principal: Principal, now: int, document: None, entry: TenantEntry
     ) -> Outcome:
-        return self._part(entry, "limits")
+        return self._part_reply(entry, "limits")
 
     def _get_profiles(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry
+        self, call: Call, registry: Registry, principal: Principal, now: int, document: None, entry: TenantEntry
     ) -> Outcome:
-        return self._part(entry, "profiles")
+        return self._part_reply(entry, "profiles")
 
     def _get_state(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry
+        self, call: Call, registry: Registry, principal: Principal, now: int, document: None, entry: TenantEntry
     ) -> Outcome:
-        return Reply(200, {"state": entry.tenant.state.value}, tag(entry.version))
+        return Reply(200, {"state": entry.tenant.state.value}, etag_header(entry.version))
 
     def _list_keys(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry
+        self, call: Call, registry: Registry, principal: Principal, now: int, document: None, entry: TenantEntry
     ) -> Outcome:
-        return Reply(200, {"keys": [shown_key(key) for key in entry.tenant.keys]}, tag(entry.version))
+        return Reply(200, {"keys": [key_to_json(key) for key in entry.tenant.keys]}, etag_header(entry.version))
 
-    def _list_changes(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
+    def _list_changes(self, call: Call, registry: Registry, principal: Principal, now: int, document: None) -> Outcome:
         return Query(
             "changes",
-            number_in(call, "after", 0, 10**15),
-            max(1, number_in(call, "limit", PAGE, PAGE_MOST)),
-            number_in(call, "wait_s", 0, WAIT_MOST) * SECOND,
-            who.tenant,
+            integer_parameter(call, "after", 0, 10**15),
+            max(1, integer_parameter(call, "limit", DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE)),
+            integer_parameter(call, "wait_s", 0, MAX_WAIT_SECONDS) * SECOND,
+            principal.tenant,
         )
 
-    def _list_audit(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
-        return Query("audit", number_in(call, "after", 0, 10**15), max(1, number_in(call, "limit", PAGE, PAGE_MOST)))
+    def _list_audit(self, call: Call, registry: Registry, principal: Principal, now: int, document: None) -> Outcome:
+        return Query(
+            "audit",
+            integer_parameter(call, "after", 0, 10**15),
+            max(1, integer_parameter(call, "limit", DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE)),
+        )
 
-    def _get_process(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
+    def _get_process(self, call: Call, registry: Registry, principal: Principal, now: int, document: None) -> Outcome:
         return Query("process")
 
-    def _get_fleet(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
+    def _get_fleet(self, call: Call, registry: Registry, principal: Principal, now: int, document: None) -> Outcome:
         return Query("fleet")
 
-    def _leave_fleet(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
-        return Query("leave", tenant=call.path.rpartition("/")[2])
+    def _leave_fleet(self, call: Call, registry: Registry, principal: Principal, now: int, document: None) -> Outcome:
+        return Query("leave", name=call.path.rpartition("/")[2])
 
-    def _join_fleet(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
-        return Query("join", tenant=call.path.rpartition("/")[2])
+    def _join_fleet(self, call: Call, registry: Registry, principal: Principal, now: int, document: None) -> Outcome:
+        return Query("join", name=call.path.rpartition("/")[2])
 
-    def _get_openapi(self, call: Call, registry: Registry, who: Principal, now: int, told: None) -> Outcome:
+    def _get_openapi(self, call: Call, registry: Registry, principal: Principal, now: int, document: None) -> Outcome:
         return Reply(200, description())
 
-    # ---- changing ----
+    # ---- changes ----
 
     def _proposal(
         self,
-        who: Principal,
+        principal: Principal,
         change: Change,
         kind: str,
         tenant: str,
         detail: Any,
         status: int = 200,
-        more: Mapping[str, Any] | None = None,
+        extra_body: Mapping[str, Any] | None = None,
     ) -> Proposal:
         def reply(registry: Registry) -> Reply:
             entry = registry.tenants[tenant]
-            headers = tag(entry.version)
+            headers = etag_header(entry.version)
             if status == 201:
                 headers["location"] = f"/v1/tenants/{tenant}"
-            return Reply(status, {**shown(entry), **(more or {})}, headers)
+            return Reply(status, {**entry_to_json(entry), **(extra_body or {})}, headers)
 
-        return Proposal(who, change, kind, tenant, detail, reply)
+        return Proposal(principal, change, kind, tenant, detail, reply)
 
-    def _make_tenant(self, call: Call, registry: Registry, who: Principal, now: int, told: d.TenantDocument) -> Outcome:
-        if told.name in registry.tenants:
-            raise CallRejected(problem(409, f"{told.name} is there already", "name"))
+    def _make_tenant(
+        self, call: Call, registry: Registry, principal: Principal, now: int, document: d.TenantDocument
+    ) -> Outcome:
+        if document.name in registry.tenants:
+            raise CallRejected(problem(409, f"{document.name} is there already", "name"))
         return self._proposal(
-            who, CreateTenant(d.tenant_from_document(told)), "make", told.name, d.to_json_value(told), 201
+            principal,
+            CreateTenant(d.tenant_from_document(document)),
+            "make",
+            document.name,
+            d.to_json_value(document),
+            201,
         )
 
-    def _replaced(
-        self, who: Principal, entry: TenantEntry, tenant: Tenant, kind: str, detail: Any, now: int
+    def _replacement(
+        self, principal: Principal, entry: TenantEntry, tenant: Tenant, kind: str, detail: Any, now: int
     ) -> Proposal:
         old = entry.tenant
-        tenant = replace(tenant, keys=old.keys, state=old.state, servers=started(old.servers, tenant.servers, now))
-        return self._proposal(who, ReplaceTenant(tenant, entry.version), kind, old.name, detail)
+        tenant = replace(
+            tenant, keys=old.keys, state=old.state, servers=with_start_times(old.servers, tenant.servers, now)
+        )
+        return self._proposal(principal, ReplaceTenant(tenant, entry.version), kind, old.name, detail)
 
     def _replace_tenant(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: d.TenantDocument, entry: TenantEntry
+        self,
+        call: Call,
+        registry: Registry,
+        principal: Principal,
+        now: int,
+        document: d.TenantDocument,
+        entry: TenantEntry,
     ) -> Outcome:
-        if told.name != entry.tenant.name:
+        if document.name != entry.tenant.name:
             raise InvalidField("name", "a tenant keeps its name")
-        return self._replaced(who, entry, d.tenant_from_document(told), "replace", d.to_json_value(told), now)
+        return self._replacement(
+            principal, entry, d.tenant_from_document(document), "replace", d.to_json_value(document), now
+        )
 
     def _end_tenant(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry
+        self, call: Call, registry: Registry, principal: Principal, now: int, document: None, entry: TenantEntry
     ) -> Outcome:
         name = entry.tenant.name
-        return self._proposal(who, SetState(name, State.ENDING, entry.version), "end", name, {}, 202)
+        return self._proposal(principal, SetState(name, State.ENDING, entry.version), "end", name, {}, 202)
 
-    def _servers(
-        self, who: Principal, entry: TenantEntry, servers: tuple[Server, ...], now: int, detail: Any
+    def _servers_proposal(
+        self, principal: Principal, entry: TenantEntry, servers: tuple[Server, ...], now: int, detail: Any
     ) -> Proposal:
-        servers = started(entry.tenant.servers, servers, now)
+        servers = with_start_times(entry.tenant.servers, servers, now)
         return self._proposal(
-            who, SetServers(entry.tenant.name, servers, entry.version), "servers", entry.tenant.name, detail
+            principal, SetServers(entry.tenant.name, servers, entry.version), "servers", entry.tenant.name, detail
         )
 
     def _set_servers(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: d.ServersDocument, entry: TenantEntry
+        self,
+        call: Call,
+        registry: Registry,
+        principal: Principal,
+        now: int,
+        document: d.ServersDocument,
+        entry: TenantEntry,
     ) -> Outcome:
-        return self._servers(who, entry, d.servers_from_documents(told.servers), now, d.to_json_value(told))
+        return self._servers_proposal(
+            principal, entry, d.servers_from_documents(document.servers), now, d.to_json_value(document)
+        )
 
     def _set_server(
         self,
         call: Call,
         registry: Registry,
-        who: Principal,
+        principal: Principal,
         now: int,
-        told: d.ServerDocument,
+        document: d.ServerDocument,
         entry: TenantEntry,
         name: str,
     ) -> Outcome:
-        if told.name != name:
+        if document.name != name:
             raise InvalidField("name", "is another than the path's")
-        one = d.server_from_document(told, "server")
-        there = entry.tenant.servers
-        if any(server.name == name for server in there):
-            return self._servers(
-                who, entry, tuple(one if s.name == name else s for s in there), now, d.to_json_value(told)
+        new = d.server_from_document(document, "server")
+        servers = entry.tenant.servers
+        if any(server.name == name for server in servers):
+            return self._servers_proposal(
+                principal, entry, tuple(new if s.name == name else s for s in servers), now, d.to_json_value(document)
             )
-        return self._servers(who, entry, (*there, one), now, d.to_json_value(told))
+        return self._servers_proposal(principal, entry, (*servers, new), now, d.to_json_value(document))
 
     def _remove_server(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry, name: str
+        self,
+        call: Call,
+        registry: Registry,
+        principal: Principal,
+        now: int,
+        document: None,
+        entry: TenantEntry,
+        name: str,
     ) -> Outcome:
-        left = tuple(server for server in entry.tenant.servers if server.name != name)
-        if len(left) == len(entry.tenant.servers):
+        remaining = tuple(server for server in entry.tenant.servers if server.name != name)
+        if len(remaining) == len(entry.tenant.servers):
             raise NotFound(name)
-        return self._servers(who, entry, left, now, {"removed": name})
+        return self._servers_proposal(principal, entry, remaining, now, {"removed": name})
 
     def _set_limits(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: d.LimitsDocument, entry: TenantEntry
+        self,
+        call: Call,
+        registry: Registry,
+        principal: Principal,
+        now: int,
+        document: d.LimitsDocument,
+        entry: TenantEntry,
     ) -> Outcome:
-        change = SetLimits(entry.tenant.name, d.limits_from_document(told), entry.version)
-        return self._proposal(who, change, "limits", entry.tenant.name, d.to_json_value(told))
+        change = SetLimits(entry.tenant.name, d.limits_from_document(document), entry.version)
+        return self._proposal(principal, change, "limits", entry.tenant.name, d.to_json_value(document))
 
     def _set_profiles(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: d.ProfilesDocument, entry: TenantEntry
+        self,
+        call: Call,
+        registry: Registry,
+        principal: Principal,
+        now: int,
+        document: d.ProfilesDocument,
+        entry: TenantEntry,
     ) -> Outcome:
-        tenant = replace(entry.tenant, profiles=tuple(map(d.profile_from_document, told.profiles)))
-        return self._replaced(who, entry, tenant, "profiles", d.to_json_value(told), now)
+        tenant = replace(entry.tenant, profiles=tuple(map(d.profile_from_document, document.profiles)))
+        return self._replacement(principal, entry, tenant, "profiles", d.to_json_value(document), now)
 
     def _set_state(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: d.StateDocument, entry: TenantEntry
+        self,
+        call: Call,
+        registry: Registry,
+        principal: Principal,
+        now: int,
+        document: d.StateDocument,
+        entry: TenantEntry,
     ) -> Outcome:
-        change = SetState(entry.tenant.name, d.parse_state(told.state), entry.version)
-        return self._proposal(who, change, "state", entry.tenant.name, d.to_json_value(told))
+        change = SetState(entry.tenant.name, d.parse_state(document.state), entry.version)
+        return self._proposal(principal, change, "state", entry.tenant.name, d.to_json_value(document))
 
     # ---- keys ----
 
-    def _with_key(
+    def _new_key_proposal(
         self,
-        who: Principal,
+        principal: Principal,
         entry: TenantEntry,
-        left: tuple[ApiKey, ...],
+        remaining: tuple[ApiKey, ...],
         name: str,
         scope: Scope,
         now: int,
@@ -436,55 +514,75 @@
         kind: str,
     ) -> Proposal:
         tenant = entry.tenant.name
-        token = self.make(tenant, name)
+        token = self.make_token(tenant, name)
         key = ApiKey(name, keys.digest_of(token), scope, now, until)
         return self._proposal(
-            who,
-            SetKeys(tenant, (*left, key), entry.version),
+            principal,
+            SetKeys(tenant, (*remaining, key), entry.version),
             kind,
             tenant,
             {"key": name},
             201,
-            {"key": shown_key(key), "token": token},
+            {"key": key_to_json(key), "token": token},
         )
 
     def _make_key(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: d.KeyDocument, entry: TenantEntry
+        self,
+        call: Call,
+        registry: Registry,
+        principal: Principal,
+        now: int,
+        document: d.KeyDocument,
+        entry: TenantEntry,
     ) -> Outcome:
-        until = now + told.expires_in_s * SECOND if told.expires_in_s else 0
-        return self._with_key(who, entry, entry.tenant.keys, told.name, Scope(told.scope), now, until, "key-made")
+        until = now + document.expires_in_s * SECOND if document.expires_in_s else 0
+        return self._new_key_proposal(
+            principal, entry, entry.tenant.keys, document.name, Scope(document.scope), now, until, "key-made"
+        )
 
     def _rotate_key(
         self,
         call: Call,
         registry: Registry,
-        who: Principal,
+        principal: Principal,
         now: int,
-        told: d.RotationDocument,
+        document: d.RotationDocument,
         entry: TenantEntry,
         name: str,
     ) -> Outcome:
         old = next((key for key in entry.tenant.keys if key.name == name), None)
         if old is None:
             raise NotFound(name)
-        until = now + max(1, told.overlap_s * SECOND)
-        ends = until if not old.until else min(until, old.until)
-        left = tuple(replace(key, until=ends) if key is old else key for key in entry.tenant.keys)
-        left = tuple(key for key in left if not key.until or key.until > now)  # what has expired makes room
-        return self._with_key(who, entry, left, told.name, old.scope, now, 0, "key-rotated")
+        overlap_end = now + max(1, document.overlap_s * SECOND)
+        old_until = overlap_end if not old.until else min(overlap_end, old.until)
+        remaining = tuple(replace(key, until=old_until) if key is old else key for key in entry.tenant.keys)
+        # Expired keys are dropped, so that they do not count against the number of keys.
+        remaining = tuple(key for key in remaining if not key.until or key.until > now)
+        return self._new_key_proposal(principal, entry, remaining, document.name, old.scope, now, 0, "key-rotated")
 
     def _remove_key(
-        self, call: Call, registry: Registry, who: Principal, now: int, told: None, entry: TenantEntry, name: str
+        self,
+        call: Call,
+        registry: Registry,
+        principal: Principal,
+        now: int,
+        document: None,
+        entry: TenantEntry,
+        name: str,
     ) -> Outcome:
-        left = tuple(key for key in entry.tenant.keys if key.name != name)
-        if len(left) == len(entry.tenant.keys):
+        remaining = tuple(key for key in entry.tenant.keys if key.name != name)
+        if len(remaining) == len(entry.tenant.keys):
             raise NotFound(name)
-        change = SetKeys(entry.tenant.name, left, entry.version)
-        return self._proposal(who, change, "key-removed", entry.tenant.name, {"key": name})
+        change = SetKeys(entry.tenant.name, remaining, entry.version)
+        return self._proposal(principal, change, "key-removed", entry.tenant.name, {"key": name})
+
 
+def with_start_times(old: tuple[Server, ...], new: tuple[Server, ...], now: int) -> tuple[Server, ...]:
+    """Returns the new cache hosts with their start times in wall-clock nanoseconds.
 
-def started(old: tuple[Server, ...], new: tuple[Server, ...], now: int) -> tuple[Server, ...]:
-    """A cache host that a change adds is cold from then on, unless it is said since when it holds copies."""
+    A cache host without a start time keeps that of the same endpoint in `old`. If there is none, the cache host starts
+    `now` and so counts as cold.
+    """
     known = {server.endpoint: server.started for server in old}
     return tuple(
         server if server.started else replace(server, started=known.get(server.endpoint, now)) for server in new
--- a/ternquay/hosted/administration/changes.py
+++ b/ternquay/hosted/administration/changes.py
@@ -18,7 +18,7 @@
 from twisted.python.threadpool import ThreadPool
 
 from ternquay.consensus.errors import ChangeAborted, OutcomeUnknown, RetryLater
-from ternquay.hosted.administration.api import Api, Call, Proposal, Query, Reply, problem, tag
+from ternquay.hosted.administration.api import Api, Call, Proposal, Query, Reply, etag_header, problem
 from ternquay.hosted.store import AuditRecord, ChangeRecord, Commit, Store, StoredReply, StoreError, StoreOutcomeUnknown
 from ternquay.hosted.tenants.registry import Registry, RemoveTenant
 from ternquay.hosted.tenants.tenant import InvalidField
@@ -88,7 +88,7 @@
         """Answers a call; denied ones go to the audit log."""
         outcome = self.api.handle(call, self.registry, self.clock())
         if isinstance(outcome, Query):
-            if outcome.what in ("leave", "join") and self.fleet is not None and not self.fleet.is_leader():
+            if outcome.kind in ("leave", "join") and self.fleet is not None and not self.fleet.is_leader():
                 return self._passed_on(call)
             return self._guarded(self._looked, outcome)
         if isinstance(outcome, Reply):
@@ -196,7 +196,7 @@
             return outcome
         if self.registry is not there:
             raise RetryLater("another change came first")
-        who, before = str(outcome.who), self.registry
+        who, before = str(outcome.principal), self.registry
         after = before.with_change(outcome.change)
         reply = outcome.reply(after)
         answered = None
@@ -258,7 +258,7 @@
         """The answer that the call had before, if it had one."""
         if len(key) > KEY_MOST or not key.isascii() or not key.isprintable():
             return problem(400, f"up to {KEY_MOST} printable characters are wanted", "Idempotency-Key")
-        who = str(self.api.identified(call, self.registry, self.clock()))
+        who = str(self.api.authenticate(call, self.registry, self.clock()))
         found: StoredReply | None = self.fleet.pending_reply(who, _digest(key)) if self.fleet is not None else None
         if found is None:
             found = yield self.store_thread.run(self.store_thread.store.find_reply, who, _digest(key))
@@ -266,29 +266,29 @@
             return None
         if found.call_digest != _asked(call):
             return problem(422, "was used for another call", "Idempotency-Key")
-        headers = {**tag(found.version), "idempotency-replayed": "true"}
+        headers = {**etag_header(found.version), "idempotency-replayed": "true"}
         return Reply(found.status, orjson.loads(found.body), headers)
 
     # ---- logs ----
 
     @inlineCallbacks
-    def _looked(self, look: Query) -> Any:
-        if look.what in ("fleet", "leave", "join"):
+    def _looked(self, query: Query) -> Any:
+        if query.kind in ("fleet", "leave", "join"):
             if self.fleet is None:
                 return problem(404, "this process is a member of no fleet")
             return (
                 Reply(200, self.fleet.status())
-                if look.what == "fleet"
+                if query.kind == "fleet"
                 else (
-                    self.fleet.remove_member(look.tenant)
-                    if look.what == "leave"
-                    else self.fleet.readmit_member(look.tenant)
+                    self.fleet.remove_member(query.name)
+                    if query.kind == "leave"
+                    else self.fleet.readmit_member(query.name)
                 )
             )
-        if look.what == "process":
+        if query.kind == "process":
             return Reply(200, self.applier.process())
-        if look.what == "audit":
-            rows = yield self.store_thread.run(self.store_thread.store.audit, look.after, look.most)
+        if query.kind == "audit":
+            rows = yield self.store_thread.run(self.store_thread.store.audit, query.after, query.limit)
             lines = [
                 {
                     "id": id,
@@ -303,12 +303,12 @@
                 for id, one in rows
             ]
             return Reply(200, {"audit": lines})
-        until = self.clock() + look.wait
+        until = self.clock() + query.wait_ns
         while True:
             if self.fleet is not None:
                 # Else the version below could be told without the lines up to it, and a watcher would pass them over.
                 yield self.fleet.when_flushed()
-            changes = yield self.store_thread.run(self.store_thread.store.changes, look.after, look.most, look.tenant)
+            changes = yield self.store_thread.run(self.store_thread.store.changes, query.after, query.limit, query.name)
             left = until - self.clock()
             if changes or left <= 0 or len(self.watches) >= WATCHES_MOST or self.ended:
                 break
