--- a/ternquay/hosted/administration/changes.py
+++ b/ternquay/hosted/administration/changes.py
@@ -1,9 +1,9 @@
-"""Carries out the API's calls: one change at a time, stored, applied, then answered.
+"""Executes the API's calls. Changes are executed one at a time: stored, applied, then answered.
 
     executor.call(call)      # -> a Deferred of the Reply; it never fails
 
-What is acknowledged is on disk. While the disk is at work the loop goes on; changes wait in their order, a bounded
-number of them.
+An acknowledged change is on disk. The event loop does not block on disk writes; meanwhile a bounded number of changes
+waits in a queue, in order of arrival.
 """
 
 from collections import deque
@@ -23,21 +23,23 @@
 from ternquay.hosted.tenants.registry import Registry, RemoveTenant
 from ternquay.hosted.tenants.tenant import InvalidField
 
-SECOND = 1_000_000_000
-WAITING_MOST, WATCHES_MOST, NOTES_MOST = 64, 64, 1000
-NOTE_EVERY = 0.25
-KEY_MOST = 255
-ENDS = problem(503, "the service ends", headers={"retry-after": "1"})
-REPEATED = (404, 409, 412, 422)
-SERVICE = "service"  # who makes the changes that nobody asked for
+SECOND = 1_000_000_000  # in nanoseconds
+MAX_QUEUED_CHANGES = 64
+MAX_WATCHERS = 64  # calls that wait for new changes
+MAX_PENDING_DENIALS = 1000  # distinct audit records that are not written yet
+AUDIT_FLUSH_SECONDS = 0.25  # denied calls of this period are written at once
+MAX_IDEMPOTENCY_KEY_LENGTH = 255
+SHUTTING_DOWN = problem(503, "the service ends", headers={"retry-after": "1"})
+STATE_DEPENDENT_STATUSES = (404, 409, 412, 422)  # errors that the state of the registry may cause
+SERVICE_PRINCIPAL = "service"  # in the change log, for changes that no call requested
 
 
-class Unapplied(Exception):
-    """A change is stored, and a fault of the program keeps it from being in force."""
+class NotApplied(Exception):
+    """A change is stored, but applying it raised an exception."""
 
 
 class Applier(Protocol):
-    """Whoever runs the tenants."""
+    """Runs the tenants and puts changes into force."""
 
     registry: Registry
 
@@ -49,168 +51,173 @@
 
 
 class StoreThread:
-    """The store in its own thread, as each sync of the disk would stop the loop."""
+    """Runs the store's operations in a thread of their own, because each disk sync would block the event loop."""
 
     def __init__(self, reactor: Any, store: Store) -> None:
         self.reactor, self.store = reactor, store
-        self.threads = ThreadPool(1, 1, "store")
-        self.threads.start()
+        self.pool = ThreadPool(1, 1, "store")
+        self.pool.start()
 
-    def run(self, what: Callable[..., Any], *terms: Any) -> "Deferred[Any]":
-        return deferToThreadPool(self.reactor, self.threads, what, *terms)
+    def run(self, operation: Callable[..., Any], *arguments: Any) -> "Deferred[Any]":
+        """Runs the operation in the thread and fires with its result."""
+        return deferToThreadPool(self.reactor, self.pool, operation, *arguments)
 
     def end(self) -> None:
-        """Waits for what is being written."""
-        self.threads.stop()
+        """Waits for pending writes and closes the store."""
+        self.pool.stop()
         self.store.close()
 
 
 class ChangeExecutor:
+    """Executes calls and owns the queue of changes. `clock` returns wall-clock nanoseconds."""
+
     def __init__(
         self, reactor: Any, api: Api, applier: Applier, store_thread: StoreThread, clock: Callable[[], int]
     ) -> None:
         self.reactor, self.api, self.applier, self.store_thread, self.clock = reactor, api, applier, store_thread, clock
-        self.waiting: deque[tuple[Call | RemoveTenant, Deferred[Reply]]] = deque()
-        self.busy = False
-        self.watches: list[Deferred[None]] = []
-        self.notes: dict[tuple[str, str, str, int, str], AuditRecord] = {}
-        self.noting = self.ended = False
-        self.unsure = False  # the store may hold one more change than is in force
+        self.queue: deque[tuple[Call | RemoveTenant, Deferred[Reply]]] = deque()
+        self.executing = False
+        self.watchers: list[Deferred[None]] = []
+        self.pending_denials: dict[tuple[str, str, str, int, str], AuditRecord] = {}
+        self.flush_scheduled = self.shutting_down = False
+        self.store_may_be_ahead = False  # if so, it holds a change that is not in force
         self.fleet: Any = None
 
     def join(self, fleet: Any) -> None:
-        """Changes are the fleet's from now on: whoever leads it carries them out, one after the other."""
-        self.fleet, fleet.execute_call, fleet.on_change = fleet, self.call, self._news
+        """Makes this process a member of the fleet, whose leader executes all changes."""
+        self.fleet, fleet.execute_call, fleet.on_change = fleet, self.call, self._notify_watchers
 
     # ---- calls ----
 
     def call(self, call: Call) -> "Deferred[Reply]":
-        """Answers a call; denied ones go to the audit log."""
+        """Fires with the reply to the call. Denied calls are recorded in the audit log."""
         outcome = self.api.handle(call, self.registry, self.clock())
         if isinstance(outcome, Query):
             if outcome.kind in ("leave", "join") and self.fleet is not None and not self.fleet.is_leader():
-                return self._passed_on(call)
-            return self._guarded(self._looked, outcome)
+                return self._forward(call)
+            return self._with_error_replies(self._execute_query, outcome)
         if isinstance(outcome, Reply):
             if outcome.status in (401, 403):
-                self.note(call, outcome)
+                self.audit_denial(call, outcome)
             if (
                 self.fleet is not None
-                and outcome.status in REPEATED
+                and outcome.status in STATE_DEPENDENT_STATUSES
                 and call.method != "GET"
                 and not self.fleet.is_leader()
             ):
-                return self._passed_on(call)  # this member may be behind
-            # A repeated call finds things as it left them, and is to be answered as it was then.
-            if outcome.status not in REPEATED or "idempotency-key" not in call.headers:
+                return self._forward(call)  # this member's registry may be out of date
+            # A repeated call meets the state that it caused itself the first time, and gets the reply of that time.
+            if outcome.status not in STATE_DEPENDENT_STATUSES or "idempotency-key" not in call.headers:
                 return succeed(outcome)
         if self.fleet is not None and not self.fleet.is_leader():
-            return self._passed_on(call)
-        if len(self.waiting) >= WAITING_MOST:
+            return self._forward(call)
+        if len(self.queue) >= MAX_QUEUED_CHANGES:
             return succeed(problem(503, "too many changes wait", headers={"retry-after": "1"}))
-        return self._queued(call)
+        return self._enqueue(call)
 
     @property
     def registry(self) -> Registry:
-        """What is in force; a member of a fleet may be without a part of it, and takes nothing then."""
+        """The registry in force. A fleet member may not have applied all of it yet; it takes no transactions then."""
         found: Registry = self.fleet.agreed_registry if self.fleet is not None else self.applier.registry
         return found
 
-    def _passed_on(self, call: Call) -> "Deferred[Reply]":
+    def _forward(self, call: Call) -> "Deferred[Reply]":
         reply: Deferred[Reply] = self.fleet.forward_to_leader(call)
         return reply
 
     def remove(self, name: str) -> "Deferred[Reply]":
-        """A tenant that was ending has nothing open any more; in a fleet whoever leads sees to it."""
+        """Removes an ending tenant that has no open transactions any more. In a fleet the leader does this."""
         if self.fleet is not None and not self.fleet.is_leader():
             return succeed(problem(503, "another member leads"))
-        return self._queued(RemoveTenant(name))
+        return self._enqueue(RemoveTenant(name))
 
-    def _queued(self, what: Call | RemoveTenant) -> "Deferred[Reply]":
-        if self.ended:
-            return succeed(ENDS)
+    def _enqueue(self, operation: Call | RemoveTenant) -> "Deferred[Reply]":
+        if self.shutting_down:
+            return succeed(SHUTTING_DOWN)
         done: Deferred[Reply] = Deferred()
-        self.waiting.append((what, done))
-        self._next()
+        self.queue.append((operation, done))
+        self._execute_next()
         return done
 
-    def _next(self) -> None:
-        if self.busy or not self.waiting or self.ended:
+    def _execute_next(self) -> None:
+        if self.executing or not self.queue or self.shutting_down:
             return
-        self.busy = True
-        what, done = self.waiting.popleft()
+        self.executing = True
+        operation, done = self.queue.popleft()
 
-        def over(reply: Reply) -> None:
-            self.busy = False
+        def finished(reply: Reply) -> None:
+            self.executing = False
             done.callback(reply)
-            self._next()
+            self._execute_next()
 
-        carry = self._removed if isinstance(what, RemoveTenant) else self._carried
-        self._guarded(carry, what).addCallback(over)
+        execute = self._remove_tenant if isinstance(operation, RemoveTenant) else self._execute_call
+        self._with_error_replies(execute, operation).addCallback(finished)
 
-    def _guarded(self, what: Callable[..., Any], *terms: Any) -> "Deferred[Reply]":
-        """Whatever goes wrong is one call's fault and answered."""
+    def _with_error_replies(self, operation: Callable[..., Any], *arguments: Any) -> "Deferred[Reply]":
+        """Runs the operation and turns every failure into a reply, so that it affects one call only."""
 
-        def fault(failure: Any) -> Reply:
+        def error(failure: Any) -> Reply:
             if failure.check(StoreOutcomeUnknown):
-                self.unsure = True
-                logger.bind(cause=str(failure.value)).error("whether a change was stored can't be told")
+                self.store_may_be_ahead = True
+                logger.bind(cause=str(failure.value)).error("unknown whether the change was stored")
                 return problem(507, "whether the change was stored can't be told; call again, with the key it had")
-            if failure.check(Unapplied):
+            if failure.check(NotApplied):
                 return problem(500, "the change is stored, and will be in force after the next change or start")
             if failure.check(StoreError):
-                logger.bind(cause=str(failure.value)).error("the store takes no changes")
+                logger.bind(cause=str(failure.value)).error("store operation failed")
                 return problem(507, "the change could not be stored, and was not made")
             if failure.check(RetryLater):
                 return problem(503, failure.value.reason, headers={"retry-after": "1"})
             if failure.check(OutcomeUnknown):
                 return problem(504, "whether the change was made isn't known yet; ask again, with the key it had")
             if failure.check(ChangeAborted):
-                told = failure.value
-                return problem(422, f"{told.member}: {told.reason}; the change is nowhere", told.field)
+                abort = failure.value
+                return problem(422, f"{abort.member}: {abort.reason}; the change is nowhere", abort.field)
             if failure.check(InvalidField):
                 return problem(422, failure.value.reason, failure.value.field)
-            logger.error("a call failed: {}", failure.getTraceback())
+            logger.error("unexpected error while executing a call: {}", failure.getTraceback())
             return problem(500, "a fault of the program; it is in its log")
 
-        return maybeDeferred(what, *terms).addErrback(fault)
+        return maybeDeferred(operation, *arguments).addErrback(error)
 
     # ---- changes ----
 
     @inlineCallbacks
-    def _carried(self, call: Call) -> Any:
+    def _execute_call(self, call: Call) -> Any:
         now = self.clock()
-        if self.ended:
-            return ENDS
-        yield from self._caught_up()
-        there = self.registry
-        outcome = self.api.handle(call, there, now)  # as things stand by now
+        if self.shutting_down:
+            return SHUTTING_DOWN
+        yield from self._apply_stored_changes()
+        registry = self.registry
+        outcome = self.api.handle(call, registry, now)  # the registry may have changed while the call was queued
         key = call.headers.get("idempotency-key", "")
         if isinstance(outcome, Reply) and outcome.status in (401, 403):
-            self.note(call, outcome)  # its key was taken away while it waited
+            self.audit_denial(call, outcome)  # its key was removed while the call was queued
         elif key and isinstance(outcome, Proposal | Reply):
-            again = yield self._repeated(call, key)
-            if again is not None:
-                return again
+            earlier = yield self._earlier_reply(call, key)
+            if earlier is not None:
+                return earlier
         if not isinstance(outcome, Proposal):
             return outcome
-        if self.registry is not there:
+        if self.registry is not registry:
             raise RetryLater("another change came first")
         who, before = str(outcome.principal), self.registry
         after = before.with_change(outcome.change)
         reply = outcome.reply(after)
-        answered = None
+        stored_reply = None
         if key:
             body = {name: value for name, value in reply.body.items() if name != "token"}
-            answered = StoredReply(who, _digest(key), _asked(call), reply.status, after.version, orjson.dumps(body))
-        noted = AuditRecord(now, who, call.peer, f"{call.method} {call.path}", reply.status, outcome.kind)
-        logged = ChangeRecord(after.version, now, who, outcome.tenant, outcome.kind, orjson.dumps(outcome.detail))
-        commit = Commit(logged, after.tenants.get(outcome.tenant), answered, noted)
-        yield from self._made(after, outcome.tenant, commit)
+            stored_reply = StoredReply(
+                who, _digest(key), _call_digest(call), reply.status, after.version, orjson.dumps(body)
+            )
+        audit_record = AuditRecord(now, who, call.peer, f"{call.method} {call.path}", reply.status, outcome.kind)
+        record = ChangeRecord(after.version, now, who, outcome.tenant, outcome.kind, orjson.dumps(outcome.detail))
+        commit = Commit(record, after.tenants.get(outcome.tenant), stored_reply, audit_record)
+        yield from self._commit_change(after, outcome.tenant, commit)
         return reply
 
-    def _made(self, after: Registry, tenant: str, commit: Commit) -> Any:
-        """Stored first, then applied; what could stand against it is found out before."""
+    def _commit_change(self, after: Registry, tenant: str, commit: Commit) -> Any:
+        """Prepares the change, which finds the reasons against it, stores it and then applies it."""
         if self.fleet is not None:
             yield self.fleet.propose(commit)
             return
@@ -221,50 +228,52 @@
             prepared.drop()
             raise
         self._apply(after, tenant, prepared)
-        logged = commit.record
-        logger.bind(tenant=tenant, version=logged.version, who=logged.who, kind=logged.kind).info("changed")
-        self._news()
+        record = commit.record
+        logger.bind(tenant=tenant, version=record.version, who=record.who, kind=record.kind).info("changed")
+        self._notify_watchers()
 
     def _apply(self, after: Registry, tenant: str, prepared: Any) -> None:
         try:
             self.applier.apply(after, tenant, prepared)
-        except Exception as fault:
-            logger.bind(tenant=tenant, version=after.version).exception("a change is stored and could not be applied")
-            self._news()
-            raise Unapplied from fault
-
-    def _caught_up(self) -> Any:
-        """What is stored goes before what is in force: a change of which nothing was known may be there."""
-        if not self.unsure:
+        except Exception as error:
+            logger.bind(tenant=tenant, version=after.version).exception("a stored change could not be applied")
+            self._notify_watchers()
+            raise NotApplied from error
+
+    def _apply_stored_changes(self) -> Any:
+        """Applies a change that was stored although its commit reported an unknown outcome."""
+        if not self.store_may_be_ahead:
             return
-        there, here = (yield self.store_thread.run(self.store_thread.store.registry)), self.registry
-        for name in sorted({*there.tenants, *here.tenants}):
-            if there.tenants.get(name) != here.tenants.get(name):
-                self._apply(there, name, self.applier.prepare(there, name))
-        self.unsure = False
+        registry, in_force = (yield self.store_thread.run(self.store_thread.store.registry)), self.registry
+        for name in sorted({*registry.tenants, *in_force.tenants}):
+            if registry.tenants.get(name) != in_force.tenants.get(name):
+                self._apply(registry, name, self.applier.prepare(registry, name))
+        self.store_may_be_ahead = False
 
     @inlineCallbacks
-    def _removed(self, change: RemoveTenant) -> Any:
-        yield from self._caught_up()
+    def _remove_tenant(self, change: RemoveTenant) -> Any:
+        yield from self._apply_stored_changes()
         if change.name not in self.registry.tenants:
             return Reply(200, {})
         after = self.registry.with_change(change)
-        logged = ChangeRecord(after.version, self.clock(), SERVICE, change.name, "gone", b"{}")
-        yield from self._made(after, change.name, Commit(logged, None))
+        record = ChangeRecord(after.version, self.clock(), SERVICE_PRINCIPAL, change.name, "gone", b"{}")
+        yield from self._commit_change(after, change.name, Commit(record, None))
         return Reply(200, {})
 
     @inlineCallbacks
-    def _repeated(self, call: Call, key: str) -> Any:
-        """The answer that the call had before, if it had one."""
-        if len(key) > KEY_MOST or not key.isascii() or not key.isprintable():
-            return problem(400, f"up to {KEY_MOST} printable characters are wanted", "Idempotency-Key")
+    def _earlier_reply(self, call: Call, key: str) -> Any:
+        """Returns the reply to an earlier call with the same idempotency key, or None."""
+        if len(key) > MAX_IDEMPOTENCY_KEY_LENGTH or not key.isascii() or not key.isprintable():
+            return problem(
+                400, f"up to {MAX_IDEMPOTENCY_KEY_LENGTH} printable characters are wanted", "Idempotency-Key"
+            )
         who = str(self.api.authenticate(call, self.registry, self.clock()))
         found: StoredReply | None = self.fleet.pending_reply(who, _digest(key)) if self.fleet is not None else None
         if found is None:
             found = yield self.store_thread.run(self.store_thread.store.find_reply, who, _digest(key))
         if found is None:
             return None
-        if found.call_digest != _asked(call):
+        if found.call_digest != _call_digest(call):
             return problem(422, "was used for another call", "Idempotency-Key")
         headers = {**etag_header(found.version), "idempotency-replayed": "true"}
         return Reply(found.status, orjson.loads(found.body), headers)
@@ -272,7 +281,7 @@
     # ---- logs ----
 
     @inlineCallbacks
-    def _looked(self, query: Query) -> Any:
+    def _execute_query(self, query: Query) -> Any:
         if query.kind in ("fleet", "leave", "join"):
             if self.fleet is None:
                 return problem(404, "this process is a member of no fleet")
@@ -288,8 +297,8 @@
         if query.kind == "process":
             return Reply(200, self.applier.process())
         if query.kind == "audit":
-            rows = yield self.store_thread.run(self.store_thread.store.audit, query.after, query.limit)
-            lines = [
+            records = yield self.store_thread.run(self.store_thread.store.audit, query.after, query.limit)
+            rows = [
                 {
                     "id": id,
                     "at_ms": one.at // 1_000_000,
@@ -300,20 +309,20 @@
                     "why": one.reason,
                     "many": one.count,
                 }
-                for id, one in rows
+                for id, one in records
             ]
-            return Reply(200, {"audit": lines})
+            return Reply(200, {"audit": rows})
         until = self.clock() + query.wait_ns
         while True:
             if self.fleet is not None:
-                # Else the version below could be told without the lines up to it, and a watcher would pass them over.
+                # Otherwise the version below could be ahead of the stored changes, and a watcher would miss some.
                 yield self.fleet.when_flushed()
             changes = yield self.store_thread.run(self.store_thread.store.changes, query.after, query.limit, query.name)
-            left = until - self.clock()
-            if changes or left <= 0 or len(self.watches) >= WATCHES_MOST or self.ended:
+            remaining_ns = until - self.clock()
+            if changes or remaining_ns <= 0 or len(self.watchers) >= MAX_WATCHERS or self.shutting_down:
                 break
-            yield self._new(left)
-        lines = [
+            yield self._next_change(remaining_ns)
+        rows = [
             {
                 "version": one.version,
                 "at_ms": one.at // 1_000_000,
@@ -324,62 +333,62 @@
             }
             for one in changes
         ]
-        return Reply(200, {"changes": lines, "version": self.registry.version})
+        return Reply(200, {"changes": rows, "version": self.registry.version})
 
-    def _new(self, most: int) -> "Deferred[None]":
-        """Until something was changed, or so long."""
-        news: Deferred[None] = Deferred()
-        self.watches.append(news)
-        timer = self.reactor.callLater(most / SECOND, news.callback, None)
+    def _next_change(self, timeout_ns: int) -> "Deferred[None]":
+        """Fires at the next change, or after the timeout."""
+        changed: Deferred[None] = Deferred()
+        self.watchers.append(changed)
+        timer = self.reactor.callLater(timeout_ns / SECOND, changed.callback, None)
 
-        def over(told: None) -> None:
+        def finished(_: None) -> None:
             if timer.active():
                 timer.cancel()
-            if news in self.watches:
-                self.watches.remove(news)
+            if changed in self.watchers:
+                self.watchers.remove(changed)
 
-        return news.addCallback(over)
+        return changed.addCallback(finished)
 
-    def _news(self) -> None:
-        for news in list(self.watches):
-            news.callback(None)
+    def _notify_watchers(self) -> None:
+        for changed in list(self.watchers):
+            changed.callback(None)
 
-    def note(self, call: Call, reply: Reply) -> None:
-        """A denied call goes to the audit log; those that are alike and come at once make one line."""
+    def audit_denial(self, call: Call, reply: Reply) -> None:
+        """Records a denied call in the audit log. Equal calls within a short period share one record with a count."""
         who = call.headers.get("authorization", "").partition(".")[2].rpartition(".")[0][:100]
         key = (who, call.peer, f"{call.method[:10]} {call.path[:200]}", reply.status, reply.reason)
-        if key not in self.notes and len(self.notes) >= NOTES_MOST:
+        if key not in self.pending_denials and len(self.pending_denials) >= MAX_PENDING_DENIALS:
             key = ("", "", "many calls", reply.status, "more kinds of denied calls than are kept apart")
-        old = self.notes.get(key)
-        self.notes[key] = AuditRecord(self.clock(), *key, (old.count if old else 0) + 1)
-        if not self.noting:
-            self.noting = True
-            self.reactor.callLater(NOTE_EVERY, self._write_notes)
-
-    def _write_notes(self) -> None:
-        self.noting = False
-        notes, self.notes = list(self.notes.values()), {}
-        if notes and not self.ended:
-            self.store_thread.run(self.store_thread.store.append_audit, notes).addErrback(
-                lambda failure: logger.error("denied calls could not be noted: {}", failure.value)
+        previous = self.pending_denials.get(key)
+        self.pending_denials[key] = AuditRecord(self.clock(), *key, (previous.count if previous else 0) + 1)
+        if not self.flush_scheduled:
+            self.flush_scheduled = True
+            self.reactor.callLater(AUDIT_FLUSH_SECONDS, self._flush_denials)
+
+    def _flush_denials(self) -> None:
+        self.flush_scheduled = False
+        denials, self.pending_denials = list(self.pending_denials.values()), {}
+        if denials and not self.shutting_down:
+            self.store_thread.run(self.store_thread.store.append_audit, denials).addErrback(
+                lambda failure: logger.error("could not write denied calls to the audit log: {}", failure.value)
             )
 
     def end(self) -> None:
-        """No further change is begun; what waits is told so."""
-        self.ended = True
-        if self.notes:
-            self.store_thread.run(self.store_thread.store.append_audit, list(self.notes.values())).addErrback(
+        """Starts no further change, and answers the queued ones with 503."""
+        self.shutting_down = True
+        if self.pending_denials:
+            self.store_thread.run(self.store_thread.store.append_audit, list(self.pending_denials.values())).addErrback(
                 lambda failure: None
             )
-        waiting, self.waiting = self.waiting, deque()
-        for _, done in waiting:
-            done.callback(ENDS)
-        self._news()
+        queue, self.queue = self.queue, deque()
+        for _, done in queue:
+            done.callback(SHUTTING_DOWN)
+        self._notify_watchers()
 
 
 def _digest(text: str) -> bytes:
     return sha256(text.encode()).digest()
 
 
-def _asked(call: Call) -> bytes:
+def _call_digest(call: Call) -> bytes:
     return sha256(b"\0".join((call.method.encode(), call.path.encode(), call.body))).digest()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -283,7 +283,7 @@
             "GET", f"/v1/tenants/t{n % 3000}", {}, {"authorization": "Bearer tq1.-.main." + "A" * 43}, b"", "127.0.0.9"
         )
         assert answer(one, wrong).status == 401
-    assert len(one.notes) <= 1001
+    assert len(one.pending_denials) <= 1001
     one.reactor.advance(1.0)
     rows = [record for _, record in one.store_thread.store.audit(0, 5000)]
     assert sum(record.count for record in rows) == 5000 and {record.status for record in rows} == {401}
@@ -294,9 +294,9 @@
     one = executor(tmp_path / "x.db")
     delayed: list[Deferred[Any]] = []
 
-    def delay(what: Callable[..., Any], *arguments: Any) -> "Deferred[Any]":
+    def delay(operation: Callable[..., Any], *arguments: Any) -> "Deferred[Any]":
         delayed.append(Deferred())
-        return delayed[-1].addCallback(lambda _: what(*arguments))
+        return delayed[-1].addCallback(lambda _: operation(*arguments))
 
     one.store_thread.run = delay  # type: ignore[method-assign]
     replies: list[Reply] = []
