--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -129,7 +129,7 @@
         net.run(20)
         host.feed(va(number))
     old = net.dispatcher.balancer
-    names = {index: name for name, index in net.dispatcher.hosts.items()}
+    names = {index: name for name, index in net.dispatcher.host_indices.items()}
     encoded = encode_learned(old.learned(), names)
     learned = decode_learned(
         encoded | {"hosts": encoded["hosts"] | {"unknown": encoded["hosts"]["h1"]}}, {"h1": 7, "h2": 3}
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -181,7 +181,7 @@
     written.feed(b"mn\r\n")
     first, second = net.accept(), net.accept()
     written.unread = b"m"  # bytes have arrived but were not read yet
-    net.frontend.hello = meta.OUT_OF_SERVICE
+    net.frontend.noop_answer = meta.OUT_OF_SERVICE
     net.frontend.leave(net.limits.new_client_grace)
     net.take()
     assert idle.lost and not busy.lost and not written.lost
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -218,7 +218,7 @@
     asked = [one for one in net.trace if " GET " in one]
     assert asked[-1].endswith("/api/targets")  # a request for the complete list, as changes may be lost
     agent.calls[2].callback(list_response(7, member(3)))
-    assert set(net.dispatcher.hosts) == {"h3"}
+    assert set(net.dispatcher.host_indices) == {"h3"}
 
 
 def test_an_older_revision_is_rejected_but_accepted_in_a_new_complete_list(
--- a/tests/test_review_links.py
+++ b/tests/test_review_links.py
@@ -123,7 +123,7 @@
 
     monkeypatch.setattr(net.dispatcher.balancer, "decide", both)
     first.feed(mg(1))
-    requester = net.dispatcher.txs[0].requester
+    requester = net.dispatcher.open_txs[0].requester
     monkeypatch.setattr(
         type(requester), "roll_back", lambda self, wait: 1 / 0 if self is requester else self.put(b"x\r\n")
     )
@@ -211,7 +211,7 @@
     client = net.client()
     client.feed(mg(1))
     net.run(600)  # the test's reactor has no connect timeout, so the deadline of the hop applies
-    assert not net.dispatcher.txs and "busy" in replies(net)[0]
+    assert not net.dispatcher.open_txs and "busy" in replies(net)[0]
     while net.reactor.tcpClients:
         *_, factory, _, _ = net.reactor.tcpClients.pop(0)
         factory.clientConnectionFailed(None, connectionDone)
@@ -226,7 +226,7 @@
         if net.reactor.tcpClients:
             net.accept()
     net.run(1000)
-    assert net.sockets.hosts == 0 and not net.dispatcher.txs and not net.pool.buffered_bytes
+    assert net.sockets.hosts == 0 and not net.dispatcher.open_txs and not net.pool.buffered_bytes
     assert "".join(replies(net)).count("SERVER_ERROR failed") + "".join(replies(net)).count("busy") == 4
 
 
--- a/tests/test_stood_still.py
+++ b/tests/test_stood_still.py
@@ -25,47 +25,52 @@
 
 def test_a_poll_that_returns_late_with_events_reports_a_pause_of_the_process() -> None:
     timing, now = LoopTiming(60 * MS), SECOND
-    timing.begins(now, now - 50 * MS, 250 * MS)
-    assert not timing.stood_still(now)
-    timing.begins(now + 2 * SECOND, now + MS, 250 * MS)
-    assert timing.stood_still(now + 2 * SECOND)
-    assert timing.unread(now + 2 * SECOND, 0) == 2 * SECOND - MS, "bytes may have arrived as soon as the poll began"
-    timing.begins(now + 2 * SECOND + 3 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
-    assert not timing.stood_still(now + 2 * SECOND + 3 * MS)
+    timing.begin(now, now - 50 * MS, 250 * MS)
+    assert not timing.process_stalled(now)
+    timing.begin(now + 2 * SECOND, now + MS, 250 * MS)
+    assert timing.process_stalled(now + 2 * SECOND)
+    assert timing.max_unread_time(now + 2 * SECOND, 0) == 2 * SECOND - MS, (
+        "bytes may have arrived as soon as the poll began"
+    )
+    timing.begin(now + 2 * SECOND + 3 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
+    assert not timing.process_stalled(now + 2 * SECOND + 3 * MS)
 
 
 def test_a_poll_that_returns_late_without_events_defers_the_report_to_the_next_one() -> None:
     """A stopped process causes this if the timeout of its poll passes meanwhile."""
     timing, now = LoopTiming(60 * MS), SECOND
-    timing.begins(now, now, 250 * MS)
-    timing.begins(now + 2 * SECOND, now + MS, 250 * MS, False)
-    timing.begins(now + 2 * SECOND + 2 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
-    assert timing.stood_still(now + 2 * SECOND + 2 * MS)
-    assert timing.unread(now + 2 * SECOND + 2 * MS, 0) == 2 * SECOND + MS
-    timing.begins(now + 3 * SECOND, now + 2 * SECOND + 3 * MS, 2 * SECOND)
-    assert not timing.stood_still(now + 3 * SECOND)
+    timing.begin(now, now, 250 * MS)
+    timing.begin(now + 2 * SECOND, now + MS, 250 * MS, False)
+    timing.begin(now + 2 * SECOND + 2 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
+    assert timing.process_stalled(now + 2 * SECOND + 2 * MS)
+    assert timing.max_unread_time(now + 2 * SECOND + 2 * MS, 0) == 2 * SECOND + MS
+    timing.begin(now + 3 * SECOND, now + 2 * SECOND + 3 * MS, 2 * SECOND)
+    assert not timing.process_stalled(now + 3 * SECOND)
 
 
 def test_the_report_is_dropped_if_the_next_poll_has_to_wait() -> None:
     timing, now = LoopTiming(60 * MS), SECOND
-    timing.begins(now, now, 250 * MS)
-    timing.begins(now + 2 * SECOND, now + MS, 250 * MS, False)
-    timing.begins(now + 2 * SECOND + 50 * MS, now + 2 * SECOND + MS, 250 * MS)
-    assert not timing.stood_still(now + 2 * SECOND + 50 * MS) and timing.unread(now + 2 * SECOND + 50 * MS, 0) == 0
+    timing.begin(now, now, 250 * MS)
+    timing.begin(now + 2 * SECOND, now + MS, 250 * MS, False)
+    timing.begin(now + 2 * SECOND + 50 * MS, now + 2 * SECOND + MS, 250 * MS)
+    assert (
+        not timing.process_stalled(now + 2 * SECOND + 50 * MS)
+        and timing.max_unread_time(now + 2 * SECOND + 50 * MS, 0) == 0
+    )
 
 
 def test_a_long_turn_and_the_turn_after_it_count_as_a_pause() -> None:
     timing, now = LoopTiming(60 * MS), SECOND
-    timing.begins(now, now, 250 * MS)
-    assert not timing.stood_still(now + STOOD) and timing.stood_still(now + STOOD + 1)
-    timing.begins(now + STOOD + 2 * MS, now + STOOD + MS, 250 * MS)
-    assert timing.stood_still(now + STOOD + 2 * MS)
+    timing.begin(now, now, 250 * MS)
+    assert not timing.process_stalled(now + STOOD) and timing.process_stalled(now + STOOD + 1)
+    timing.begin(now + STOOD + 2 * MS, now + STOOD + MS, 250 * MS)
+    assert timing.process_stalled(now + STOOD + 2 * MS)
 
 
 def test_a_poll_without_a_timeout_is_never_late() -> None:
     timing = LoopTiming(60 * MS)
-    timing.begins(100 * SECOND, SECOND, -1)
-    assert not timing.stood_still(100 * SECOND) and timing.unread(100 * SECOND, 0) == 0
+    timing.begin(100 * SECOND, SECOND, -1)
+    assert not timing.process_stalled(100 * SECOND) and timing.max_unread_time(100 * SECOND, 0) == 0
 
 
 def test_after_a_pause_a_hop_waits_for_the_next_poll() -> None:
