--- a/ternquay/rig/laws/__init__.py
+++ b/ternquay/rig/laws/__init__.py
@@ -1,5 +1,5 @@
-"""How cache hosts, the origin, the list and clients behave, fed with time and events.
+"""Simulation models of cache hosts, the origin, discovery's list, links and clients, driven by time and events.
 
-No sockets and no clock here: the stand-ins on sockets and a model on virtual time run on the same laws. Times
-are whole nanoseconds since the start of a play, chance comes from one `random.Random` for each law.
+The models use neither sockets nor a clock, so the stand-ins on sockets and the simulation on virtual time share them.
+Times are integer nanoseconds since the start of a play. Each model draws from its own seeded `random.Random`.
 """
