--- a/ternquay/rig/laws/cachehost.py
+++ b/ternquay/rig/laws/cachehost.py
@@ -1,6 +1,6 @@
-"""One cache host: cores, a queue, kept copies, a cold start, tipping over. Fetches are the fleet's to carry.
+"""Model of one cache host: cores, a command queue, an LRU cache, a warm-up phase and collapse under load while cold.
 
-A host is fed commands and ends of fetches; what comes of it is put into `said`, for the fleet to take.
+The fleet passes commands and the results of origin requests to a host and collects its `actions`.
 """
 
 from collections import OrderedDict, deque
@@ -11,106 +11,113 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
-    """One command as it came whole."""
+class CacheCommand:
+    """A complete command that a cache host received."""
 
     id: str
     profile: int
     write: bool
     key: str
-    mark: str  # the mark by which repeats of a journalled one are known, or nothing
-    size: int  # of the value that a read gets
+    mark: str  # identifies repeats of a journalled transaction; empty for other commands
+    size: int  # bytes of the value that a read returns
 
 
 @dataclass(slots=True)
 class Job:
+    """The state of one command at its host."""
+
     ticket: int
-    ask: Ask
-    work: int  # of a core of speed 1, in nanoseconds
-    begun: int = 0
-    stage: str = "queued"  # running, fetching, waiting (for another's fetch), storing, over
-    note: int = 0
+    command: CacheCommand
+    work: int  # nanoseconds on a core of speed 1
+    started: int = 0
+    stage: str = "queued"  # then running, fetching, waiting (for another job's fetch), storing or over
+    note: int = 0  # 1 for a hit, 2 for a miss, 3 for a miss that shares another job's fetch
     repeat: bool = False
     cold: bool = False
-    run: int = 0  # which run at a core, as an end of an earlier one is void
+    generation: int = 0  # heap entries of earlier generations are stale
 
 
 @dataclass(slots=True, frozen=True)
-class Said:
-    """What a host does next: `answer`, `busy`, `error`, `fetch`, `store` or `tip`."""
+class Action:
+    """What the fleet does next for a host: `answer`, `busy`, `error`, `fetch`, `store`, or `tip` for a collapse."""
 
-    what: str
+    kind: str
     job: Job | None = None
 
 
 @dataclass(slots=True)
 class CacheHost:
+    """One cache host. Callers pass the current time in nanoseconds, which never decreases."""
+
     terms: HostTerms
     index: int
     name: str
     speed: float
-    since: int = 0  # its latest start, 0 for long ago
+    started_at: int = 0  # time of the latest start; 0 if the host was warm when the play began
     up: bool = True
     draining: bool = False
-    tipped: bool = False
-    silent: bool = False
-    slow: float = 1.0
+    collapsed: bool = False  # the host collapsed under load while cold; it does not return
+    silent: bool = False  # commands are accepted but not processed
+    slowdown: float = 1.0  # factor by which work takes longer
     jobs: dict[int, Job] = field(default_factory=dict)
     queue: deque[Job] = field(default_factory=deque)
-    running: list[tuple[int, int, int]] = field(default_factory=list)  # a heap of end, ticket and run
+    running: list[tuple[int, int, int]] = field(default_factory=list)  # heap of (end, ticket, generation)
     busy_cores: int = 0
-    kept: "OrderedDict[str, int]" = field(default_factory=OrderedDict)
-    kept_bytes: int = 0
-    fetched_by: dict[str, list[Job]] = field(default_factory=dict)  # who waits for one fetch of a key
-    pushed: deque[tuple[int, int]] = field(default_factory=deque)  # while cold: when, and how much work
-    pushed_work: int = 0
-    said: list[Said] = field(default_factory=list)
-    done_work: int = 0
+    cached: "OrderedDict[str, int]" = field(default_factory=OrderedDict)  # size by key, least recently used first
+    cached_bytes: int = 0
+    fetch_waiters: dict[str, list[Job]] = field(default_factory=dict)  # jobs that share the fetch, by key
+    recent_arrivals: deque[tuple[int, int]] = field(default_factory=deque)  # (time, work) of arrivals while cold
+    recent_work: int = 0
+    actions: list[Action] = field(default_factory=list)
+    work_done: int = 0
     fetch_of: dict[int, str] = field(default_factory=dict)
 
-    # ---- what it can do ----
+    # ---- capacity ----
 
     def warmth(self, now: int) -> float:
-        if not self.since:
+        """The share of full speed, which rises linearly after a start until it is 1.0."""
+        if not self.started_at:
             return 1.0
-        part = min(1.0, max(0, now - self.since) / (self.terms.warm_within_ms * MS))
+        part = min(1.0, max(0, now - self.started_at) / (self.terms.warm_within_ms * MS))
         return self.terms.cold_share + (1 - self.terms.cold_share) * part
 
     def capacity(self, now: int) -> float:
-        """Work that it can do in a unit of time, as its warmth has it."""
+        """Work completed per unit of time at the current warmth."""
         return self.terms.cores * self.speed * self.warmth(now)
 
-    def _tips(self, now: int, work: int) -> bool:
+    def _collapses(self, now: int, work: int) -> bool:
+        """Records arriving work while the host is cold; returns whether the window exceeds the collapse threshold."""
         if self.warmth(now) >= 1.0:
-            self.pushed.clear()
-            self.pushed_work = 0
+            self.recent_arrivals.clear()
+            self.recent_work = 0
             return False
         window = self.terms.tip_window_ms * MS
-        self.pushed.append((now, work))
-        self.pushed_work += work
-        while self.pushed[0][0] <= now - window:
-            self.pushed_work -= self.pushed.popleft()[1]
-        return self.pushed_work > self.terms.tip_multiple * self.capacity(now) * window
+        self.recent_arrivals.append((now, work))
+        self.recent_work += work
+        while self.recent_arrivals[0][0] <= now - window:
+            self.recent_work -= self.recent_arrivals.popleft()[1]
+        return self.recent_work > self.terms.tip_multiple * self.capacity(now) * window
 
     # ---- commands ----
 
-    def take(self, now: int, job: Job) -> None:
-        if self._tips(now, job.work):
-            self.tipped = True
-            self.said.append(Said("tip"))
+    def accept(self, now: int, job: Job) -> None:
+        """Queues a job, rejects it as busy, or collapses under it."""
+        if self._collapses(now, job.work):
+            self.collapsed = True
+            self.actions.append(Action("tip"))
             return
         if self.draining or len(self.jobs) >= self.terms.queue:
             job.stage = "over"
-            self.said.append(Said("busy", job))
+            self.actions.append(Action("busy", job))
             return
         job.cold = self.warmth(now) < 1.0
         self.jobs[job.ticket] = job
         if not self.silent:
             self.queue.append(job)
-            self._run(now)
+            self._start_jobs(now)
 
     def cancel(self, now: int, ticket: int) -> bool:
-        """Work stops when nobody waits for it; what is at the origin goes on. Whether it was stopped."""
+        """Stops a job whose client is gone and returns whether it stopped; a request at the origin continues."""
         job = self.jobs.get(ticket)
         if job is None or job.stage in ("storing", "fetching"):
             return False
@@ -118,117 +125,122 @@
             if job in self.queue:
                 self.queue.remove(job)
         elif job.stage == "waiting":
-            self.fetched_by[job.ask.key].remove(job)
+            self.fetch_waiters[job.command.key].remove(job)
         elif job.stage == "running":
             self.busy_cores -= 1
-        self._over(job)
-        self._run(now)
+        self._finish(job)
+        self._start_jobs(now)
         return True
 
-    def _over(self, job: Job) -> None:
+    def _finish(self, job: Job) -> None:
         job.stage = "over"
-        job.run += 1
+        job.generation += 1
         self.jobs.pop(job.ticket, None)
 
     # ---- work ----
 
-    def _run(self, now: int) -> None:
+    def _start_jobs(self, now: int) -> None:
         while self.queue and self.busy_cores < self.terms.cores and not self.silent:
             job = self.queue.popleft()
-            if not job.ask.write and not job.repeat and job.note == 0 and not self._kept(job):
+            if not job.command.write and not job.repeat and job.note == 0 and not self._hit(job):
                 self._miss(job)
                 continue
             self.busy_cores += 1
-            job.stage, job.begun = "running", job.begun or now
-            rate = self.speed * self.warmth(now) / self.slow
-            heappush(self.running, (now + int(job.work / rate), job.ticket, job.run))
-            self.done_work += job.work
+            job.stage, job.started = "running", job.started or now
+            rate = self.speed * self.warmth(now) / self.slowdown
+            heappush(self.running, (now + int(job.work / rate), job.ticket, job.generation))
+            self.work_done += job.work
 
-    def _kept(self, job: Job) -> bool:
-        if job.ask.key not in self.kept:
+    def _hit(self, job: Job) -> bool:
+        if job.command.key not in self.cached:
             return False
-        self.kept.move_to_end(job.ask.key)
+        self.cached.move_to_end(job.command.key)
         job.note = 1
         return True
 
     def _miss(self, job: Job) -> None:
-        key = job.ask.key
-        if self.terms.shares_fetches and key in self.fetched_by:
+        key = job.command.key
+        if self.terms.shares_fetches and key in self.fetch_waiters:
             job.stage, job.note = "waiting", 3
-            self.fetched_by[key].append(job)
+            self.fetch_waiters[key].append(job)
             return
         job.stage, job.note = "fetching", 2
-        self.fetched_by.setdefault(key, [])
-        self.said.append(Said("fetch", job))
+        self.fetch_waiters.setdefault(key, [])
+        self.actions.append(Action("fetch", job))
 
     def advance(self, now: int) -> None:
         while self.running and self.running[0][0] <= now:
-            at, ticket, run = heappop(self.running)
+            at, ticket, generation = heappop(self.running)
             job = self.jobs.get(ticket)
-            if job is None or job.run != run or job.stage != "running":
+            if job is None or job.generation != generation or job.stage != "running":
                 continue
             self.busy_cores -= 1
-            if job.ask.write and not job.repeat:
+            if job.command.write and not job.repeat:
                 job.stage = "storing"
-                self.said.append(Said("store", job))
+                self.actions.append(Action("store", job))
             else:
-                self._over(job)
-                self.said.append(Said("answer", job))
-            self._run(at)
+                self._finish(job)
+                self.actions.append(Action("answer", job))
+            self._start_jobs(at)
 
     def due(self) -> int | None:
         return self.running[0][0] if self.running else None
 
-    # ---- ends at the origin ----
-
-    def fetched(self, now: int, job: Job, well: bool) -> None:
-        waiting = self.fetched_by.pop(job.ask.key, [])
-        if well:
-            self.keep(job.ask.key, job.ask.size)
-        for one in (job, *waiting):
-            if not well:
-                self._over(one)
-                self.said.append(Said("error", one))
-            elif one.stage != "over":
-                one.stage = "queued"
-                self.queue.append(one)
-        self._run(now)
-
-    def stored(self, job: Job, well: bool) -> None:
-        self._over(job)
-        self.said.append(Said("answer" if well else "error", job))
-
-    # ---- kept copies ----
-
-    def keep(self, key: str, size: int) -> None:
-        self.void(key)
-        self.kept[key] = size
-        self.kept_bytes += size
-        while self.kept_bytes > self.terms.keep_bytes and len(self.kept) > 1:
-            self.kept_bytes -= self.kept.popitem(last=False)[1]
-
-    def void(self, key: str) -> None:
-        self.kept_bytes -= self.kept.pop(key, 0)
-
-    # ---- its life ----
-
-    def stop(self) -> None:
-        """It dies: all that it had is lost."""
+    # ---- results from the origin ----
+
+    def fetch_ended(self, now: int, job: Job, succeeded: bool) -> None:
+        """Ends a fetch: on success stores the value and queues the jobs that waited for it, else fails them."""
+        waiting = self.fetch_waiters.pop(job.command.key, [])
+        if succeeded:
+            self.store(job.command.key, job.command.size)
+        for waiter in (job, *waiting):
+            if not succeeded:
+                self._finish(waiter)
+                self.actions.append(Action("error", waiter))
+            elif waiter.stage != "over":
+                waiter.stage = "queued"
+                self.queue.append(waiter)
+        self._start_jobs(now)
+
+    def store_ended(self, job: Job, succeeded: bool) -> None:
+        """Ends a write."""
+        self._finish(job)
+        self.actions.append(Action("answer" if succeeded else "error", job))
+
+    # ---- cached values ----
+
+    def store(self, key: str, size: int) -> None:
+        """Caches a value of `size` bytes and evicts the least recently used ones beyond the limit."""
+        self.invalidate(key)
+        self.cached[key] = size
+        self.cached_bytes += size
+        while self.cached_bytes > self.terms.keep_bytes and len(self.cached) > 1:
+            self.cached_bytes -= self.cached.popitem(last=False)[1]
+
+    def invalidate(self, key: str) -> None:
+        """Removes the cached value of a key, if any."""
+        self.cached_bytes -= self.cached.pop(key, 0)
+
+    # ---- start and stop ----
+
+    def crash(self) -> None:
+        """Crashes the host: it loses its jobs and its cache."""
         self.up = False
         for job in list(self.jobs.values()):
-            self._over(job)
+            self._finish(job)
         self.queue.clear()
         self.running.clear()
-        self.fetched_by.clear()
-        self.kept.clear()
-        self.pushed.clear()
-        self.busy_cores = self.kept_bytes = self.pushed_work = 0
+        self.fetch_waiters.clear()
+        self.cached.clear()
+        self.recent_arrivals.clear()
+        self.busy_cores = self.cached_bytes = self.recent_work = 0
 
     def start(self, now: int, name: str) -> None:
-        self.up, self.draining, self.name, self.since = True, False, name, max(1, now)
+        """Starts the host cold, under that name."""
+        self.up, self.draining, self.name, self.started_at = True, False, name, max(1, now)
 
-    def heal(self, now: int) -> None:
-        """It was silent, and what it took then goes on."""
+    def resume(self, now: int) -> None:
+        """Ends a silent phase and processes the commands accepted during it."""
         self.silent = False
         self.queue.extend(job for job in self.jobs.values() if job.stage == "queued" and job not in self.queue)
-        self._run(now)
+        self._start_jobs(now)
--- a/ternquay/rig/laws/fleet.py
+++ b/ternquay/rig/laws/fleet.py
@@ -12,7 +12,7 @@
 from heapq import heappop, heappush
 from random import Random
 
-from ternquay.rig.laws.cachehost import Ask, CacheHost, Job, Said
+from ternquay.rig.laws.cachehost import Action, CacheCommand, CacheHost, Job
 from ternquay.rig.laws.clients import value_size
 from ternquay.rig.laws.listing import Entry, Listing
 from ternquay.rig.laws.origin import Origin
@@ -57,7 +57,7 @@
 class Seen:
     """What the fleet knows of one command, for the judge; times are 0 where it did not come to that."""
 
-    ask: Ask
+    command: CacheCommand
     host: int
     name: str
     at: int
@@ -150,9 +150,9 @@
         for host in self.hosts:
             for rank in range(self.day.clients.keys):
                 size = value_size(self.day, f"k{rank}")
-                if host.kept_bytes + size > room:
+                if host.cached_bytes + size > room:
                     break
-                host.keep(f"k{rank}", size)
+                host.store(f"k{rank}", size)
 
     # ---- the day's faults ----
 
@@ -193,16 +193,16 @@
 
     def _fault(self, at: int, what: str, host: CacheHost, f: Planned) -> None:
         if what in ("slow", "even"):
-            host.slow = f.factor if what == "slow" else 1.0
+            host.slowdown = f.factor if what == "slow" else 1.0
         elif what == "mute":
             host.silent = True
         elif what == "heal":
-            host.heal(at)
+            host.resume(at)
         elif what == "origin":
             self.origin.factor = f.factor
         elif what == "origin-well":
             self.origin.factor = 1.0
-        elif what == "drain" and not host.tipped:
+        elif what == "drain" and not host.collapsed:
             host.draining = True
             self._tell(at, host, "draining")
             # It is gone once what it had is done, or as a deploy does it, after a second; or stays up for all the day.
@@ -212,7 +212,7 @@
             self._down(at, host)
             if what == "gone":
                 self._push(at + max(f.pause, 300 * MS), "back", host.index, f)
-        elif what == "back" and not host.tipped:
+        elif what == "back" and not host.collapsed:
             old = f.kind == "host-crash"
             host.start(at, host.name if old else self._name(host.index))
             self.outcomes.append(HostUp(host.index))
@@ -227,7 +227,7 @@
             host.name,
             self.places[host.index],
             phase,
-            host.since,
+            host.started_at,
             f"zone-{host.index % zones}" if zones > 1 else "here",
             1 / (1 + held) if self.day.list.weights_ms else 1.0,
         )
@@ -243,27 +243,27 @@
         for ticket, job in list(host.jobs.items()):
             self._void_mark(at, ticket, job)
             self._ended(at, ticket, "")
-        host.stop()
+        host.crash()
         self.outcomes.append(HostDown(host.index))
         self._tell(at, host, "removed")
 
     # ---- commands ----
 
-    def arrive(self, now: int, host_index: int, ask: Ask) -> int:
+    def arrive(self, now: int, host_index: int, command: CacheCommand) -> int:
         self.tickets += 1
         host, ticket = self.hosts[host_index], self.tickets
-        profile = self.day.profiles[ask.profile]
+        profile = self.day.profiles[command.profile]
         work = int(self.random.uniform(*profile.work_ms) * MS)
-        seen = self.seen[ticket] = Seen(ask, host_index, host.name, now)
-        job = Job(ticket, ask, work)
-        mark = self.marks.get(ask.mark) if ask.mark else None
+        seen = self.seen[ticket] = Seen(command, host_index, host.name, now)
+        job = Job(ticket, command, work)
+        mark = self.marks.get(command.mark) if command.mark else None
         if mark is not None and now - mark.first < profile.memory_ms * MS:
             job.repeat = seen.repeat = True
             job.work = int(job.work * REPEAT_WORK)
         self.jobs[ticket] = host, job
-        host.take(now, job)
-        if ask.mark and not job.repeat and job.stage != "over":
-            self.marks[ask.mark] = Mark(now, ticket)
+        host.accept(now, job)
+        if command.mark and not job.repeat and job.stage != "over":
+            self.marks[command.mark] = Mark(now, ticket)
         seen.fate = "busy" if job.stage == "over" else "swallowed" if host.silent else "taken"
         self._carry(now, host)
         return ticket
@@ -280,35 +280,35 @@
     def _ended(self, now: int, ticket: int, answer: str, stamp: str = "") -> None:
         seen = self.seen[ticket]
         _, job = self.jobs.pop(ticket)
-        seen.begun, seen.note, seen.cold = job.begun, job.note, job.cold
+        seen.begun, seen.note, seen.cold = job.started, job.note, job.cold
         seen.ended, seen.answer, seen.stamp = now, answer, stamp
 
     # ---- what hosts say ----
 
     def _carry(self, now: int, host: CacheHost) -> None:
-        while host.said:
-            said, host.said = host.said, []
-            for one in said:
-                self._say(now, host, one)
+        while host.actions:
+            actions, host.actions = host.actions, []
+            for action in actions:
+                self._perform(now, host, action)
         if (due := host.due()) is not None:
             heappush(self.wakes, (due, host.index))
 
-    def _say(self, now: int, host: CacheHost, said: Said) -> None:
-        job = said.job
+    def _perform(self, now: int, host: CacheHost, action: Action) -> None:
+        job = action.job
         if job is None:
             self._tip(now, host)
-        elif said.what in ("fetch", "store"):
-            if not self.origin.ask(now, job.ticket, job.cold and said.what == "fetch"):
+        elif action.kind in ("fetch", "store"):
+            if not self.origin.ask(now, job.ticket, job.cold and action.kind == "fetch"):
                 self._from_origin(now, job.ticket, False)
         elif job.ticket in self.jobs:
-            self._answer(now, host, job, said.what)
+            self._answer(now, host, job, action.kind)
 
     def _answer(self, now: int, host: CacheHost, job: Job, what: str) -> None:
-        mark, stamp = self.marks.get(job.ask.mark), ""
+        mark, stamp = self.marks.get(job.command.mark), ""
         if what == "answer":
-            what, stamp = "receipt" if job.ask.write else "value", f"{host.name}.{job.ticket}.{job.ask.id}"
+            what, stamp = "receipt" if job.command.write else "value", f"{host.name}.{job.ticket}.{job.command.id}"
             if what == "value":
-                stamp += f"/{max(job.ask.size, len(stamp) + 9)}"  # how long the whole value is
+                stamp += f"/{max(job.command.size, len(stamp) + 9)}"  # how long the whole value is
             if mark is not None and job.repeat:
                 if not mark.stamp:
                     mark.waiting.append(job)  # told what comes of the first, once that is known
@@ -324,18 +324,18 @@
     def _give(self, now: int, job: Job, what: str, stamp: str) -> None:
         if job.ticket in self.jobs:
             self._ended(now, job.ticket, what, stamp)
-            self.outcomes.append(Answer(job.ticket, what, job.note, stamp, job.ask.size))
+            self.outcomes.append(Answer(job.ticket, what, job.note, stamp, job.command.size))
 
     def _void_mark(self, now: int, ticket: int, job: Job) -> None:
         """It had no effect and won't have one, so a repeat must."""
-        mark = self.marks.get(job.ask.mark)
+        mark = self.marks.get(job.command.mark)
         if mark is not None and mark.ticket == ticket and not mark.stamp:
-            del self.marks[job.ask.mark]
+            del self.marks[job.command.mark]
             for one in mark.waiting:
                 self._give(now, one, "error", "")
 
     def _tip(self, now: int, host: CacheHost) -> None:
-        pushed = host.pushed_work / (host.capacity(now) * host.terms.tip_window_ms * MS)
+        pushed = host.recent_work / (host.capacity(now) * host.terms.tip_window_ms * MS)
         self.tips.append(Tip(now, host.index, host.name, host.warmth(now), pushed))
         self._down(now, host)
 
@@ -347,12 +347,12 @@
             if well:
                 self.seen[ticket].effect = now
                 for other in self.hosts:
-                    other.void(job.ask.key)
+                    other.invalidate(job.command.key)
             else:
                 self._void_mark(now, ticket, job)
-            host.stored(job, well)
+            host.store_ended(job, well)
         else:
-            host.fetched(now, job, well)
+            host.fetch_ended(now, job, well)
         self._carry(now, host)
 
     # ---- time ----
@@ -380,7 +380,7 @@
     def _sample(self, at: int) -> None:
         for host in self.hosts:
             self.states.append(
-                HostState(at, host.index, host.up, host.warmth(at) if host.up else 0.0, len(host.jobs), host.done_work)
+                HostState(at, host.index, host.up, host.warmth(at) if host.up else 0.0, len(host.jobs), host.work_done)
             )
         self._forget_marks(at)
         if at < self.day.seconds * SECOND:
--- a/ternquay/rig/standins/hosts.py
+++ b/ternquay/rig/standins/hosts.py
@@ -11,7 +11,7 @@
 
 from ternquay.rig import records
 from ternquay.rig.laws import fleet as f
-from ternquay.rig.laws.cachehost import Ask
+from ternquay.rig.laws.cachehost import CacheCommand
 from ternquay.rig.laws.clients import value_size
 from ternquay.rig.laws.link import RESET, Link
 from ternquay.rig.standins.reader import Command, CommandReader, Strange
@@ -259,7 +259,7 @@
             return connection.reset()
         self.law.advance(now)
         size = value_size(self.day, command.key)
-        ask = Ask(command.id, slot.hop.profile, command.write, command.key, command.mark, size)
+        ask = CacheCommand(command.id, slot.hop.profile, command.write, command.key, command.mark, size)
         ticket = self.law.arrive(now, connection.port.index, ask)
         self.open[ticket] = connection, slot
         self.noted[ticket] = slot.hop
--- a/ternquay/rig/virtual.py
+++ b/ternquay/rig/virtual.py
@@ -12,7 +12,7 @@
 
 from ternquay.rig import records
 from ternquay.rig.laws import fleet as f
-from ternquay.rig.laws.cachehost import Ask
+from ternquay.rig.laws.cachehost import CacheCommand
 from ternquay.rig.laws.clients import Arrival, Clients, value_size
 from ternquay.rig.laws.listing import Entry
 from ternquay.rig.terms import MS, SECOND, Day, planned
@@ -96,7 +96,7 @@
             self.now + BEGIN,
         )
         self.hops.append(hop)
-        ask = Ask(id, arrival.profile, profile.write, arrival.key, mark, value_size(self.day, arrival.key))
+        ask = CacheCommand(id, arrival.profile, profile.write, arrival.key, mark, value_size(self.day, arrival.key))
         self.tickets[self.fleet.arrive(self.now, host, ask)] = hop
 
     def _hop_ended(self, id: str, hop: records.Hop, what: str, stamp: str) -> None:
--- a/tests/test_laws.py
+++ b/tests/test_laws.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ternquay.rig.laws import fleet as f
-from ternquay.rig.laws.cachehost import Ask
+from ternquay.rig.laws.cachehost import CacheCommand
 from ternquay.rig.laws.clients import Clients
 from ternquay.rig.laws.link import RESET, Link
 from ternquay.rig.laws.listing import Entry, Listing
@@ -77,7 +77,7 @@
     ) -> int:
         write = profile >= ONCE
         self.say(f"host {host} is asked {name}: {'write' if write else 'read'} {key}{' mark ' + mark if mark else ''}")
-        ticket = self.fleet.arrive(self.now, host, Ask(name, profile, write, key, mark, size))
+        ticket = self.fleet.arrive(self.now, host, CacheCommand(name, profile, write, key, mark, size))
         self.names[ticket] = name
         self.take()
         return ticket
@@ -166,7 +166,7 @@
     assert scene.fleet.hosts[host].warmth(scene.now) == pytest.approx(0.2, abs=0.05)
     for n in range(90):
         scene.ask(f"n{n}", host, key="kept")
-        if scene.fleet.hosts[host].tipped:
+        if scene.fleet.hosts[host].collapsed:
             break
     scene.trace[3:] = [line for line in scene.trace[3:] if "asked" not in line]
     assert scene.fleet.tips[0].pushed > 4.0
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -14,7 +14,7 @@
 from ternquay.handover.notes import decode_learned, encode_learned
 from ternquay.rig.contender import Contender
 from ternquay.rig.judge import judge
-from ternquay.rig.laws.cachehost import Ask
+from ternquay.rig.laws.cachehost import CacheCommand
 from ternquay.rig.laws.fleet import Fleet
 from ternquay.rig.measure import measure
 from ternquay.rig.play import play
@@ -357,7 +357,7 @@
     day = read_day("two-shapes")
     fleet_law = Fleet(day, (), 1, [f"place-{n}" for n in range(day.hosts.count)])
     for n in range(5):
-        fleet_law.arrive(0, 3, Ask(f"t{n}", 0, False, f"k{n}", "", 100))
+        fleet_law.arrive(0, 3, CacheCommand(f"t{n}", 0, False, f"k{n}", "", 100))
     fleet_law.advance(1)
     latest = {e.id: e for e in fleet_law.listing.entries}
     assert sorted(e.size for e in latest.values())[:2] == [pytest.approx(1 / 6), 1.0]
