--- a/ternquay/rig/load.py
+++ b/ternquay/rig/load.py
@@ -211,7 +211,7 @@
         self._wake()
 
     def _try(self, arrival: Arrival, tries: int, at: int) -> None:
-        limit = self.law.left(arrival, at - self.begin)
+        limit = self.law.time_left(arrival, at - self.begin)
         # Ours alone: that a connection comes up late is the balancer's doing.
         self.late.append(self.clock() - at)
         id = f"{self.plan.prefix}t{arrival.number}.{tries}"
--- a/ternquay/rig/virtual.py
+++ b/ternquay/rig/virtual.py
@@ -123,7 +123,7 @@
             self.later(at, self._try, found.arrival, seen.tries + 1, at)
 
     def _try(self, arrival: Arrival, tries: int, at: int) -> None:
-        id, limit = f"t{arrival.number}.{tries}", self.clients.left(arrival, at)
+        id, limit = f"t{arrival.number}.{tries}", self.clients.time_left(arrival, at)
         seen = records.Try(
             arrival.number,
             tries,
