--- a/ternquay/rig/standins/discovery.py
+++ b/ternquay/rig/standins/discovery.py
@@ -9,7 +9,7 @@
 from twisted.web.server import NOT_DONE_YET, Request, Site
 
 from ternquay.rig import records
-from ternquay.rig.laws.counted import Counted
+from ternquay.rig.laws.delivery import DeliveryClock
 from ternquay.rig.laws.listing import Entry, Listing
 from ternquay.rig.terms import MS, SECOND
 
@@ -61,7 +61,7 @@
         self.watches: set[Watch] = set()
         self.told: list[records.Told] = []
         self.spoilt = 0
-        self.counted = [Counted(must_ask) for _ in range(balancers)]
+        self.counted = [DeliveryClock(must_ask) for _ in range(balancers)]
         self.answered = [0] * balancers  # when each balancer's last answer was written
         self.free_at = 0  # when discovery has worked through the calls that begin a watch
         self.places: list[list[str]] = []
@@ -91,13 +91,13 @@
         """All watches that are open fall silent, and say nothing of it."""
         for watch in self.watches:
             watch.silent = True
-            self.counted[watch.balancer].falls_silent(self.now())
+            self.counted[watch.balancer].watch_silent(self.now())
 
     def _count(self) -> None:
         """What counts as told by the clocks though it was not written."""
         listing, now = self.listing(), self.now()
         for balancer, counted in enumerate(self.counted):
-            due = counted.due(now, listing.visible)
+            due = counted.due_version(now, listing.visible)
             if due > counted.version:
                 entries = listing.entries[counted.version : due]
                 self.told += [records.Told(balancer, now + self.begin, entry.id, entry.phase) for entry in entries]
@@ -108,9 +108,9 @@
         """Discovery went down."""
         watches, self.watches = self.watches, set()
         for counted in self.counted:
-            counted.goes_down(self.now())
+            counted.discovery_down(self.now())
         for watch in watches:
-            self.counted[watch.balancer].fails()
+            self.counted[watch.balancer].call_failed()
             self._fail(watch.call)
 
     def _fail(self, call: Any) -> None:
@@ -120,9 +120,9 @@
     def asked(self, call: Request, balancer: int) -> Any:
         listing, now = self.listing(), self.now()
         wait = min(WAIT_MOST, number_in(call, b"wait") or 0)
-        self.counted[balancer].asks(now, wait * MS)
+        self.counted[balancer].call_received(now, wait * MS)
         if listing.down(now):
-            self.counted[balancer].fails()
+            self.counted[balancer].call_failed()
             if self.spoilt % 2:
                 call.setResponseCode(503)
                 self.spoilt += 1
@@ -142,7 +142,7 @@
         """A call that begins a watch waits its turn, or is turned away where that would be too long."""
         at = max(now, self.free_at) + each
         if at - now > QUEUE_MOST:
-            self.counted[balancer].fails()
+            self.counted[balancer].call_failed()
             call.setResponseCode(503)
             return b"busy"
         self.free_at = at
@@ -196,7 +196,7 @@
     def _write(self, balancer: int, revision: int, whole: bool, entries: list[Entry]) -> bytes:
         now = self.now() + self.begin
         self.answered[balancer] = self.now()
-        self.counted[balancer].written(revision)
+        self.counted[balancer].answer_written(revision)
         self.told += [records.Told(balancer, now, entry.id, entry.phase) for entry in entries]
         if whole:
             # What is not in it is told as gone just so.
--- a/tests/test_drain_silent.py
+++ b/tests/test_drain_silent.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from ternquay.rig.laws.counted import Counted
+from ternquay.rig.laws.delivery import DeliveryClock
 from ternquay.rig.terms import SECOND, read_day
 
 ROOT = Path(__file__).parents[1]
@@ -15,36 +15,36 @@
 
 def test_a_change_counts_as_delivered_by_the_platforms_clocks() -> None:
     made = [1 * SECOND, 4 * SECOND, 9 * SECOND]
-    one = Counted(10 * SECOND)
-    one.asks(2 * SECOND, 3 * SECOND)
-    one.written(1)
-    one.asks(2 * SECOND, 3 * SECOND)
-    assert one.due(60 * SECOND, made) == 1  # while it watches, only written changes count
-    one.falls_silent(3 * SECOND)
-    assert one.due(9 * SECOND - 1, made) == 1 and one.due(9 * SECOND, made) == 3
-    late = Counted(10 * SECOND, version=1)
-    late.asks(2 * SECOND, 20 * SECOND)
-    late.falls_silent(3 * SECOND)
-    assert late.due(24 * SECOND - 1, made) == 1 and late.due(24 * SECOND, made) == 3
-    late.asks(5 * SECOND, 50)
-    assert late.due(24 * SECOND, made) == 3  # a call in progress does not change what was missed
-    late.written(2)
-    assert late.due(24 * SECOND, made) == 2
-    none = Counted(10 * SECOND, version=1)
-    none.asks(2 * SECOND, 50)
-    none.fails()
-    assert none.due(42 * SECOND - 1, made) == 1 and none.due(42 * SECOND, made) == 3
+    one = DeliveryClock(10 * SECOND)
+    one.call_received(2 * SECOND, 3 * SECOND)
+    one.answer_written(1)
+    one.call_received(2 * SECOND, 3 * SECOND)
+    assert one.due_version(60 * SECOND, made) == 1  # while it watches, only written changes count
+    one.watch_silent(3 * SECOND)
+    assert one.due_version(9 * SECOND - 1, made) == 1 and one.due_version(9 * SECOND, made) == 3
+    late = DeliveryClock(10 * SECOND, version=1)
+    late.call_received(2 * SECOND, 20 * SECOND)
+    late.watch_silent(3 * SECOND)
+    assert late.due_version(24 * SECOND - 1, made) == 1 and late.due_version(24 * SECOND, made) == 3
+    late.call_received(5 * SECOND, 50)
+    assert late.due_version(24 * SECOND, made) == 3  # a call in progress does not change what was missed
+    late.answer_written(2)
+    assert late.due_version(24 * SECOND, made) == 2
+    none = DeliveryClock(10 * SECOND, version=1)
+    none.call_received(2 * SECOND, 50)
+    none.call_failed()
+    assert none.due_version(42 * SECOND - 1, made) == 1 and none.due_version(42 * SECOND, made) == 3
     none.failed = False
-    assert none.due(12 * SECOND, made) == 1 and none.due(14 * SECOND, made) == 2
-    ended = Counted(10 * SECOND, version=0)
-    ended.asks(1 * SECOND, 3 * SECOND)
-    ended.falls_silent(2 * SECOND)
-    ended.goes_down(5 * SECOND)  # this ends the watch, which missed all changes until then
-    ended.asks(6 * SECOND, 50)
-    ended.fails()
-    assert ended.due(8 * SECOND - 1, made) == 0 and ended.due(8 * SECOND, made) == 2
+    assert none.due_version(12 * SECOND, made) == 1 and none.due_version(14 * SECOND, made) == 2
+    ended = DeliveryClock(10 * SECOND, version=0)
+    ended.call_received(1 * SECOND, 3 * SECOND)
+    ended.watch_silent(2 * SECOND)
+    ended.discovery_down(5 * SECOND)  # this ends the watch, which missed all changes until then
+    ended.call_received(6 * SECOND, 50)
+    ended.call_failed()
+    assert ended.due_version(8 * SECOND - 1, made) == 0 and ended.due_version(8 * SECOND, made) == 2
     assert (
-        ended.due(46 * SECOND - 1, made) == 2 and ended.due(46 * SECOND, made) == 3
+        ended.due_version(46 * SECOND - 1, made) == 2 and ended.due_version(46 * SECOND, made) == 3
     )  # by the clock of the failed call
 
 
