--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -120,11 +120,17 @@
 
     def give_up(self, hop: OutgoingHop) -> None: ...
 
-    def listed(self, index: int, address: Address, ready: bool) -> None: ...
+    def update_host(self, index: int, address: Address, ready: bool) -> None:
+        """Adds a host or updates its address. `ready`: new hops may be sent to it."""
+        ...
 
-    def recall(self, index: int) -> None: ...
+    def return_unsent_hops(self, index: int) -> None:
+        """Ends hops that were not started as SKIPPED, where their host drains or has another address."""
+        ...
 
-    def unlisted(self, index: int) -> None: ...
+    def remove_host(self, index: int) -> None:
+        """Removes a host that is gone."""
+        ...
 
 
 class Dispatcher:
@@ -144,7 +150,7 @@
         self.process_stalled: Callable[[int], bool] = lambda now: False
         self.request_list: Callable[[], None] = lambda: None
         self.host_indices: dict[str, int] = {}
-        self.members: dict[str, HostEntry] = {}  # the current host list, by host id
+        self.host_entries: dict[str, HostEntry] = {}  # the current host list, by host id
         self.missing_since: dict[str, int] = {}  # when hosts left the list, if the list is only advisory about that
         self.cold_fraction = 1.0  # the part of this balancer's cold budget that this process may use
         self.short_of_sockets = False  # there are more cache hosts than sockets for them
@@ -427,19 +433,19 @@
         members = tuple(x for x in members if x.status is not m.HostStatus.GONE or x.id in gone)
         entries = tuple(self._listed_host(member) for member in members)
         for entry, member in zip(entries, members, strict=True):
-            self.pool.listed(entry.host, member.address, entry.status is m.HostStatus.READY)
+            self.pool.update_host(entry.host, member.address, entry.status is m.HostStatus.READY)
         if complete:
-            self.members = {}
-        self.members.update((member.id, member) for member in members)
+            self.host_entries = {}
+        self.host_entries.update((member.id, member) for member in members)
         for name in gone:
-            self.members.pop(name, None)
+            self.host_entries.pop(name, None)
         self._check_host_sockets()
         self.handle_event(m.ListChanged(complete, entries + missing))
         # After the event: the decisions route returned hops anew, so they have to know the new list first.
         for entry in entries:
-            self.pool.recall(entry.host)
+            self.pool.return_unsent_hops(entry.host)
         for name in sorted(gone):
-            self.pool.unlisted(self.host_indices.pop(name))
+            self.pool.remove_host(self.host_indices.pop(name))
 
     def _check_host_sockets(self) -> None:
         """Warns once each time that the hosts outnumber their sockets. Idle connections are then closed for others."""
@@ -468,7 +474,7 @@
         for name in lacking:
             self.missing_since.setdefault(name, self.now())
         entries = tuple(
-            replace(self._listed_host(self.members[name]), status=m.HostStatus.GONE) for name in sorted(lacking)
+            replace(self._listed_host(self.host_entries[name]), status=m.HostStatus.GONE) for name in sorted(lacking)
         )
         return tuple(x for x in members if x.id in named), entries
 
@@ -476,8 +482,8 @@
         """Removes hosts that have been missing from the list for so long that the decisions have forgotten them."""
         before = self.now() - FORGET_HOST_AFTER_NS - SECOND
         for name in [name for name, since in self.missing_since.items() if since <= before]:
-            del self.missing_since[name], self.members[name]
-            self.pool.unlisted(self.host_indices.pop(name))
+            del self.missing_since[name], self.host_entries[name]
+            self.pool.remove_host(self.host_indices.pop(name))
         if self.missing_since:
             self.call_at(min(self.missing_since.values()) + FORGET_HOST_AFTER_NS + SECOND, self._remove_missing)
 
@@ -485,7 +491,7 @@
         """Called when another process of this balancer starts or stops sending to the same cache hosts."""
         if fraction != self.cold_fraction:
             self.cold_fraction = fraction
-            self.update_hosts(True, tuple(self.members.values()))
+            self.update_hosts(True, tuple(self.host_entries.values()))
 
     def _listed_host(self, member: HostEntry) -> m.ListedHost:
         # The id serves as the address: it is the same at every balancer, while addresses may differ.
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -40,23 +40,23 @@
 
     # ---- calls of the dispatcher ----
 
-    def listed(self, index: int, address: Address, ready: bool) -> None:
+    def update_host(self, index: int, address: Address, ready: bool) -> None:
         """Adds or updates a cache host of the host list."""
         host = self.hosts.setdefault(index, HostConnections(index, address))
         if address != host.address or not ready:
             self._close_idle(host)
         host.address, host.ready = address, ready
 
-    def unlisted(self, index: int) -> None:
+    def remove_host(self, index: int) -> None:
         """Removes a cache host that is gone for good; its record goes with its last connection."""
         host = self.hosts.get(index)
         if host is None:
             return  # the list that named it failed before it reached the pool
         host.ready, host.gone = False, True
-        self.recall(index)
+        self.return_unsent_hops(index)
         self._remove_if_unused(host)
 
-    def recall(self, index: int) -> None:
+    def return_unsent_hops(self, index: int) -> None:
         """Takes back the hops that connections have not started, where the host drains or its address changed."""
         for connection in list(self.hosts[index].connections):
             if not connection.may_send():
--- a/ternquay/net/replacement.py
+++ b/ternquay/net/replacement.py
@@ -157,7 +157,7 @@
                 service.serves(),
                 str(discovery.address),
                 discovery.revision,
-                tuple(dispatcher.members.values()),
+                tuple(dispatcher.host_entries.values()),
                 encode_learned(dispatcher.balancer.learned(), names),
             )
         )
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -126,7 +126,7 @@
     net.run(FORGET_HOST_AFTER_NS // 1_000_000 + 3000)
     assert (
         not net.dispatcher.host_indices
-        and not net.dispatcher.members
+        and not net.dispatcher.host_entries
         and not net.dispatcher.missing_since
         and not net.pool.hosts
     )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -166,7 +166,7 @@
     net.list(member(1, "removed"))
     net.dispatcher.set_cold_fraction(1.0)
     assert [h.cold_fraction for h in net.dispatcher.balancer.hosts.values()] == [1.0, 1.0] and set(
-        net.dispatcher.members
+        net.dispatcher.host_entries
     ) == {
         "h2",
         "h3",
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -26,14 +26,14 @@
     net = Net(hosts=1)
     client = net.client()
     client.feed(mg(1))
-    listed = net.pool.listed
+    listed = net.pool.update_host
 
     def fails(index: int, *args: Any) -> None:
         if index:
             raise RuntimeError("broken on purpose")
         listed(index, *args)
 
-    monkeypatch.setattr(net.pool, "listed", fails)
+    monkeypatch.setattr(net.pool, "update_host", fails)
     with pytest.raises(RuntimeError):
         net.list(member(1, "draining"), member(2))
     net.accept()
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -246,7 +246,7 @@
     watch, agent = followed(net, monkeypatch)
     agent.calls[0].callback(list_response(5, member(1)))
     with monkeypatch.context() as broken:
-        broken.setattr(net.pool, "listed", lambda *_: 1 / 0)
+        broken.setattr(net.pool, "update_host", lambda *_: 1 / 0)
         agent.calls[1].callback(list_response(6, member(2), complete=False))
     run_until_called(net, agent, 3)
     assert not any("index=6" in one for one in net.trace)
