--- a/ternquay/rig/laws/fleet.py
+++ b/ternquay/rig/laws/fleet.py
@@ -1,11 +1,11 @@
-"""All cache hosts, the origin behind them and their list, with the day's faults, as one law on one heap of times.
-
-fleet = Fleet(day, faults, seed, places)     # places: where each host listens, as text
-ticket = fleet.arrive(now, host, ask)        # a command came whole
-fleet.cancel(now, ticket)                    # nobody waits for its answer any more
-fleet.advance(now)                           # all that was due by now
-fleet.take()                                 # what has come of it since: Answer, HostDown, HostUp, ListChanged
-fleet.due()                                  # when advance() is wanted next, or None
+"""Model of all cache hosts, the origin behind them and their list, with the day's faults, in one event queue.
+
+fleet = Fleet(day, faults, seed, addresses)  # addresses: where each host listens, as text
+ticket = fleet.arrive(now, host, command)    # a host received a complete command
+fleet.cancel(now, ticket)                    # no client waits for the answer any more
+fleet.advance(now)                           # processes everything due by now
+fleet.take_outcomes()                        # results since the last call: Answer, HostDown, HostUp, ListChanged
+fleet.due()                                  # time of the next event, or None
 """
 
 from dataclasses import dataclass, field
@@ -18,16 +18,19 @@
 from ternquay.rig.laws.origin import Origin
 from ternquay.rig.terms import MS, SECOND, Day, Planned
 
-REPEAT_WORK = 0.2  # of a repeat that is dropped, of the usual
-SAMPLE = SECOND // 4
+REPEAT_WORK_SHARE = 0.2  # work of a repeat without effect, relative to a full command
+SAMPLE_INTERVAL_NS = SECOND // 4
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """A cache host answers a command: value, receipt, busy or error; the note is 1 a hit, 2 a miss, 3 shared."""
+    """The answer of a cache host to a command: value, receipt, busy or error.
+
+    The note is 1 for a hit, 2 for a miss and 3 for a miss that shared another command's fetch.
+    """
 
     ticket: int
-    what: str
+    kind: str
     note: int = 0
     stamp: str = ""
     size: int = 0
@@ -35,17 +38,21 @@
 
 @dataclass(slots=True, frozen=True)
 class HostDown:
+    """A host stopped."""
+
     host: int
 
 
 @dataclass(slots=True, frozen=True)
 class HostUp:
+    """A host started."""
+
     host: int
 
 
 @dataclass(slots=True, frozen=True)
 class ListChanged:
-    """There is a new revision, which can be told from `at` on."""
+    """The list has a new revision, which is visible from `at` on."""
 
     at: int
 
@@ -54,8 +61,8 @@
 
 
 @dataclass(slots=True)
-class Seen:
-    """What the fleet knows of one command, for the judge; times are 0 where it did not come to that."""
+class CommandRecord:
+    """The history of one command, for the judge; the time of a step that did not happen is 0."""
 
     command: CacheCommand
     host: int
@@ -73,7 +80,9 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Tip:
+class Collapse:
+    """A cold host that collapsed under load; `pushed` is the arriving work relative to its capacity."""
+
     at: int
     host: int
     name: str
@@ -83,6 +92,8 @@
 
 @dataclass(slots=True, frozen=True)
 class HostState:
+    """A periodic sample of one host; `work` is the total of the work started, in nanoseconds."""
+
     at: int
     host: int
     up: bool
@@ -93,32 +104,34 @@
 
 @dataclass(slots=True)
 class Mark:
-    """A journalled transaction that is known: repeats within its memory have no effect."""
+    """A remembered journalled transaction: repeats within the profile's memory time have no effect."""
 
     first: int
     ticket: int
     stamp: str = ""
-    waiting: list[Job] = field(default_factory=list)  # repeats that came while it was under way
+    waiting: list[Job] = field(default_factory=list)  # repeats that arrived while it was in progress
 
 
 @dataclass(slots=True)
 class Fleet:
+    """The event-driven model. Callers pass the current time in nanoseconds, which never decreases."""
+
     day: Day
     faults: tuple[Planned, ...]
     seed: int
-    places: list[str]
+    addresses: list[str]
     hosts: list[CacheHost] = field(default_factory=list)
-    seen: dict[int, Seen] = field(default_factory=dict)
-    tips: list[Tip] = field(default_factory=list)
-    states: list[HostState] = field(default_factory=list)
-    heap: list[tuple[int, int, str, int, Planned | None]] = field(default_factory=list)
-    wakes: list[tuple[int, int]] = field(default_factory=list)  # a heap of when a host is due; may be over by now
+    records: dict[int, CommandRecord] = field(default_factory=dict)
+    collapses: list[Collapse] = field(default_factory=list)
+    samples: list[HostState] = field(default_factory=list)
+    events: list[tuple[int, int, str, int, Planned | None]] = field(default_factory=list)
+    host_wakeups: list[tuple[int, int]] = field(default_factory=list)  # heap of (time, host), may be stale
     outcomes: list[Outcome] = field(default_factory=list)
     marks: dict[str, Mark] = field(default_factory=dict)
     jobs: dict[int, tuple[CacheHost, Job]] = field(default_factory=dict)
-    incarnations: int = 0
-    tickets: int = 0
-    pushes: int = 0
+    names_drawn: int = 0
+    last_ticket: int = 0
+    event_count: int = 0
     origin: Origin = field(init=False)
     listing: Listing = field(init=False)
     random: Random = field(init=False)
@@ -129,22 +142,23 @@
         self.listing = Listing(self.day.list, self.faults, self.seed)
         for index in range(self.day.hosts.count):
             speed = self.random.uniform(*self.day.hosts.speed)
-            host = CacheHost(self.day.hosts, index, self._name(index), speed)
+            host = CacheHost(self.day.hosts, index, self._new_name(index), speed)
             self.hosts.append(host)
-            self.listing.change(0, self._entry(host, "up"), at_once=True)
-        self._fill()
+            self.listing.change(0, self._list_entry(host, "up"), at_once=True)
+        self._fill_caches()
         for fault in self.faults:
-            self._plan(fault)
-        self._push(0, "sample", 0)
+            self._schedule_fault(fault)
+        self._schedule(0, "sample", 0)
         if self.day.list.weights_ms:
-            self._push(0, "weights", 0)
+            self._schedule(0, "weights", 0)
 
-    def _name(self, index: int) -> str:
-        self.incarnations += 1
-        return f"host-{index}-{Random(f'{self.seed}/name/{self.incarnations}').randrange(16**6):06x}"
+    def _new_name(self, index: int) -> str:
+        self.names_drawn += 1
+        return f"host-{index}-{Random(f'{self.seed}/name/{self.names_drawn}').randrange(16**6):06x}"
 
-    def _fill(self) -> None:
-        # The keys most asked for, each at all hosts that it fits on: the balancers' placement sorts them out.
+    def _fill_caches(self) -> None:
+        # Every host starts with as many of the most popular keys as fit; the placement of the balancers decides which
+        # of these copies are used.
         terms = self.day.hosts
         room = terms.keep_bytes * terms.kept_at_start
         for host in self.hosts:
@@ -156,247 +170,257 @@
 
     # ---- the day's faults ----
 
-    def _push(self, at: int, what: str, host: int, fault: Planned | None = None) -> None:
-        self.pushes += 1
-        heappush(self.heap, (at, self.pushes, what, host, fault))
+    def _schedule(self, at: int, event: str, host: int, fault: Planned | None = None) -> None:
+        self.event_count += 1
+        heappush(self.events, (at, self.event_count, event, host, fault))
 
-    def _plan(self, f: Planned) -> None:
-        begins = {
+    def _schedule_fault(self, fault: Planned) -> None:
+        first_events = {
             "host-slow": "slow",
-            "host-silent": "mute",
+            "host-silent": "silent",
             "host-crash": "crash",
             "host-replaced": "drain",
-            "origin-slow": "origin",
+            "origin-slow": "origin-slow",
             "host-drains": "drain",
         }
-        if f.kind == "rolling-release":
-            self._plan_release(f)
-        elif f.kind == "origin-slow":
-            self._push(f.start, "origin", 0, f)
-            self._push(f.end, "origin-well", 0, f)
-        elif f.kind in begins:
-            for host in f.hosts:
-                self._push(f.start, begins[f.kind], host, f)
-                if f.kind not in ("host-replaced", "host-drains"):
-                    self._push(f.end, {"slow": "even", "mute": "heal", "crash": "back"}[begins[f.kind]], host, f)
-
-    def _plan_release(self, f: Planned) -> None:
-        """So large a part of the fleet at a time, each group drained, gone, and back under its old address."""
-        order = list(f.hosts)
+        if fault.kind == "rolling-release":
+            self._schedule_release(fault)
+        elif fault.kind == "origin-slow":
+            self._schedule(fault.start, "origin-slow", 0, fault)
+            self._schedule(fault.end, "origin-slow-end", 0, fault)
+        elif fault.kind in first_events:
+            for host in fault.hosts:
+                self._schedule(fault.start, first_events[fault.kind], host, fault)
+                if fault.kind not in ("host-replaced", "host-drains"):
+                    self._schedule(
+                        fault.end,
+                        {"slow": "slow-end", "silent": "silent-end", "crash": "start"}[first_events[fault.kind]],
+                        host,
+                        fault,
+                    )
+
+    def _schedule_release(self, fault: Planned) -> None:
+        """Schedules a rolling release: group by group, hosts drain, stop and start again at their old address."""
+        order = list(fault.hosts)
         Random(f"{self.seed}/release").shuffle(order)
-        size = max(1, round(f.part * self.day.hosts.count))
+        size = max(1, round(fault.part * self.day.hosts.count))
         groups = [order[n : n + size] for n in range(0, len(order), size)]
-        each = (f.end - f.start) // len(groups)
+        step = (fault.end - fault.start) // len(groups)
         for n, group in enumerate(groups):
             for host in group:
-                self._push(f.start + n * each, "drain", host, f)
+                self._schedule(fault.start + n * step, "drain", host, fault)
 
-    def _fault(self, at: int, what: str, host: CacheHost, f: Planned) -> None:
-        if what in ("slow", "even"):
-            host.slowdown = f.factor if what == "slow" else 1.0
-        elif what == "mute":
+    def _apply_fault(self, at: int, event: str, host: CacheHost, fault: Planned) -> None:
+        if event in ("slow", "slow-end"):
+            host.slowdown = fault.factor if event == "slow" else 1.0
+        elif event == "silent":
             host.silent = True
-        elif what == "heal":
+        elif event == "silent-end":
             host.resume(at)
-        elif what == "origin":
-            self.origin.factor = f.factor
-        elif what == "origin-well":
+        elif event == "origin-slow":
+            self.origin.factor = fault.factor
+        elif event == "origin-slow-end":
             self.origin.factor = 1.0
-        elif what == "drain" and not host.collapsed:
+        elif event == "drain" and not host.collapsed:
             host.draining = True
-            self._tell(at, host, "draining")
-            # It is gone once what it had is done, or as a deploy does it, after a second; or stays up for all the day.
-            if f.kind != "host-drains":
-                self._push(at + SECOND, "gone", host.index, f)
-        elif what in ("crash", "gone") and host.up:
-            self._down(at, host)
-            if what == "gone":
-                self._push(at + max(f.pause, 300 * MS), "back", host.index, f)
-        elif what == "back" and not host.collapsed:
-            old = f.kind == "host-crash"
-            host.start(at, host.name if old else self._name(host.index))
+            self._change_list(at, host, "draining")
+            # As in a deploy, the host stops one second later, done or not. With `host-drains` it stays up all day.
+            if fault.kind != "host-drains":
+                self._schedule(at + SECOND, "stop", host.index, fault)
+        elif event in ("crash", "stop") and host.up:
+            self._stop_host(at, host)
+            if event == "stop":
+                self._schedule(at + max(fault.pause, 300 * MS), "start", host.index, fault)
+        elif event == "start" and not host.collapsed:
+            keeps_name = fault.kind == "host-crash"
+            host.start(at, host.name if keeps_name else self._new_name(host.index))
             self.outcomes.append(HostUp(host.index))
-            self._tell(at, host, "up")
+            self._change_list(at, host, "up")
 
-    def _tell(self, at: int, host: CacheHost, phase: str) -> None:
-        self.outcomes.append(ListChanged(self.listing.change(at, self._entry(host, phase))))
+    def _change_list(self, at: int, host: CacheHost, phase: str) -> None:
+        self.outcomes.append(ListChanged(self.listing.change(at, self._list_entry(host, phase))))
 
-    def _entry(self, host: CacheHost, phase: str) -> Entry:
-        zones, held = self.day.hosts.zones, len(host.jobs) / self.day.hosts.cores
+    def _list_entry(self, host: CacheHost, phase: str) -> Entry:
+        zones, load = self.day.hosts.zones, len(host.jobs) / self.day.hosts.cores
         return Entry(
             host.name,
-            self.places[host.index],
+            self.addresses[host.index],
             phase,
             host.started_at,
             f"zone-{host.index % zones}" if zones > 1 else "here",
-            1 / (1 + held) if self.day.list.weights_ms else 1.0,
+            1 / (1 + load) if self.day.list.weights_ms else 1.0,
         )
 
-    def _tell_weights(self, at: int) -> None:
+    def _update_weights(self, at: int) -> None:
         for host in self.hosts:
             if host.up and not host.draining:
-                self._tell(at, host, "up")
+                self._change_list(at, host, "up")
         if at < self.day.seconds * SECOND:
-            self._push(at + self.day.list.weights_ms * MS, "weights", 0)
+            self._schedule(at + self.day.list.weights_ms * MS, "weights", 0)
 
-    def _down(self, at: int, host: CacheHost) -> None:
+    def _stop_host(self, at: int, host: CacheHost) -> None:
         for ticket, job in list(host.jobs.items()):
-            self._void_mark(at, ticket, job)
-            self._ended(at, ticket, "")
+            self._forget_mark(at, ticket, job)
+            self._finish(at, ticket, "")
         host.crash()
         self.outcomes.append(HostDown(host.index))
-        self._tell(at, host, "removed")
+        self._change_list(at, host, "removed")
 
     # ---- commands ----
 
     def arrive(self, now: int, host_index: int, command: CacheCommand) -> int:
-        self.tickets += 1
-        host, ticket = self.hosts[host_index], self.tickets
+        """Passes a complete command to a host and returns its ticket."""
+        self.last_ticket += 1
+        host, ticket = self.hosts[host_index], self.last_ticket
         profile = self.day.profiles[command.profile]
         work = int(self.random.uniform(*profile.work_ms) * MS)
-        seen = self.seen[ticket] = Seen(command, host_index, host.name, now)
+        record = self.records[ticket] = CommandRecord(command, host_index, host.name, now)
         job = Job(ticket, command, work)
         mark = self.marks.get(command.mark) if command.mark else None
         if mark is not None and now - mark.first < profile.memory_ms * MS:
-            job.repeat = seen.repeat = True
-            job.work = int(job.work * REPEAT_WORK)
+            job.repeat = record.repeat = True
+            job.work = int(job.work * REPEAT_WORK_SHARE)
         self.jobs[ticket] = host, job
         host.accept(now, job)
         if command.mark and not job.repeat and job.stage != "over":
             self.marks[command.mark] = Mark(now, ticket)
-        seen.fate = "busy" if job.stage == "over" else "swallowed" if host.silent else "taken"
-        self._carry(now, host)
+        record.fate = "busy" if job.stage == "over" else "swallowed" if host.silent else "taken"
+        self._perform_actions(now, host)
         return ticket
 
     def cancel(self, now: int, ticket: int) -> None:
+        """Stops the work on a command whose answer nobody waits for."""
         if ticket not in self.jobs:
             return
         host, job = self.jobs[ticket]
         if host.cancel(now, ticket):
-            self._void_mark(now, ticket, job)
-            self._ended(now, ticket, "cancelled")
-        self._carry(now, host)
+            self._forget_mark(now, ticket, job)
+            self._finish(now, ticket, "cancelled")
+        self._perform_actions(now, host)
 
-    def _ended(self, now: int, ticket: int, answer: str, stamp: str = "") -> None:
-        seen = self.seen[ticket]
+    def _finish(self, now: int, ticket: int, answer: str, stamp: str = "") -> None:
+        record = self.records[ticket]
         _, job = self.jobs.pop(ticket)
-        seen.begun, seen.note, seen.cold = job.started, job.note, job.cold
-        seen.ended, seen.answer, seen.stamp = now, answer, stamp
+        record.begun, record.note, record.cold = job.started, job.note, job.cold
+        record.ended, record.answer, record.stamp = now, answer, stamp
 
-    # ---- what hosts say ----
+    # ---- actions of hosts ----
 
-    def _carry(self, now: int, host: CacheHost) -> None:
+    def _perform_actions(self, now: int, host: CacheHost) -> None:
         while host.actions:
             actions, host.actions = host.actions, []
             for action in actions:
                 self._perform(now, host, action)
         if (due := host.due()) is not None:
-            heappush(self.wakes, (due, host.index))
+            heappush(self.host_wakeups, (due, host.index))
 
     def _perform(self, now: int, host: CacheHost, action: Action) -> None:
         job = action.job
         if job is None:
-            self._tip(now, host)
+            self._collapse(now, host)
         elif action.kind in ("fetch", "store"):
             if not self.origin.ask(now, job.ticket, job.cold and action.kind == "fetch"):
-                self._from_origin(now, job.ticket, False)
+                self._origin_ended(now, job.ticket, False)
         elif job.ticket in self.jobs:
             self._answer(now, host, job, action.kind)
 
-    def _answer(self, now: int, host: CacheHost, job: Job, what: str) -> None:
+    def _answer(self, now: int, host: CacheHost, job: Job, kind: str) -> None:
         mark, stamp = self.marks.get(job.command.mark), ""
-        if what == "answer":
-            what, stamp = "receipt" if job.command.write else "value", f"{host.name}.{job.ticket}.{job.command.id}"
-            if what == "value":
-                stamp += f"/{max(job.command.size, len(stamp) + 9)}"  # how long the whole value is
+        if kind == "answer":
+            kind, stamp = "receipt" if job.command.write else "value", f"{host.name}.{job.ticket}.{job.command.id}"
+            if kind == "value":
+                stamp += f"/{max(job.command.size, len(stamp) + 9)}"  # length of the whole value
             if mark is not None and job.repeat:
                 if not mark.stamp:
-                    mark.waiting.append(job)  # told what comes of the first, once that is known
+                    mark.waiting.append(job)  # answered when the result of the first is known
                     return
                 stamp = mark.stamp
-        self._give(now, job, what, stamp)
+        self._send_answer(now, job, kind, stamp)
         if mark is not None and mark.ticket == job.ticket and stamp:
             mark.stamp = stamp
-            for one in mark.waiting:
-                self._give(now, one, what, stamp)
+            for repeat in mark.waiting:
+                self._send_answer(now, repeat, kind, stamp)
             mark.waiting.clear()
 
-    def _give(self, now: int, job: Job, what: str, stamp: str) -> None:
+    def _send_answer(self, now: int, job: Job, kind: str, stamp: str) -> None:
         if job.ticket in self.jobs:
-            self._ended(now, job.ticket, what, stamp)
-            self.outcomes.append(Answer(job.ticket, what, job.note, stamp, job.command.size))
+            self._finish(now, job.ticket, kind, stamp)
+            self.outcomes.append(Answer(job.ticket, kind, job.note, stamp, job.command.size))
 
-    def _void_mark(self, now: int, ticket: int, job: Job) -> None:
-        """It had no effect and won't have one, so a repeat must."""
+    def _forget_mark(self, now: int, ticket: int, job: Job) -> None:
+        """Forgets the mark of a command that will never take effect, so that a repeat of it does."""
         mark = self.marks.get(job.command.mark)
         if mark is not None and mark.ticket == ticket and not mark.stamp:
             del self.marks[job.command.mark]
-            for one in mark.waiting:
-                self._give(now, one, "error", "")
+            for repeat in mark.waiting:
+                self._send_answer(now, repeat, "error", "")
 
-    def _tip(self, now: int, host: CacheHost) -> None:
+    def _collapse(self, now: int, host: CacheHost) -> None:
         pushed = host.recent_work / (host.capacity(now) * host.terms.tip_window_ms * MS)
-        self.tips.append(Tip(now, host.index, host.name, host.warmth(now), pushed))
-        self._down(now, host)
+        self.collapses.append(Collapse(now, host.index, host.name, host.warmth(now), pushed))
+        self._stop_host(now, host)
 
-    def _from_origin(self, now: int, ticket: int, well: bool) -> None:
+    def _origin_ended(self, now: int, ticket: int, succeeded: bool) -> None:
         if ticket not in self.jobs:
-            return  # its host died meanwhile
+            return  # the host stopped meanwhile
         host, job = self.jobs[ticket]
         if job.stage == "storing":
-            if well:
-                self.seen[ticket].effect = now
+            if succeeded:
+                self.records[ticket].effect = now
                 for other in self.hosts:
                     other.invalidate(job.command.key)
             else:
-                self._void_mark(now, ticket, job)
-            host.store_ended(job, well)
+                self._forget_mark(now, ticket, job)
+            host.store_ended(job, succeeded)
         else:
-            host.fetch_ended(now, job, well)
-        self._carry(now, host)
+            host.fetch_ended(now, job, succeeded)
+        self._perform_actions(now, host)
 
     # ---- time ----
 
     def advance(self, now: int) -> None:
+        """Processes all events due by now, in order."""
         while (due := self.due()) is not None and due <= now:
             at = max(due, 0)
-            for ticket, well in self.origin.advance(at):
-                self._from_origin(at, ticket, well)
-            while self.wakes and self.wakes[0][0] <= at:
-                host = self.hosts[heappop(self.wakes)[1]]
+            for ticket, succeeded in self.origin.advance(at):
+                self._origin_ended(at, ticket, succeeded)
+            while self.host_wakeups and self.host_wakeups[0][0] <= at:
+                host = self.hosts[heappop(self.host_wakeups)[1]]
                 if (end := host.due()) is not None and end <= at:
                     host.advance(at)
-                    self._carry(at, host)
-            while self.heap and self.heap[0][0] <= at:
-                _, _, what, index, fault = heappop(self.heap)
+                    self._perform_actions(at, host)
+            while self.events and self.events[0][0] <= at:
+                _, _, event, index, fault = heappop(self.events)
                 if fault is not None:
-                    self._fault(at, what, self.hosts[index], fault)
-                    self._carry(at, self.hosts[index])
-                elif what == "weights":
-                    self._tell_weights(at)
+                    self._apply_fault(at, event, self.hosts[index], fault)
+                    self._perform_actions(at, self.hosts[index])
+                elif event == "weights":
+                    self._update_weights(at)
                 else:
                     self._sample(at)
 
     def _sample(self, at: int) -> None:
         for host in self.hosts:
-            self.states.append(
+            self.samples.append(
                 HostState(at, host.index, host.up, host.warmth(at) if host.up else 0.0, len(host.jobs), host.work_done)
             )
-        self._forget_marks(at)
+        self._expire_marks(at)
         if at < self.day.seconds * SECOND:
-            self._push(at + SAMPLE, "sample", 0)
+            self._schedule(at + SAMPLE_INTERVAL_NS, "sample", 0)
 
-    def _forget_marks(self, at: int) -> None:
+    def _expire_marks(self, at: int) -> None:
         memory = max((p.memory_ms for p in self.day.profiles), default=0) * MS
-        self.marks = {k: mark for k, mark in self.marks.items() if at - mark.first <= memory}
+        self.marks = {id: mark for id, mark in self.marks.items() if at - mark.first <= memory}
 
     def due(self) -> int | None:
-        found = self.origin.due()
-        for heap in (self.wakes, self.heap):
-            if heap and (found is None or heap[0][0] < found):
-                found = heap[0][0]
-        return found
-
-    def take(self) -> list[Outcome]:
+        """Returns the time of the next event, or None."""
+        earliest = self.origin.due()
+        for heap in (self.host_wakeups, self.events):
+            if heap and (earliest is None or heap[0][0] < earliest):
+                earliest = heap[0][0]
+        return earliest
+
+    def take_outcomes(self) -> list[Outcome]:
+        """Returns and clears the outcomes since the last call."""
         outcomes, self.outcomes = self.outcomes, []
         return outcomes
--- a/ternquay/rig/standins/hosts.py
+++ b/ternquay/rig/standins/hosts.py
@@ -140,13 +140,13 @@
 def shaped(command: Command, answer: f.Answer) -> bytes:
     """In the protocol's form; a value begins with its stamp, which no one else can make."""
     id, stamp = command.id.encode(), answer.stamp.encode()
-    if answer.what == "value":
+    if answer.kind == "value":
         body = stamp + b" " + PAD[: int(stamp.rpartition(b"/")[2]) - len(stamp) - 1]
         note = (b"", b" h1", b" h0", b" h0 Z")[answer.note]
         return b"VA %d O%b%b\r\n%b\r\n" % (len(body), id, note, body)
-    if answer.what == "receipt":
+    if answer.kind == "receipt":
         return b"HD O%b c%b\r\n" % (id, stamp)
-    return b"SERVER_ERROR busy\r\n" if answer.what == "busy" else b"SERVER_ERROR failed\r\n"
+    return b"SERVER_ERROR busy\r\n" if answer.kind == "busy" else b"SERVER_ERROR failed\r\n"
 
 
 class HostPort(Factory):
@@ -277,7 +277,7 @@
     def pump(self) -> None:
         now = self.now()
         self.law.advance(now)
-        for outcome in self.law.take():
+        for outcome in self.law.take_outcomes():
             if isinstance(outcome, f.Answer):
                 self._answer(outcome)
             elif isinstance(outcome, f.HostDown):
@@ -311,7 +311,7 @@
 
     def saw(self, told: list[records.Told], cpu: float) -> records.FleetSaw:
         for ticket, hop in self.noted.items():
-            seen = self.law.seen[ticket]
+            seen = self.law.records[ticket]
             if hop.fate == "taken":
                 hop.fate = seen.fate
             hop.begun, hop.effect, hop.ended = (t and t + self.begin for t in (seen.begun, seen.effect, seen.ended))
@@ -325,11 +325,11 @@
             cpu=cpu,
             strange=self.strangers,
             origin=law.origin.asked,
-            tipped=[records.Tipped(t.at + b, t.host, t.name, t.warmth, t.pushed) for t in law.tips],
+            tipped=[records.Tipped(t.at + b, t.host, t.name, t.warmth, t.pushed) for t in law.collapses],
             stopped=[records.Stopped(s.at + b, s.asked, s.by_cold) for s in law.origin.stops],
             samples=[
                 records.HostSample(s.at + b, s.host, s.up, s.warmth, s.open, s.work)
-                for s in law.states
+                for s in law.samples
                 if s.host in mine
             ],
         )
--- a/ternquay/rig/virtual.py
+++ b/ternquay/rig/virtual.py
@@ -155,10 +155,10 @@
     # ---- time ----
 
     def _take(self) -> None:
-        for outcome in self.fleet.take():
+        for outcome in self.fleet.take_outcomes():
             if isinstance(outcome, f.Answer):
                 hop = self.tickets[outcome.ticket]
-                self.later(self.now + NET, self._hop_ended, hop.id, hop, outcome.what, outcome.stamp)
+                self.later(self.now + NET, self._hop_ended, hop.id, hop, outcome.kind, outcome.stamp)
             elif isinstance(outcome, f.ListChanged):
                 self.later(outcome.at, self._tell, self.fleet.listing.revision(outcome.at - 1))
 
@@ -183,14 +183,14 @@
 
     def _saw(self) -> records.Saw:
         for ticket, hop in self.tickets.items():
-            seen = self.fleet.seen[ticket]
+            seen = self.fleet.records[ticket]
             hop.fate, hop.repeat, hop.note, hop.stamp = seen.fate, seen.repeat, seen.note, seen.stamp
             hop.effect, hop.answer, hop.cold = seen.effect and seen.effect + BEGIN, seen.answer, seen.cold
         origin = self.fleet.origin
         saw = records.FleetSaw(
             self.hops,
             self.told,
-            [records.Tipped(t.at + BEGIN, t.host, t.name, t.warmth, t.pushed) for t in self.fleet.tips],
+            [records.Tipped(t.at + BEGIN, t.host, t.name, t.warmth, t.pushed) for t in self.fleet.collapses],
             [records.Stopped(s.at + BEGIN, s.asked, s.by_cold) for s in origin.stops],
             origin.asked,
             [],
--- a/tests/test_laws.py
+++ b/tests/test_laws.py
@@ -88,10 +88,10 @@
         self.take()
 
     def take(self) -> None:
-        for one in self.fleet.take():
+        for one in self.fleet.take_outcomes():
             if isinstance(one, f.Answer):
                 note = ("", " hit", " miss", " shared miss")[one.note]
-                self.say(f"{self.names[one.ticket]} ends: {one.what}{note}")
+                self.say(f"{self.names[one.ticket]} ends: {one.kind}{note}")
             elif isinstance(one, f.ListChanged):
                 entry = self.fleet.listing.entries[-1]
                 self.say(f"{entry.phase} of a host at {entry.where} can be told from {one.at / MS:.0f} ms on")
@@ -135,7 +135,7 @@
     scene.run(1000)
     late = scene.ask("forgotten", profile=NOTE, mark="m")
     scene.run(100)
-    seen = scene.fleet.seen
+    seen = scene.fleet.records
     assert seen[first].stamp == seen[repeat].stamp and seen[repeat].effect == 0 != seen[first].effect
     assert seen[late].effect
     check_trace("law_marks", scene.trace)
@@ -152,7 +152,7 @@
     scene.run(20)
     scene.cancel(stored)
     scene.run(100)
-    assert [bool(scene.fleet.seen[t].effect) for t in (running, queued, stored)] == [False, False, True]
+    assert [bool(scene.fleet.records[t].effect) for t in (running, queued, stored)] == [False, False, True]
     check_trace("law_cancel", scene.trace)
 
 
@@ -169,7 +169,7 @@
         if scene.fleet.hosts[host].collapsed:
             break
     scene.trace[3:] = [line for line in scene.trace[3:] if "asked" not in line]
-    assert scene.fleet.tips[0].pushed > 4.0
+    assert scene.fleet.collapses[0].pushed > 4.0
     check_trace("law_cold", scene.trace)
 
 
@@ -179,7 +179,7 @@
     ticket = scene.ask("swallowed")
     scene.run(1000)
     check_trace("law_silent", scene.trace)
-    assert scene.fleet.seen[ticket].fate == "swallowed"
+    assert scene.fleet.records[ticket].fate == "swallowed"
 
 
 def test_the_origin_stops_past_its_load_and_comes_back() -> None:
