--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -212,10 +212,12 @@
         held = {runtime: runtime.buffered_bytes() for runtime in self.runtimes.values()}
         while sum(held.values()) > self.memory_bytes:
             runtime = max(held, key=lambda one: held[one] - one.entry.tenant.limits.memory.least * self.memory_bytes)
-            clients = [client for client in runtime.frontend.all if client.kept or client.queued]
+            clients = [client for client in runtime.frontend.clients if client.buffered_bytes or client.queued_bytes]
             if not clients:
                 break
-            runtime.frontend.drop(max(clients, key=lambda client: client.kept + client.queued), CloseReason.MEMORY)
+            runtime.frontend.drop(
+                max(clients, key=lambda client: client.buffered_bytes + client.queued_bytes), CloseReason.MEMORY
+            )
             held[runtime] = runtime.buffered_bytes()
 
     def process(self) -> dict[str, Any]:
@@ -257,7 +259,7 @@
         accept_grace = leave_after = stop_after = flush_timeout = 0
         for runtime in self.runtimes.values():
             limits = runtime.limits
-            runtime.dispatcher.ends_at = now + limits.last_answer_after
+            runtime.dispatcher.answer_deadline = now + limits.last_answer_after
             accept_grace, stop_after = max(accept_grace, limits.accept_grace), max(stop_after, limits.stop_after)
             leave_after, flush_timeout = (
                 max(leave_after, limits.leave_after),
@@ -269,7 +271,7 @@
         self.reactor.callLater(stop_after / SECOND, self._stop)
 
     def _open_transactions(self) -> int:
-        return sum(not tx.answered for runtime in self.runtimes.values() for tx in runtime.dispatcher.txs.values())
+        return sum(not tx.answered for runtime in self.runtimes.values() for tx in runtime.dispatcher.open_txs.values())
 
     def _close_listeners(self) -> None:
         closed = [runtime.close_listeners(not runtime.frontend.leaving) for runtime in self.runtimes.values()]
@@ -282,7 +284,7 @@
         self._wait_for_clients()
 
     def _wait_for_clients(self) -> None:
-        if any(runtime.frontend.all for runtime in self.runtimes.values()):
+        if any(runtime.frontend.clients for runtime in self.runtimes.values()):
             self.reactor.callLater(0.01, self._wait_for_clients)
         else:
             self._stop()
@@ -293,7 +295,7 @@
             after_answers_sent(self.reactor, self._owes_answers, self.flush_timeout, self._stopped)
 
     def _owes_answers(self) -> bool:
-        return any(runtime.frontend.owes() for runtime in self.runtimes.values())
+        return any(runtime.frontend.has_unsent_answers() for runtime in self.runtimes.values())
 
     def _stopped(self) -> None:
         if self.reactor.running:
--- a/ternquay/hosted/shared/frontend.py
+++ b/ternquay/hosted/shared/frontend.py
@@ -12,13 +12,13 @@
 from ternquay.hosted.shared.fairness import ClientLimiter, SharedCapacity
 from ternquay.hosted.shared.scheduler import PIECE_NS, FairScheduler
 from ternquay.net import meta
-from ternquay.net.client import ClientConnection, Owed
+from ternquay.net.client import ClientConnection, PendingAnswer
 from ternquay.net.dispatcher import Dispatcher
 from ternquay.net.frontend import Frontend
 from ternquay.net.limits import Limits
 from ternquay.net.listener import Listener
 from ternquay.net.loop_timing import LoopTiming
-from ternquay.net.safety import CloseReason, RefuseReason
+from ternquay.net.safety import CloseReason, RequestRefusal
 from ternquay.net.sockets import Sockets
 
 ITEMS_PER_CLOCK_CHECK = 4  # commands read, or connections accepted, before the clock is checked
@@ -85,9 +85,9 @@
         self.turn_wait = 0  # how long it waited for the present one
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        for one in self.owed:
-            if isinstance(one, Owed) and one.text is None:
-                self.owes_less(one)
+        for one in self.pending:
+            if isinstance(one, PendingAnswer) and one.answer is None:
+                self.answer_ready(one)
         super().connectionLost(reason)
 
     def rawDataReceived(self, data: bytes) -> None:
@@ -95,11 +95,11 @@
             return
         frontend = self.frontend
         if not self.unread_since:
-            self.unread_since = self.first_since() or frontend.loop_timing.before
-        self.arrived += len(data)
-        self.machine.add(data)
+            self.unread_since = self.first_byte_since() or frontend.loop_timing.earliest_arrival
+        self.unreported_bytes += len(data)
+        self.parser.buffer_data(data)
         if self.waiting or self.answers_full:
-            self.keep()
+            self.count_buffered()
             self.pause_if_full()
         elif frontend.scheduler.may_run_now(frontend.name):
             if frontend.scheduler.run_charged(frontend.name, self.run_piece):
@@ -110,35 +110,35 @@
     def wait_for_turn(self) -> None:
         """Queues the connection until its turn comes."""
         self._start_waiting()
-        self.frontend.busy(self)  # an idle connection may be closed, and this one may hold a whole command
-        self.keep()
+        self.frontend.mark_busy(self)  # an idle connection may be closed, and this one may hold a whole command
+        self.count_buffered()
         self.pause_if_full()
         self.frontend.scheduler.enqueue(self.frontend.name, self.address, self)
 
     def _start_waiting(self) -> None:
         self.waiting, self.waiting_since = True, self.frontend.dispatcher.now()
 
-    def held_by_us(self) -> bool:
-        return self.waiting or self.answers_full or super().held_by_us()
+    def reading_held(self) -> bool:
+        return self.waiting or self.answers_full or super().reading_held()
 
-    def stalled(self) -> bool:
+    def is_stalled(self) -> bool:
         # A client that waits for its turn makes no progress through no fault of its own.
-        held = (self.waiting or self.answers_full) and not self.queued and not self.ended
-        return not held and super().stalled()
+        held = (self.waiting or self.answers_full) and not self.queued_bytes and not self.ended
+        return not held and super().is_stalled()
 
     def pause_if_full(self) -> None:
         """Pauses reading from the socket if too much is unread or too many answers are owed."""
         if (
             not self.reading_paused
             and not self.ended
-            and (len(self.machine.buffer) > MAX_UNREAD_BYTES or self.answers_full)
+            and (len(self.parser.buffer) > MAX_UNREAD_BYTES or self.answers_full)
         ):
             self.reading_paused, self.paused_at = True, self.frontend.dispatcher.now()
             self.transport.pauseProducing()
 
-    def lay_unread(self, goes_on: bool) -> int:
+    def unread_time(self, goes_on: bool) -> int:
         # The wait for the turn does not count against the client.
-        return max(0, super().lay_unread(goes_on) - self.turn_wait)
+        return max(0, super().unread_time(goes_on) - self.turn_wait)
 
     def run_piece(self) -> bool:
         """Reads commands for up to PIECE_NS; returns whether there are more."""
@@ -152,13 +152,13 @@
         clock = self.frontend.scheduler.clock
         end = clock() + PIECE_NS
         while True:
-            self.since, self.turn = self.unread_since, self.frontend.loop_timing.count
-            self.frontend.busy(self)
-            items = self.machine.read(ITEMS_PER_CLOCK_CHECK, self.admission_delay)
-            self.read(items)
+            self.readable_since, self.accepted_iteration = self.unread_since, self.frontend.loop_timing.iteration
+            self.frontend.mark_busy(self)
+            items = self.parser.parse(ITEMS_PER_CLOCK_CHECK, self.admission_delay)
+            self.handle_items(items)
             if self.ended or self.closing:
                 return False
-            if len(self.owed) > MAX_OWED_ANSWERS:
+            if len(self.pending) > MAX_OWED_ANSWERS:
                 self.answers_full = True
                 self.pause_if_full()
                 return False
@@ -183,29 +183,29 @@
 
     def flush(self) -> None:
         super().flush()
-        if self.answers_full and len(self.owed) < MAX_OWED_ANSWERS // 2 and not self.ended:
+        if self.answers_full and len(self.pending) < MAX_OWED_ANSWERS // 2 and not self.ended:
             self.answers_full = False
             self._start_waiting()
             self.frontend.scheduler.enqueue(self.frontend.name, self.address, self)
 
     # ---- transactions ----
 
-    def arrives(self, command: meta.Command, owed: Owed, unread: int) -> None:
+    def begin_transaction(self, command: meta.Command, owed: PendingAnswer, unread: int) -> None:
         if self.frontend.at_limit(self):
-            self.frontend.safety.refuses(RefuseReason.SHARE, owed.id)
-            owed.roll_back(self.frontend.dispatcher.about(self.frontend.limits.retry_after))
+            self.frontend.safety.record_request_refusal(RequestRefusal.SHARE, owed.id)
+            owed.roll_back(self.frontend.dispatcher.jittered(self.frontend.limits.retry_after))
             return
-        owed.counted = True
+        owed.counted_open = True
         self.open += 1
         self.frontend.tx_opened(self)
-        super().arrives(command, owed, unread)
+        super().begin_transaction(command, owed, unread)
 
-    def share(self, command: meta.Command) -> str:
-        return CROWDING_SHARE if self.frontend.crowds(self) else command.names.get("tenant", "")
+    def share_name(self, command: meta.Command) -> str:
+        return CROWDING_SHARE if self.frontend.crowds(self) else command.params.get("tenant", "")
 
-    def owes_less(self, owed: Owed) -> None:
-        if owed.counted:
-            owed.counted = False
+    def answer_ready(self, owed: PendingAnswer) -> None:
+        if owed.counted_open:
+            owed.counted_open = False
             self.open -= 1
             self.frontend.tx_closed(self)
 
@@ -240,14 +240,14 @@
 
     # ---- connections ----
 
-    def came(self, client: ClientConnection) -> None:
+    def client_connected(self, client: ClientConnection) -> None:
         assert isinstance(client, TenantClient)
         mine = self.clients_by_address.get(client.address, {})
         if self.sockets.clients >= self.limits.clients and not self._make_room(len(mine)):
             client.abort(CloseReason.NO_REQUEST)
             return
         self.clients_by_address.setdefault(client.address, mine)[client] = None
-        super().came(client)
+        super().client_connected(client)
 
     def is_full(self) -> bool:
         """Whether the tenant has as many clients as it may."""
@@ -264,7 +264,7 @@
         clients = self.clients_by_address.get(address, {})
         if mine + 1 >= len(clients):
             return False
-        resting = (client for client in clients if client in self.resting)
+        resting = (client for client in clients if client in self.idle_clients)
         return self._close_some(resting, 1) > 0 or self._close_some(self._mid_command(clients), 1) > 0
 
     def _mid_command(self, clients: "Iterable[TenantClient]") -> "Iterable[TenantClient]":
@@ -272,9 +272,9 @@
         return (
             client
             for client in clients
-            if client not in self.resting
-            and not client.owed
-            and not client.queued
+            if client not in self.idle_clients
+            and not client.pending
+            and not client.queued_bytes
             and not client.ended
             and not client.waiting
         )
@@ -287,39 +287,39 @@
         closed = 0
         for client in list(islice(clients, CANDIDATES_PER_CLOSE * most)):
             if closed < most:
-                if client in self.resting:
-                    closed += self.close_resting(client)
+                if client in self.idle_clients:
+                    closed += self.close_idle(client)
                 elif client.nothing_unread():
                     self.drop(client, CloseReason.NO_REQUEST)
                     closed += 1
         return closed
 
-    def left(self, client: ClientConnection) -> None:
-        if client in self.all and isinstance(client, TenantClient):
+    def client_disconnected(self, client: ClientConnection) -> None:
+        if client in self.clients and isinstance(client, TenantClient):
             mine = self.clients_by_address.get(client.address, {})
             mine.pop(client, None)
             if not mine:
                 self.clients_by_address.pop(client.address, None)
             self.scheduler.remove(self.name, client.address, client)
-        super().left(client)
+        super().client_disconnected(client)
 
     def reclaim(self, count: int) -> None:
         """Closes up to `count` clients, as other tenants need their sockets: idle ones first, then unfinished ones."""
-        idle = [client for client in self.resting if isinstance(client, TenantClient)]
-        mid_command = self._mid_command([client for client in self.all if isinstance(client, TenantClient)])
+        idle = [client for client in self.idle_clients if isinstance(client, TenantClient)]
+        mid_command = self._mid_command([client for client in self.clients if isinstance(client, TenantClient)])
         for some in ([c for c in idle if c.answered], list(mid_command), [c for c in idle if not c.answered]):
             count -= self._close_some(some, count)
 
-    def shed_kept(self, client: ClientConnection) -> None:
+    def relieve_buffers(self, client: ClientConnection) -> None:
         # Drops the client that buffers most rather than the one whose data came last.
-        self.drop(max(self.all, key=lambda one: one.kept), CloseReason.MEMORY)
+        self.drop(max(self.clients, key=lambda one: one.buffered_bytes), CloseReason.MEMORY)
 
     # ---- transactions ----
 
     def admission_delay(self, client: TenantClient) -> int:
         """Returns 0, or how long the client's next command is told to wait without being read."""
         delay = self.suspended_delay or (self.fence_delay() if self.fence_delay is not None else 0)
-        return self.dispatcher.about(delay) or self.client_limiter.take(self.dispatcher.now(), client.address)
+        return self.dispatcher.jittered(delay) or self.client_limiter.take(self.dispatcher.now(), client.address)
 
     def at_limit(self, client: TenantClient) -> bool:
         """Whether the tenant has as many transactions open as it may, and the client its equal part of them."""
@@ -354,8 +354,8 @@
     frontend: TenantFrontend
     queued = False  # whether it waits for a turn
 
-    def room(self) -> int:
-        return min(ITEMS_PER_CLOCK_CHECK, self.frontend.room())
+    def accept_limit(self) -> int:
+        return min(ITEMS_PER_CLOCK_CHECK, self.frontend.accept_room())
 
     def doRead(self) -> None:
         if self.frontend.scheduler.may_run_now(self.frontend.name):
@@ -370,7 +370,7 @@
         self.queued = False
         if self.connected and not self.disconnecting:
             self.accept()
-            if not self.frontend.held_up and self.pause is None:
+            if not self.frontend.accepting_paused and self.pause_call is None:
                 self.startReading()
         return False
 
@@ -386,11 +386,11 @@
             except BlockingIOError:
                 return
             except OSError as fault:
-                if not self.goes_on_after(fault):
+                if not self.handle_failure(fault):
                     return
                 continue
             if self.frontend.may_displace(address[0]):
-                self.take(client, address)
+                self.make_connection(client, address)
             else:
                 client.setsockopt(SOL_SOCKET, SO_LINGER, RESET_ON_CLOSE)
                 client.close()
--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -186,17 +186,19 @@
         super().__init__(*args)
         self.shared_endpoints: dict[int, Endpoint] = {}
 
-    def list_told(self, whole: bool, entries: tuple[HostEntry, ...]) -> None:
+    def update_hosts(self, whole: bool, entries: tuple[HostEntry, ...]) -> None:
         self.list_received(whole, entries)
 
     def apply_list(self, entries: tuple[HostEntry, ...], shared: Mapping[str, Endpoint]) -> None:
         """Hands the list to the decisions; `shared` holds the endpoints that other tenants list too, by entry id."""
-        super().list_told(True, entries)
-        self.shared_endpoints = {self.hosts[id]: endpoint for id, endpoint in shared.items() if id in self.hosts}
+        super().update_hosts(True, entries)
+        self.shared_endpoints = {
+            self.host_indices[id]: endpoint for id, endpoint in shared.items() if id in self.host_indices
+        }
 
-    def _ended(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
+    def _finish_hop(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
         endpoint = self.shared_endpoints.get(hop.host) if self.shared_endpoints else None
-        super()._ended(hop, end, answer, note)
+        super()._finish_hop(hop, end, answer, note)
         if endpoint is not None:
             self.shared_hop_ended(endpoint, end)
 
@@ -224,7 +226,7 @@
             super().startReading()
 
     def open(self, frontend: TenantFrontend, accepted: Callable[[bool], None]) -> None:
-        self.frontend, self.factory, self.accepted, self.awaiting_open = frontend, frontend, accepted, False
+        self.frontend, self.factory, self.on_accepted, self.awaiting_open = frontend, frontend, accepted, False
         self.startReading()
 
 
@@ -266,7 +268,7 @@
             resources.scheduler, self.id, reactor, self.dispatcher, self.limits, self.sockets, True
         )
         self.loop_timing = TenantLoopTiming(loop_timing, self.limits.turn_duration)
-        self.dispatcher.stood_still = self.loop_timing.stood_still
+        self.dispatcher.process_stalled = self.loop_timing.process_stalled
         self.client_limiter = ClientLimiter(tenant.limits.txs_a_second, tenant.limits.burst)
         self.frontend = TenantFrontend(
             reactor,
@@ -279,7 +281,7 @@
             self.client_limiter,
         )
         self.frontend.max_open_txs = tenant.limits.open_txs
-        self.frontend.gate = self._gate
+        self.frontend.set_accepting = self._gate
         self.frontend.fence_delay = (
             partial(resources.admission_delay, tenant.name) if resources.admission_delay is not None else None
         )
@@ -311,7 +313,7 @@
             self._apply_limits(new)
         if (old.profiles, old.rules, old.shares) != (new.profiles, new.rules, new.shares):
             start, names = decision_config(self.resources.process, new), decision_names(new, self.zones)
-            self.dispatcher.refigured(start, names, self.limits)
+            self.dispatcher.reconfigure(start, names, self.limits)
         if old.listeners != new.listeners:
             for endpoint in set(old.listeners) - set(new.listeners):
                 if endpoint in self.ports:
@@ -326,18 +328,18 @@
         self.limits = connection_limits(self.resources.process, tenant)
         self.dispatcher.limits = self.pool.limits = self.frontend.limits = self.sockets.limits = self.limits
         self.sockets.max_hosts = tenant.limits.host_connections
-        self.loop_timing.most = self.limits.turn_duration
+        self.loop_timing.max_duration = self.limits.turn_duration
         self.client_limiter.change(tenant.limits.txs_a_second, tenant.limits.burst)
         self.frontend.max_open_txs = tenant.limits.open_txs
 
     def _open_listeners(self, prepared: PreparedListeners) -> None:
         for endpoint, port in prepared.ports.items():
-            port.open(self.frontend, self.loop_timing.accepted)
+            port.open(self.frontend, self.loop_timing.accept_ended)
             self.ports[endpoint] = port
 
     def _gate(self, accept: bool) -> None:
         for port in self.ports.values():
-            port.gate(accept)
+            port.set_accepting(accept)
 
     def _apply_state(self, state: State) -> None:
         self.frontend.suspended_delay = 0 if state is State.ACTIVE else self.limits.retry_after
@@ -354,7 +356,7 @@
         for endpoint in list(self.ports):
             self._close_listener(endpoint, drain_backlog)
         if self.ports:
-            self.frontend.shed()
+            self.frontend.close_longest_idle()
         return not self.ports
 
     def _close_listener(self, endpoint: Endpoint, drain_backlog: bool = False) -> None:
@@ -367,14 +369,14 @@
             return False
         longest = max(one.profile.hard_limit for one in self.entry.tenant.profiles)
         waited = self.dispatcher.now() - self.ending_since
-        return (not self.frontend.all and not self.dispatcher.txs) or waited > longest + SECOND
+        return (not self.frontend.clients and not self.dispatcher.open_txs) or waited > longest + SECOND
 
     def remove(self) -> None:
         """Closes everything; the tenant exists no longer."""
         self.close_listeners()
         if self.discovery is not None:
             self.discovery.stop()
-        for client in list(self.frontend.all):
+        for client in list(self.frontend.clients):
             self.frontend.drop(client, CloseReason.REMOVED)
         self.pool.close_all()
         self.resources.refresh_lists(self.resources.shared_hosts.remove_tenant(self.dispatcher.now(), self.id))
@@ -393,7 +395,7 @@
             self.discovery = Discovery(
                 self.resources.reactor, self.dispatcher, self.limits, address, self.start_times, old
             )
-            self.dispatcher.watch = self.discovery.watch
+            self.dispatcher.request_list = self.discovery.watch
             self.discovery.watch()
         elif tenant.source is None:
             hosts = tuple(self._host_entry(server) for server in tenant.servers)
@@ -458,12 +460,17 @@
         """Closes stale connections; called periodically."""
         if self.sockets.hosts:
             self.pool.close_stale()
-        if self.frontend.all:
-            self.frontend.swept()
+        if self.frontend.clients:
+            self.frontend.close_stale()
 
     def buffered_bytes(self) -> int:
         """Returns the bytes in memory of incomplete requests and answers, and of what is not answered yet."""
-        return self.dispatcher.held + self.frontend.kept + self.frontend.queued + self.pool.buffered_bytes
+        return (
+            self.dispatcher.buffered_bytes
+            + self.frontend.buffered_bytes
+            + self.frontend.queued_bytes
+            + self.pool.buffered_bytes
+        )
 
     def usage(self) -> dict[str, Any]:
         """Returns what the administration API reports of the tenant."""
@@ -471,7 +478,7 @@
         return {
             "clients": self.sockets.clients,
             "host_connections": self.sockets.hosts,
-            "open": len(self.dispatcher.txs),
+            "open": len(self.dispatcher.open_txs),
             "held_bytes": self.buffered_bytes(),
             "cpu_s": round(queue.total_ns / SECOND, 3) if queue else 0.0,
             "servers": len(self.host_list),
@@ -486,20 +493,20 @@
     """One tenant's view of the reactor's turns: they begin at the same time for all; each tenant has its own bound."""
 
     def __init__(self, process_timing: LoopTiming, most: int) -> None:
-        self.process_timing, self.most, self.behind = process_timing, most, 0
+        self.process_timing, self.max_duration, self.accept_backlog_since = process_timing, most, 0
 
     @property
-    def began(self) -> int:  # type: ignore[override]
-        return self.process_timing.began
+    def started_at(self) -> int:  # type: ignore[override]
+        return self.process_timing.started_at
 
     @property
-    def before(self) -> int:  # type: ignore[override]
-        return self.process_timing.before
+    def earliest_arrival(self) -> int:  # type: ignore[override]
+        return self.process_timing.earliest_arrival
 
     @property
-    def late(self) -> bool:  # type: ignore[override]
-        return self.process_timing.late
+    def stalled_before(self) -> bool:  # type: ignore[override]
+        return self.process_timing.stalled_before
 
     @property
-    def count(self) -> int:  # type: ignore[override]
-        return self.process_timing.count
+    def iteration(self) -> int:  # type: ignore[override]
+        return self.process_timing.iteration
--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -1,4 +1,4 @@
-"""One client connection: it reads requests, and writes their answers in the order of the requests."""
+"""One client connection: reads requests and writes their answers in the order of the requests."""
 
 from collections import deque
 from typing import TYPE_CHECKING
@@ -11,388 +11,403 @@
 from ternquay.net import meta
 from ternquay.net.dispatcher import IncomingTx
 from ternquay.net.driver import Driver
-from ternquay.net.flow import Flow
 from ternquay.net.limits import MS
 from ternquay.net.request_deadline import RequestDeadline
-from ternquay.net.safety import CloseReason, RefuseReason, may_close
+from ternquay.net.safety import CloseReason, RequestRefusal, may_close
+from ternquay.net.value_stream import ValueStream
 
 if TYPE_CHECKING:
     from ternquay.net.frontend import Frontend
 
-OVERDUE = b"CLIENT_ERROR request was not whole in time"
-UNREAD_NOTICED = 100 * MS  # bytes that waited no longer than this to be read count as read when they came
-CATCH_UP = 100 * MS  # from a late read on, more of the same counts as having waited like that; else the system is asked
-BLOCKED = 16 << 10  # bytes read at once: a client that wrote as much may have been kept from writing more
-GO_ON = 500 * MS  # for such a one to write more
+OVERDUE_ANSWER = b"CLIENT_ERROR request was not whole in time"
+MIN_UNREAD_NS = 100 * MS  # bytes that waited no longer than this to be read count as read on arrival
+# For this long after a late read, bytes of the same request part count as equally late; for others the system is asked.
+CATCH_UP_NS = 100 * MS
+FULL_READ_BYTES = 16 << 10  # a read of this size may mean that a full socket buffer kept the client from writing more
+RESUME_GRACE_NS = 500 * MS  # time for such a client to write more
 
 
-class Owed:
-    """One answer that a client waits for, in its place among the others."""
+class PendingAnswer:
+    """One answer that a client waits for, in request order. It is the Requester of its transaction."""
 
-    __slots__ = ("client", "command", "counted", "dispatcher", "flow", "text", "tx")
+    __slots__ = ("client", "command", "counted_open", "dispatcher", "stream", "answer", "tx")
 
     def __init__(self, client: "ClientConnection", command: meta.Command) -> None:
         self.client, self.command, self.dispatcher = client, command, client.frontend.dispatcher
-        self.text: bytes | None = None
-        self.flow: Flow | None = None  # the value that is its answer, as it comes
+        self.answer: bytes | None = None
+        self.stream: ValueStream | None = None  # a large value of the answer, as it arrives
         self.tx = -1
-        self.counted = False  # for whoever counts what its client has open
+        self.counted_open = False  # a subclass counts it as an open transaction of its client
 
-    def commit(self, answer: bytes | Flow) -> None:
-        if isinstance(answer, Flow):
-            self.flow, answer.sink = answer, self.client.flush
-            self.put(meta.begun(self.command, answer.length))
+    def commit(self, answer: bytes | ValueStream) -> None:
+        if isinstance(answer, ValueStream):
+            self.stream, answer.on_data = answer, self.client.flush
+            self.set_answer(meta.value_header(self.command, answer.length))
         else:
-            self.put(meta.committed(self.command, answer))
+            self.set_answer(meta.committed(self.command, answer))
 
     def roll_back(self, wait: int) -> None:
-        self.put(meta.rolled_back(wait // MS))
+        self.set_answer(meta.rolled_back(wait // MS))
 
     def id(self) -> str:
-        """The request's id, as its client gave it."""
+        """Returns the request id that the client assigned."""
         return self.command.id.decode("latin-1")
 
     def abandon(self) -> None:
-        self.put(meta.ABANDONED)
+        self.set_answer(meta.ABANDONED)
 
-    def left(self) -> bool:
+    def has_left(self) -> bool:
         return self.client.ended or self.client.peer_closed()
 
-    def put(self, text: bytes) -> None:
-        if not self.client.frontend.safety.answering(self.text is not None, self.id):
+    def set_answer(self, text: bytes) -> None:
+        if not self.client.frontend.safety.may_answer(self.answer is not None, self.id):
             return
-        self.text = text
-        self.client.owes_less(self)
-        if self.client.pours is self:
-            self.client.swallow()
-        if not self.client.reading:
+        self.answer = text
+        self.client.answer_ready(self)
+        if self.client.streaming is self:
+            self.client.discard_value()
+        if not self.client.in_read:
             self.client.flush()
 
 
 @implementer(IPullProducer)
 class ClientConnection(Driver):
-    """Thin driver of one client connection. As its transport's pull producer it learns when all is out."""
+    """The protocol of one client connection.
+
+    It registers as the transport's pull producer, so that the transport reports when all data was written.
+    """
 
     frontend: "Frontend"
 
     def __init__(self, frontend: "Frontend") -> None:
         self.frontend = frontend
-        self.machine = meta.ClientSide(
+        self.parser = meta.RequestParser(
             frontend.limits.line_bytes, frontend.limits.value_bytes, frontend.limits.stream_above_bytes
         )
-        self.owed: deque[Owed | bytes] = deque()  # bytes: an answer that needed no transaction
-        self.crowded = self.closing = self.ended = self.reading = self.answered = False
-        self.queued = 0  # bytes that the system has not taken yet
-        self.untaken_since = 0  # since when it was seen that none of those are taken; 0: not looked at
-        self.taken_before = 0  # bytes that the system had taken at the last look
-        self.owing = 0  # those of them that count against the room of all: a large value is held back instead
-        self.pours: Owed | None = None  # whose large value is coming in
-        self.coming: Flow | None = None  # and that value
-        self.kept = 0  # bytes of a command that is not whole
-        self.moved = 0  # when bytes last went either way
-        self.made = 0  # when it came
-        self.turn = 0  # in which it was accepted
-        self.since = 0  # since when its first bytes may have waited, until they are read
-        self.catch_up_until = 0  # what is read until then had waited, and
-        self.last_came = 0  # the last of it came then
+        self.pending: deque[PendingAnswer | bytes] = deque()  # bytes: an answer that needs no transaction
+        self.over_limit = self.closing = self.ended = self.in_read = self.answered = False
+        self.queued_bytes = 0  # bytes that the operating system has not accepted yet
+        self.unsent_since = 0  # when it was first seen that no queued bytes are accepted; 0: not checked
+        self.sent_before = 0  # bytes that the operating system had accepted at the last check
+        self.counted_bytes = 0  # the part of `queued_bytes` that counts towards the shared limit; large values do not
+        self.streaming: PendingAnswer | None = None  # the request whose large value is arriving
+        self.incoming: ValueStream | None = None  # the large value that is arriving
+        self.buffered_bytes = 0  # bytes of an incomplete command
+        self.last_activity = 0  # when bytes were last read or written
+        self.accepted_at = 0
+        self.accepted_iteration = 0  # the loop iteration in which it was accepted
+        self.readable_since = 0  # the earliest time at which its first bytes may have arrived; 0 once they are read
+        self.catch_up_until = 0  # bytes read until this time count as having arrived at `last_arrival`
+        self.last_arrival = 0
         self.deadline = RequestDeadline()
-        self.arrived = 0  # bytes that the deadline has not been told of
-        self.held_since = 0  # since when reading is held back
-        self.closes_for = CloseReason.MALFORMED  # why it is closed once all that it is owed is written
+        self.unreported_bytes = 0  # bytes that were read but not reported to `deadline`
+        self.held_since = 0  # when reading was paused for a large value
+        self.close_reason = CloseReason.MALFORMED  # for a close after all pending answers are written
 
     def connectionMade(self) -> None:
         super().connectionMade()
         self.transport.registerProducer(self, False)
-        self.frontend.came(self)
+        self.frontend.client_connected(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.ended = self.transport_closed = True
-        self.frontend.left(self)
+        self.frontend.client_disconnected(self)
         self.frontend.sockets.descriptor_freed(self)
-        owed, self.owed = self.owed, deque()
-        for one in owed:
-            if isinstance(one, Owed) and one.flow is not None:
-                one.flow.leave()
-            elif isinstance(one, Owed) and one.text is None:
-                one.dispatcher.gone(one.tx)
+        pending, self.pending = self.pending, deque()
+        for answer in pending:
+            if isinstance(answer, PendingAnswer) and answer.stream is not None:
+                answer.stream.discard()
+            elif isinstance(answer, PendingAnswer) and answer.answer is None:
+                answer.dispatcher.client_gone(answer.tx)
 
     def rawDataReceived(self, data: bytes) -> None:
         if self.ended or self.closing:
             return
-        self.arrived += len(data)
-        self.frontend.busy(self)
-        self.read(self.machine.feed(data))
-
-    def read(self, items: "list[meta.Item]") -> None:
-        """Takes what was read, and writes what is answered by then."""
-        self.reading = True
-        if items or not self.machine.unproven():
-            self.frontend.unproven.pop(self, None)
+        self.unreported_bytes += len(data)
+        self.frontend.mark_busy(self)
+        self.handle_items(self.parser.feed(data))
+
+    def handle_items(self, items: "list[meta.RequestItem]") -> None:
+        """Handles parsed items and writes the answers that are ready afterwards."""
+        self.in_read = True
+        if items or not self.parser.awaits_no_value():
+            self.frontend.awaiting_first_command.pop(self, None)
         for item in items:
             if isinstance(item, meta.Command):
-                self.taken(item)
-            elif isinstance(item, meta.Hello):
-                self.owed.append(self.frontend.hello)
-            elif isinstance(item, meta.Piece):
-                if self.coming is not None:
-                    self.coming.offer(item.data)
-            elif isinstance(item, meta.Finish):
-                self.came()
-            elif isinstance(item, meta.Over):
-                self.owed.append(meta.rolled_back(item.wait // MS))
+                self.accept_command(item)
+            elif isinstance(item, meta.NoOp):
+                self.pending.append(self.frontend.noop_answer)
+            elif isinstance(item, meta.ValueChunk):
+                if self.incoming is not None:
+                    self.incoming.feed(item.data)
+            elif isinstance(item, meta.ValueEnd):
+                self.value_received()
+            elif isinstance(item, meta.OverLimit):
+                self.pending.append(meta.rolled_back(item.wait // MS))
             else:
-                self.bad(item)
-        self.reading = False
-        self.moved = self.frontend.dispatcher.now()
-        self.keep()
-        self.expect_more()
-        self.since = 0
+                self.answer_error(item)
+        self.in_read = False
+        self.last_activity = self.frontend.dispatcher.now()
+        self.count_buffered()
+        self.update_deadline()
+        self.readable_since = 0
         self.flush()
 
-    def expect_more(self) -> None:
-        """Begins or ends the time in which the request that is not whole has to be."""
-        arrived, self.arrived = self.arrived, 0
-        if self.machine.quiet() and self.deadline.due() is None:
-            return  # as most of the time: all that came was whole
-        position = self.machine.position()
-        self.deadline.read(self.moved - self.lay_unread(position == self.deadline.position), position, arrived)
-        if self.moved < self.catch_up_until and arrived >= BLOCKED:
-            # The system may have had no room for more: whoever was kept from writing is given a moment to go on.
-            self.deadline.spare(self.moved + GO_ON)
-        self.frontend.waits_for(self)
-
-    def lay_unread(self, goes_on: bool) -> int:
-        """How long the last of what was read now had waited for that: before it was accepted, or in a process that was
-        busy or stopped. The loop knows the most that it can be; the system, asked where that is long, how long it was.
-        `goes_on`: it belongs to the same part of a request as what was read before.
+    def update_deadline(self) -> None:
+        """Starts, moves or ends the deadline of an incomplete request."""
+        arrived, self.unreported_bytes = self.unreported_bytes, 0
+        if self.parser.is_idle() and self.deadline.due_at() is None:
+            return  # the common case: all requests are complete
+        position = self.parser.position()
+        self.deadline.record_read(
+            self.last_activity - self.unread_time(position == self.deadline.position), position, arrived
+        )
+        if self.last_activity < self.catch_up_until and arrived >= FULL_READ_BYTES:
+            # The socket buffer may have been full, so the client gets some time to write more.
+            self.deadline.defer_until(self.last_activity + RESUME_GRACE_NS)
+        self.frontend.deadline_changed(self)
+
+    def unread_time(self, same_part: bool) -> int:
+        """Returns how long the last bytes of this read waited to be read, in nanoseconds.
+
+        They may have waited for the accept, or for a busy or stopped process. The loop knows an upper bound; where it
+        is long, the operating system is asked. `same_part`: they belong to the same part of a request as the previous
+        read.
         """
-        if self.moved < self.catch_up_until:
-            most = self.moved - self.last_came
-            return most if goes_on else min(most, self.receive_idle_ns())
-        most = self.frontend.loop_timing.unread(self.moved, self.first_since())
-        waited = min(most, self.receive_idle_ns()) if most > UNREAD_NOTICED else 0
-        if waited > UNREAD_NOTICED:
-            # Much that has waited is read in many turns of the loop, of which only the first came late.
-            self.last_came, self.catch_up_until = self.moved - waited, self.moved + CATCH_UP
+        if self.last_activity < self.catch_up_until:
+            bound = self.last_activity - self.last_arrival
+            return bound if same_part else min(bound, self.receive_idle_ns())
+        bound = self.frontend.loop_timing.max_unread_time(self.last_activity, self.first_byte_since())
+        waited = min(bound, self.receive_idle_ns()) if bound > MIN_UNREAD_NS else 0
+        if waited > MIN_UNREAD_NS:
+            # A large backlog is read in many loop iterations, and only the first of them is late.
+            self.last_arrival, self.catch_up_until = self.last_activity - waited, self.last_activity + CATCH_UP_NS
         return waited
 
-    def overdue(self, now: int) -> bool:
-        """Whether a request has begun to arrive and is not whole in its time, through no doing of ours."""
-        due = self.deadline.due()
-        if due is None or now < due or self.ended or self.closing or self.held_by_us():
+    def is_overdue(self, now: int) -> bool:
+        """Whether an incomplete request has passed its deadline and the balancer did not delay it."""
+        due = self.deadline.due_at()
+        if due is None or now < due or self.ended or self.closing or self.reading_held():
             return False
-        # After a stop of the process, or a long turn, this comes before the reading of what came meanwhile.
-        return may_close(CloseReason.REQUEST_OVERDUE, owing=False, unread=self.has_unread_bytes())
+        # After a stall of the process this runs before the bytes that arrived meanwhile are read.
+        return may_close(CloseReason.REQUEST_OVERDUE, owes_answer=False, unread=self.has_unread_bytes())
 
-    def held_by_us(self) -> bool:
-        """Whether it is not read for now, so that its request can't become whole."""
+    def reading_held(self) -> bool:
+        """Whether reading is paused, so that an incomplete request cannot become complete."""
         return self.reading_paused
 
-    def end_request(self, reason: CloseReason = CloseReason.REQUEST_OVERDUE) -> None:
-        """Its request was not whole in time: an error in its place behind the answers that are owed, and the close."""
-        self.closes_for = reason
-        self.bad(meta.Bad(OVERDUE, fatal=True))
+    def fail_request(self, reason: CloseReason = CloseReason.REQUEST_OVERDUE) -> None:
+        """Answers an incomplete request with an error, in order behind pending answers, and closes the connection."""
+        self.close_reason = reason
+        self.answer_error(meta.InvalidCommand(OVERDUE_ANSWER, fatal=True))
         self.flush()
 
-    def bad(self, item: meta.Bad) -> None:
+    def answer_error(self, item: meta.InvalidCommand) -> None:
+        """Answers an invalid command. A fatal one closes the connection after the pending answers."""
         self.closing = self.closing or item.fatal
-        owed = self.pours
-        if owed is None or owed.text is not None:
-            self.owed.append(item.line + b"\r\n")
+        pending_answer = self.streaming
+        if pending_answer is None or pending_answer.answer is not None:
+            self.pending.append(item.line + b"\r\n")
             return
-        # A large value that does not end where it should: what was passed on of it is cut off, and never whole.
-        owed.dispatcher.gone(owed.tx)
-        owed.put(item.line + b"\r\n")
+        # The error ends a large value: its hops are cut off, so that no cache host takes the value for complete.
+        pending_answer.dispatcher.client_gone(pending_answer.tx)
+        pending_answer.set_answer(item.line + b"\r\n")
 
-    def hold(self, back: bool) -> None:
-        """The cache host takes a large value more slowly than it comes, or goes on."""
+    def hold_stream(self, paused: bool) -> None:
+        """Pauses reading while the cache host takes a large value more slowly than it arrives, or resumes it."""
         if self.ended:
             return
-        self.moved = self.frontend.dispatcher.now()
-        self.hold_reading(back)
-        self.catch_up_until = 0  # what comes after this has waited for us
-        if back:
-            self.held_since = self.moved
+        self.last_activity = self.frontend.dispatcher.now()
+        self.hold_reading(paused)
+        self.catch_up_until = 0  # bytes that arrive from now on wait because of this pause
+        if paused:
+            self.held_since = self.last_activity
         else:
-            self.deadline.extend(self.moved - self.held_since)
-
-    def came(self) -> None:
-        """The last byte of a large value."""
-        owed, flow = self.pours, self.coming
-        self.pours = self.coming = None
-        if owed is not None and flow is not None:
-            owed.dispatcher.whole(owed.tx)
-            flow.finish()
-
-    def swallow(self) -> None:
-        """What still comes of a large value is read and dropped: its transaction has its answer."""
-        flow, self.pours, self.coming = self.coming, None, None
-        if flow is not None:
-            flow.leave()
-
-    def keep(self) -> None:
-        """Counts what is kept unread."""
-        self.frontend.kept += len(self.machine.buffer) - self.kept
-        self.kept = len(self.machine.buffer)
-        if self.frontend.kept > self.frontend.limits.buffered_bytes:
-            self.frontend.shed_kept(self)
-
-    def taken(self, command: meta.Command) -> None:
-        owed = Owed(self, command)
-        self.owed.append(owed)
-        if command.length:
-            self.pours, self.coming = owed, Flow(command.length, self.frontend.limits.chunk_bytes, self.hold)
+            self.deadline.extend(self.last_activity - self.held_since)
+
+    def value_received(self) -> None:
+        """The last byte of a large value arrived."""
+        pending_answer, stream = self.streaming, self.incoming
+        self.streaming = self.incoming = None
+        if pending_answer is not None and stream is not None:
+            pending_answer.dispatcher.tx_fully_received(pending_answer.tx)
+            stream.finish()
+
+    def discard_value(self) -> None:
+        """Discards the rest of a large value as it arrives, because its transaction is already answered."""
+        stream, self.streaming, self.incoming = self.incoming, None, None
+        if stream is not None:
+            stream.discard()
+
+    def count_buffered(self) -> None:
+        """Updates the count of buffered bytes and enforces the shared limit on them."""
+        self.frontend.buffered_bytes += len(self.parser.buffer) - self.buffered_bytes
+        self.buffered_bytes = len(self.parser.buffer)
+        if self.frontend.buffered_bytes > self.frontend.limits.buffered_bytes:
+            self.frontend.relieve_buffers(self)
+
+    def accept_command(self, command: meta.Command) -> None:
+        """Refuses a command or starts its transaction."""
+        pending_answer = PendingAnswer(self, command)
+        self.pending.append(pending_answer)
+        if command.stream_length:
+            self.streaming, self.incoming = (
+                pending_answer,
+                ValueStream(command.stream_length, self.frontend.limits.chunk_bytes, self.hold_stream),
+            )
         now, loop_timing = self.frontend.dispatcher.now(), self.frontend.loop_timing
-        # Against more than there is time for: all that is taken makes all else late, past its hard limit too.
-        late = loop_timing.over(now)
+        # Under CPU overload, each further transaction delays all others, even beyond their hard limits.
+        late = loop_timing.is_overrun(now)
         if late:
             self.frontend.dispatcher.log(
-                "WARNING", "short of CPU: what comes late in a turn of the loop is rolled back"
+                "WARNING", "CPU overload: requests that are read late in a loop iteration are rolled back"
             )
-        why = self.no_room(late)
-        if why is not None:
-            self.frontend.safety.refuses(why, owed.id)
-            owed.roll_back(self.frontend.dispatcher.about(self.frontend.limits.retry_after))
+        refusal = self.refusal(late)
+        if refusal is not None:
+            self.frontend.safety.record_request_refusal(refusal, pending_answer.id)
+            pending_answer.roll_back(self.frontend.dispatcher.jittered(self.frontend.limits.retry_after))
             return
-        self.arrives(command, owed, loop_timing.unread(now, self.first_since()))
-
-    def no_room(self, late: bool) -> RefuseReason | None:
-        """Why a request is refused before the decisions are asked."""
-        if self.crowded:
-            return RefuseReason.CROWDED
-        if len(self.owed) > self.frontend.limits.pipelined:
-            return RefuseReason.PIPELINED
-        return RefuseReason.LATE_TURN if late else None
-
-    def arrives(self, command: meta.Command, owed: Owed, unread: int) -> None:
-        names, left = command.names, max(0, command.ttl_ms * MS - unread)
+        self.begin_transaction(command, pending_answer, loop_timing.max_unread_time(now, self.first_byte_since()))
+
+    def refusal(self, late: bool) -> RequestRefusal | None:
+        """Returns why a request is refused before the decisions see it, or None."""
+        if self.over_limit:
+            return RequestRefusal.CROWDED
+        if len(self.pending) > self.frontend.limits.pipelined:
+            return RequestRefusal.PIPELINED
+        return RequestRefusal.LATE_TURN if late else None
+
+    def begin_transaction(self, command: meta.Command, pending_answer: PendingAnswer, unread: int) -> None:
+        params, ttl = command.params, max(0, command.ttl_ms * MS - unread)
         arrival = IncomingTx(
-            names["c"],
-            self.share(command),
+            params["c"],
+            self.share_name(command),
             command.key.decode("latin-1"),
-            left,
-            names.get("r") == "1",
-            command.write,
+            ttl,
+            params.get("r") == "1",
+            command.is_write,
             command,
-            self.coming,
+            self.incoming,
             unread,
         )
-        owed.tx = self.frontend.dispatcher.arrived(arrival, owed)
-        if owed.tx < 0:
-            owed.put(b"CLIENT_ERROR unknown profile\r\n")
+        pending_answer.tx = self.frontend.dispatcher.tx_arrived(arrival, pending_answer)
+        if pending_answer.tx < 0:
+            pending_answer.set_answer(b"CLIENT_ERROR unknown profile\r\n")
 
-    def first_since(self) -> int:
-        """Since when its first bytes may have waited, 0 for no longer than any others."""
-        # What came before it was accepted is readable at the very next poll: a client that writes later has not waited.
-        return self.since if self.frontend.loop_timing.count <= self.turn + 1 else 0
+    def first_byte_since(self) -> int:
+        """Returns the earliest time at which its first bytes may have arrived; 0: they waited no longer than others."""
+        # Bytes that arrived before the accept are readable at the next poll. Later ones did not wait for the accept.
+        return self.readable_since if self.frontend.loop_timing.iteration <= self.accepted_iteration + 1 else 0
 
-    def share(self, command: meta.Command) -> str:
-        """The name of the share of whoever asks."""
-        return command.names.get("tenant", "")
+    def share_name(self, command: meta.Command) -> str:
+        """Returns the name of the share that the command counts towards."""
+        return command.params.get("tenant", "")
 
-    def owes_less(self, owed: Owed) -> None:
-        """One more is answered, though maybe not written yet."""
+    def answer_ready(self, pending_answer: PendingAnswer) -> None:
+        """Hook for subclasses: an answer is known, but maybe not written yet."""
 
     def flush(self) -> None:
-        """Writes what is answered, up to the first that is not."""
-        while self.owed and not self.ended:
-            first = self.owed[0]
-            text = first if isinstance(first, bytes) else first.text
+        """Writes all answers up to the first one that is not known yet."""
+        while self.pending and not self.ended:
+            first = self.pending[0]
+            text = first if isinstance(first, bytes) else first.answer
             if text is None:
                 return
-            if isinstance(first, Owed) and first.flow is not None:
-                if not self.pass_on(first, first.flow):
+            if isinstance(first, PendingAnswer) and first.stream is not None:
+                if not self.write_stream(first, first.stream):
                     return
                 text = b"\r\n"
-            self.owed.popleft()
+            self.pending.popleft()
             self.answered = True
-            self.write(text)
+            self.write_answer(text)
         if not self.ended:
             if self.closing:
-                self.close(self.closes_for)
+                self.close(self.close_reason)
             else:
-                self.frontend.idle(self)
+                self.frontend.mark_idle(self)
 
-    def pass_on(self, owed: Owed, flow: Flow) -> bool:
-        """Writes what has come of a large value, once the system has taken the last of it; whether that is all."""
-        if flow.broken:
-            # Short of its length, so that nobody takes it for whole.
+    def write_stream(self, pending_answer: PendingAnswer, stream: ValueStream) -> bool:
+        """Writes the next chunk of a large value once the previous one was sent. Returns whether the value is done."""
+        if stream.aborted:
+            # Closed before its full length, so that the client does not take the value for complete.
             self.close(CloseReason.VALUE_BROKEN)
             return False
-        if owed.text:
-            self.queue(owed.text)
-            owed.text = b""
+        if pending_answer.answer:
+            self.write_chunk(pending_answer.answer)
+            pending_answer.answer = b""
             return False
-        if self.queued:
+        if self.queued_bytes:
             return False
-        data = flow.take()
+        data = stream.take()
         if data:
-            self.queue(data)
+            self.write_chunk(data)
         else:
-            flow.taken()
-        return flow.over()
+            stream.mark_written()
+        return stream.all_taken()
 
-    def queue(self, data: bytes) -> None:
-        self.queued += len(data)
-        self.moved = self.frontend.dispatcher.now()
+    def write_chunk(self, data: bytes) -> None:
+        """Writes a part of a large value, which does not count towards the limits on queued answers."""
+        self.queued_bytes += len(data)
+        self.last_activity = self.frontend.dispatcher.now()
         self.transport.write(data)
 
-    def write(self, text: bytes) -> None:
-        self.queued += len(text)
-        self.owing += len(text)
-        self.frontend.queued += len(text)
-        self.moved = self.frontend.dispatcher.now()
-        if self.queued > self.frontend.limits.queued_bytes:
+    def write_answer(self, text: bytes) -> None:
+        """Writes an answer, or closes the connection where too much is queued."""
+        self.queued_bytes += len(text)
+        self.counted_bytes += len(text)
+        self.frontend.queued_bytes += len(text)
+        self.last_activity = self.frontend.dispatcher.now()
+        if self.queued_bytes > self.frontend.limits.queued_bytes:
             self.abort(CloseReason.ANSWERS_UNREAD)
-        elif self.frontend.queued > self.frontend.limits.buffered_bytes:
+        elif self.frontend.queued_bytes > self.frontend.limits.buffered_bytes:
             self.abort(CloseReason.MEMORY)
         else:
             self.transport.write(text)
 
-    def owed_ids(self) -> list[str]:
-        """The requests that were read and wait for their answers."""
-        return [one.id() for one in self.owed if isinstance(one, Owed) and one.text is None]
+    def pending_ids(self) -> list[str]:
+        """Returns the ids of requests that wait for their answers."""
+        return [item.id() for item in self.pending if isinstance(item, PendingAnswer) and item.answer is None]
 
     def close(self, reason: CloseReason) -> None:
-        """Ends the connection once what is written has been taken."""
+        """Closes the connection once all written bytes are sent."""
         if not self.ended:
-            self.frontend.safety.closing(reason, self.owed_ids())
+            self.frontend.safety.record_client_close(reason, self.pending_ids())
             self.ended = True
             self.close_after_write()
 
     def abort(self, reason: CloseReason) -> None:
-        """Ends the connection at once, with what is queued on it."""
+        """Closes the connection immediately and drops queued bytes."""
         if not self.ended:
-            self.frontend.safety.closing(reason, self.owed_ids())
+            self.frontend.safety.record_client_close(reason, self.pending_ids())
         self.ended = True
         self.transport.abortConnection()
 
     def resumeProducing(self) -> None:
-        """The system has taken all answers written so far."""
-        if self.queued:
-            self.frontend.queued -= self.owing
-            self.queued = self.owing = self.untaken_since = 0
-            self.moved = self.frontend.dispatcher.now()
-            first = self.owed[0] if self.owed else None
-            if isinstance(first, Owed) and first.flow is not None:
+        """Called by the transport when the operating system has accepted all written bytes."""
+        if self.queued_bytes:
+            self.frontend.queued_bytes -= self.counted_bytes
+            self.queued_bytes = self.counted_bytes = self.unsent_since = 0
+            self.last_activity = self.frontend.dispatcher.now()
+            first = self.pending[0] if self.pending else None
+            if isinstance(first, PendingAnswer) and first.stream is not None:
                 self.flush()
             else:
-                self.frontend.idle(self)
+                self.frontend.mark_idle(self)
 
     def stopProducing(self) -> None:
         pass
 
-    def stalled(self) -> bool:
-        """It takes none of its answers, or is held back from a request that gets nowhere."""
+    def is_stalled(self) -> bool:
+        """Whether the client reads no answers, or its paused request makes no progress, beyond the stall timeout."""
         now = self.frontend.dispatcher.now()
-        if self.queued:
-            return self.untaken(now) > self.frontend.limits.stall_timeout
-        half = self.ended or (self.reading_paused and not self.machine.quiet())
-        return half and now - self.moved > self.frontend.limits.stall_timeout
+        if self.queued_bytes:
+            return self.unsent_for(now) > self.frontend.limits.stall_timeout
+        incomplete = self.ended or (self.reading_paused and not self.parser.is_idle())
+        return incomplete and now - self.last_activity > self.frontend.limits.stall_timeout
 
-    def untaken(self, now: int) -> int:
-        """For how long the system has taken none of what is queued. What is read or queued meanwhile is no progress."""
+    def unsent_for(self, now: int) -> int:
+        """Returns how long the operating system has accepted no queued bytes. Reading or queueing is no progress."""
         taken = self.transport.bytes_taken
-        if not self.untaken_since or taken != self.taken_before or self.frontend.loop_timing.stood_still(now):
-            self.untaken_since, self.taken_before = now, taken
-        return now - self.untaken_since
+        if not self.unsent_since or taken != self.sent_before or self.frontend.loop_timing.process_stalled(now):
+            self.unsent_since, self.sent_before = now, taken
+        return now - self.unsent_since
--- a/ternquay/net/discovery.py
+++ b/ternquay/net/discovery.py
@@ -112,7 +112,7 @@
         pool.maxPersistentPerHost = 1
         self.agent = Agent.usingEndpointFactory(reactor, AddressEndpointFactory(reactor, address), pool)
         self.revision = -1  # of the latest list; -1: no list of this address is known yet
-        self.schedule = WatchSchedule(limits, dispatcher.draw, not dispatcher.start.watch_list)
+        self.schedule = WatchSchedule(limits, dispatcher.random, not dispatcher.config.watch_list)
         self.stopped = self.retiring = False  # retiring: no further call starts, but the current one is still read
         self.current_call: PendingCall | None = None
         self.late_call: PendingCall | None = None  # it has timed out, but a response to it is still accepted
@@ -158,7 +158,7 @@
         if revision < self.revision:
             raise FieldError(f"revision: {revision} is older than {self.revision}, the latest revision")
         self.revision = revision  # set first, as the balancer may request the next list from within list_told()
-        self.dispatcher.list_told(complete, self.start_times.to_monotonic(complete, entries, self.dispatcher.now()))
+        self.dispatcher.update_hosts(complete, self.start_times.to_monotonic(complete, entries, self.dispatcher.now()))
 
     def _start_call(self) -> None:
         if self.stopped or self.retiring:
--- a/ternquay/peers/links.py
+++ b/ternquay/peers/links.py
@@ -19,7 +19,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from ternquay.net.request_deadline import SECOND, Part, Position, RequestDeadline
+from ternquay.net.request_deadline import SECOND, Position, RequestDeadline, RequestPart
 from ternquay.peers.frames import MAX_FRAME_BYTES
 
 CONNECT_TIMEOUT_SECONDS = 0.5
@@ -140,12 +140,12 @@
     def dataReceived(self, data: bytes) -> None:
         super().dataReceived(data)  # type: ignore[no-untyped-call]
         # A frame is a value of announced length: while it is incomplete, nothing after it can be read.
-        part = Part.VALUE if self._unprocessed else Part.NONE
-        self.deadline.read(self.factory.now(), Position(part, self.frame_count), len(data))
+        part = RequestPart.VALUE if self._unprocessed else RequestPart.NONE
+        self.deadline.record_read(self.factory.now(), Position(part, self.frame_count), len(data))
 
     def is_stalled(self) -> bool:
         """Whether a frame is overdue after its first bytes; the stream may have lost its framing."""
-        due = self.deadline.due()
+        due = self.deadline.due_at()
         return due is not None and self.factory.now() >= due
 
     def stringReceived(self, string: bytes) -> None:
--- a/tests/test_review_gaps.py
+++ b/tests/test_review_gaps.py
@@ -23,7 +23,7 @@
     net = Net(limits={"pipelined": 3, "sockets": 9})
     client = net.client()
     client.feed(b"".join(mg(n, key=f"k{n}") for n in range(5)))
-    assert len(net.dispatcher.txs) == 3
+    assert len(net.dispatcher.open_txs) == 3
     while net.reactor.tcpClients:
         net.accept()
     for wire in net.wires[1:]:
@@ -38,7 +38,7 @@
     for n in range(3):
         client.feed(mg(n))
         (net.accept() if net.reactor.tcpClients else net.wires[1]).feed(va(n))
-    assert net.frontend.queued == 0 and client.protocol.queued == 0
+    assert net.frontend.queued_bytes == 0 and client.protocol.queued_bytes == 0
 
 
 def test_the_backoff_of_a_rollback_is_in_microseconds_on_the_wire() -> None:
--- a/tests/test_review_input.py
+++ b/tests/test_review_input.py
@@ -20,7 +20,7 @@
 from ternquay.net.serve import Service
 from ternquay.net.start_times import StartTimes
 from tests.helper import FACTS, Net, Scenario, listed_host, member
-from tests.test_net import TOLD, Agent, Response, mg, va
+from tests.test_net import BASE_CONFIG, FakeAgent, FakeResponse, mg, va
 
 ROOT = Path(__file__).parents[1]
 
@@ -93,14 +93,14 @@
 @pytest.mark.parametrize(("change", "named"), INVALID_SETTINGS + INVALID_LISTS)
 def test_a_start_with_an_invalid_field_names_it_in_one_line(tmp_path: Path, change: dict[str, Any], named: str) -> None:
     path = tmp_path / "told.json"
-    path.write_text(json.dumps(TOLD | change))
+    path.write_text(json.dumps(BASE_CONFIG | change))
     result = CliRunner().invoke(app, ["check", "--config", str(path)])
     assert result.exit_code == 2 and result.output.count("\n") == 1, (result.output, result.exception)
     assert named in result.output and len(result.output) < 400
 
 
 def test_a_start_with_a_truncated_file_ends_with_status_2(tmp_path: Path) -> None:
-    path, whole = tmp_path / "told.json", orjson.dumps(TOLD)
+    path, whole = tmp_path / "told.json", orjson.dumps(BASE_CONFIG)
     for cut in range(len(whole)):
         path.write_bytes(whole[:cut])
         with pytest.raises(ConfigError) as told:
@@ -118,11 +118,11 @@
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and "EDGE_CONFIG" in done.stderr
 
 
-def started(net: Net, path: Path, monkeypatch: pytest.MonkeyPatch) -> tuple[Service, Agent]:
+def started(net: Net, path: Path, monkeypatch: pytest.MonkeyPatch) -> tuple[Service, FakeAgent]:
     """Starts a service on the reactor of `net`. The test answers the calls to discovery."""
-    agent = Agent(net)
+    agent = FakeAgent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
-    path.write_bytes(orjson.dumps(TOLD))
+    path.write_bytes(orjson.dumps(BASE_CONFIG))
     service = Service(net.reactor, read_config(str(path), {}))
     net.frontend, net.dispatcher = service.frontend, service.dispatcher
     service.begin()
@@ -135,9 +135,9 @@
     net, path, lines = Net(), tmp_path / "told.json", []
     service, agent = started(net, path, monkeypatch)
     handler = logger.add(lambda text: lines.append(str(text)), format="{level} {message}")
-    client, whole = net.client(), orjson.dumps(TOLD | {"discovery": "127.0.0.1:8600"})
+    client, whole = net.client(), orjson.dumps(BASE_CONFIG | {"discovery": "127.0.0.1:8600"})
     bad = [whole[:cut] for cut in range(0, len(whole), 7)]
-    bad += [json.dumps(TOLD | change).encode() for change, _ in INVALID_SETTINGS]
+    bad += [json.dumps(BASE_CONFIG | change).encode() for change, _ in INVALID_SETTINGS]
     # The clock stands still, so each reload takes place while a transaction is open.
     for n, told in enumerate(bad):
         client.feed(mg(n))
@@ -150,7 +150,7 @@
     kept = [text for text in lines if "the old configuration is kept" in text]
     assert len(kept) == len(bad) and all(text.count("\n") == 1 for text in kept), len(kept)
     answers = [one for one in net.trace if "client 0 < b'VA" in one]
-    assert len(answers) == len(bad) and not service.dispatcher.txs
+    assert len(answers) == len(bad) and not service.dispatcher.open_txs
 
 
 def test_reloads_with_a_discovery_that_never_answers_keep_the_host_list(
@@ -158,7 +158,7 @@
 ) -> None:
     net, path = Net(), tmp_path / "told.json"
     service, agent = started(net, path, monkeypatch)
-    path.write_bytes(orjson.dumps(TOLD | {"discovery": "127.0.0.1:8600"}))
+    path.write_bytes(orjson.dumps(BASE_CONFIG | {"discovery": "127.0.0.1:8600"}))
     service.reload()
     service.reload()
     assert len(agent.calls) == 2
@@ -169,7 +169,7 @@
     assert "client 0 < b'VA 3 O1" in "".join(net.trace) and len(service.pool.hosts) == 1
     assert 4 <= len(agent.calls) <= 12  # it keeps calling the new address at growing intervals
     service.end()
-    path.write_bytes(orjson.dumps(TOLD))
+    path.write_bytes(orjson.dumps(BASE_CONFIG))
     service.reload()
     assert service.config.discovery.port == 8600
 
@@ -177,20 +177,22 @@
 # ---- lists while serving ----
 
 
-def followed(net: Net, monkeypatch: pytest.MonkeyPatch) -> tuple[Discovery, Agent]:
-    agent = Agent(net)
+def followed(net: Net, monkeypatch: pytest.MonkeyPatch) -> tuple[Discovery, FakeAgent]:
+    agent = FakeAgent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     watch = Discovery(net.reactor, net.dispatcher, net.limits, Address("127.0.0.1", 8500), StartTimes(lambda: 0))
-    net.dispatcher.watch = watch.watch
+    net.dispatcher.request_list = watch.watch
     watch.watch()
     return watch, agent
 
 
-def list_response(revision: int, *members: Any, complete: Any = True) -> Response:
-    return Response(200, json.dumps({"revision": revision, "complete": complete, "members": list(members)}).encode())
+def list_response(revision: int, *members: Any, complete: Any = True) -> FakeResponse:
+    return FakeResponse(
+        200, json.dumps({"revision": revision, "complete": complete, "members": list(members)}).encode()
+    )
 
 
-def run_until_called(net: Net, agent: Agent, many: int) -> None:
+def run_until_called(net: Net, agent: FakeAgent, many: int) -> None:
     for _ in range(200):
         if len(agent.calls) >= many:
             return
@@ -208,17 +210,17 @@
     agent.calls[0].callback(list_response(5, member(1), member(2)))
     client = net.client()
     client.feed(mg(1))
-    before = dict(net.dispatcher.hosts)
-    agent.calls[1].callback(Response(200, json.dumps(change["known"]).encode()))
+    before = dict(net.dispatcher.host_indices)
+    agent.calls[1].callback(FakeResponse(200, json.dumps(change["known"]).encode()))
     net.accept().feed(va(1))
     logger.remove(handler)
-    assert net.dispatcher.hosts == before and "client 0 < b'VA 3 O1" in "".join(net.trace)
+    assert net.dispatcher.host_indices == before and "client 0 < b'VA 3 O1" in "".join(net.trace)
     assert sum(named.replace("known.", "") in text for text in lines) == 1, lines
     run_until_called(net, agent, 3)
     asked = [one for one in net.trace if " GET " in one]
     assert asked[-1].endswith("/api/targets")  # a request for the complete list, as changes may be lost
     agent.calls[2].callback(list_response(7, member(3)))
-    assert set(net.dispatcher.hosts) == {"h3"}
+    assert set(net.dispatcher.host_indices) == {"h3"}
 
 
 def test_an_older_revision_is_rejected_but_accepted_in_a_new_complete_list(
@@ -229,12 +231,13 @@
     agent.calls[0].callback(list_response(9, member(1), member(2)))
     agent.calls[1].callback(list_response(4, member(1, "draining"), complete=False))
     assert (
-        watch.revision == -1 and net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].status is m.HostStatus.READY
+        watch.revision == -1
+        and net.dispatcher.balancer.hosts[net.dispatcher.host_indices["h1"]].status is m.HostStatus.READY
     )
     run_until_called(net, agent, 3)
     agent.calls[2].callback(list_response(4, member(1, "draining"), member(2)))
     assert watch.revision == 4
-    assert net.dispatcher.balancer.hosts[net.dispatcher.hosts["h1"]].status is m.HostStatus.DRAINING
+    assert net.dispatcher.balancer.hosts[net.dispatcher.host_indices["h1"]].status is m.HostStatus.DRAINING
 
 
 @pytest.mark.parametrize("stays", [True, False])
@@ -250,7 +253,9 @@
     agent.calls[2].callback(list_response(6, member(1), *([member(2)] if stays else [])))
     assert watch.revision == 6
     left = {"h1", "h2"} if stays else {"h1"}
-    assert set(net.dispatcher.hosts) == left and len(net.dispatcher.balancer.hosts) == len(net.pool.hosts) == len(left)
+    assert set(net.dispatcher.host_indices) == left and len(net.dispatcher.balancer.hosts) == len(
+        net.pool.hosts
+    ) == len(left)
 
 
 def test_an_empty_complete_list_is_applied_and_superseded_by_the_next() -> None:
@@ -269,7 +274,7 @@
     net.list(member(1), member(2), complete=True)
     client.feed(mg(4))
     net.accept().feed(va(4))
-    assert "VA 3 O4" in net.trace[-1] and not net.dispatcher.txs
+    assert "VA 3 O4" in net.trace[-1] and not net.dispatcher.open_txs
 
 
 def test_a_host_that_was_gone_and_is_listed_again_gets_its_keys_back() -> None:
