--- a/ternquay/rig/laws/link.py
+++ b/ternquay/rig/laws/link.py
@@ -1,6 +1,7 @@
-"""What lies between balancers and one cache host: it refuses, resets, delays, drips, cuts and goes silent.
+"""Model of the network between the balancers and one cache host, with fault injection.
 
-It also spoils and loses answers. A link is told each thing that crosses it and says what becomes of it.
+Faults refuse or reset connections, delay, drip or fragment answers, silence the host, and corrupt or lose answers. The
+stand-in asks the link about each event and acts on the result.
 """
 
 from dataclasses import dataclass, field
@@ -8,11 +9,13 @@
 
 from ternquay.rig.terms import MS, Planned, active
 
-RESET = b"\0reset"  # a piece that no answer is: the connection is reset here
+RESET = b"\0reset"  # marker inside a fragment, which occurs in no answer: the connection ends here
 
 
 @dataclass(slots=True)
 class Link:
+    """The faults of one host's link; draws come from a generator seeded for that link."""
+
     faults: tuple[Planned, ...]
     host: int
     seed: int
@@ -20,58 +23,64 @@
 
     def __post_init__(self) -> None:
         self.random = Random(f"{self.seed}/link/{self.host}")
-        self.faults = tuple(f for f in self.faults if self.host in f.hosts)
+        self.faults = tuple(fault for fault in self.faults if self.host in fault.hosts)
 
     def _active(self, now: int, kind: str) -> Planned | None:
         return active(self.faults, now, kind)
 
-    def _strikes(self, now: int, kind: str) -> bool:
+    def _applies(self, now: int, kind: str) -> bool:
+        """Draws whether an active fault of that kind applies to the current event."""
         fault = self._active(now, kind)
         return fault is not None and self.random.random() < fault.part
 
     def refuses(self, now: int) -> bool:
-        return self._strikes(now, "link-refuse")
+        """Whether a new connection is refused."""
+        return self._applies(now, "link-refuse")
 
     def silent(self, now: int) -> bool:
+        """Whether the host is unreachable without any error."""
         return self._active(now, "link-silent") is not None
 
     def resets(self, now: int) -> bool:
-        """As a command has come whole, or as an answer is on its way."""
-        return self._strikes(now, "link-reset")
+        """Whether the connection is reset after a complete command, or while an answer is sent."""
+        return self._applies(now, "link-reset")
 
     def loses(self, now: int) -> bool:
-        return self._strikes(now, "answers-lost")
+        """Whether an answer is lost."""
+        return self._applies(now, "answers-lost")
 
-    def spoil(self, now: int, answer: bytes) -> bytes:
-        """What comes of an answer: itself, mostly, or what a reader can tell from one."""
-        if not self._strikes(now, "answers-spoilt"):
+    def corrupt(self, now: int, answer: bytes) -> bytes:
+        """Returns the answer, or a corrupted form that a reader can detect if the fault applies."""
+        if not self._applies(now, "answers-spoilt"):
             return answer
-        line, _, rest = answer.partition(b"\r\n")
-        verb, _, words = line.partition(b" ")
+        header, _, rest = answer.partition(b"\r\n")
+        verb, _, arguments = header.partition(b" ")
         return self.random.choice(
             (
-                b"VX " + words + b"\r\n" + rest,  # no verb that there is
-                line.replace(b" O", b" Oz", 1) + b"\r\n" + rest,  # another one's id
-                answer[: len(answer) // 2] + RESET,  # cut off half way
+                b"VX " + arguments + b"\r\n" + rest,  # unknown verb
+                header.replace(b" O", b" Oz", 1) + b"\r\n" + rest,  # id of another command
+                answer[: len(answer) // 2] + RESET,  # truncated
                 b"\0\xff" * 9 + answer,
-                (b"VA 99999999" + line[line.find(b" O") :] if verb == b"VA" else b"HD") + b"\r\n" + rest,
+                (b"VA 99999999" + header[header.find(b" O") :] if verb == b"VA" else b"HD") + b"\r\n" + rest,
             )
         )
 
-    def pieces(self, now: int, answer: bytes) -> list[tuple[int, bytes]]:
-        """When which bytes of it arrive; RESET ends it."""
-        at, cut = now, len(answer)
+    def fragments(self, now: int, answer: bytes) -> list[tuple[int, bytes]]:
+        """Returns the arrival time and the bytes of each fragment of an answer. RESET in one ends the connection."""
+        at, fragment_size = now, len(answer)
         if fault := self._active(now, "link-delay"):
             at += fault.pause
         drip = self._active(now, "link-drip")
         if drip or self._active(now, "link-cut"):
-            cut = self.random.choice((1, 2, 3, 7, 40)) if len(answer) < 200 else self.random.choice((61, 333))
-        if not drip and cut < len(answer):
-            # Cut in odd pieces that follow at once: the first ones, as so many turns tell no more.
+            fragment_size = self.random.choice((1, 2, 3, 7, 40)) if len(answer) < 200 else self.random.choice((61, 333))
+        if not drip and fragment_size < len(answer):
+            # Only the first three fragments are short: more of them would test nothing new.
             return [
-                (at + n * MS, answer[n * cut : (n + 1) * cut if n < 3 else None]) for n in range(4) if answer[n * cut :]
+                (at + n * MS, answer[n * fragment_size : (n + 1) * fragment_size if n < 3 else None])
+                for n in range(4)
+                if answer[n * fragment_size :]
             ]
         pause = drip.pause if drip else 0
-        count = min(8, -(-len(answer) // cut))
+        count = min(8, -(-len(answer) // fragment_size))
         size = -(-len(answer) // count)
         return [(at + n * pause, answer[n * size : (n + 1) * size]) for n in range(count)]
--- a/ternquay/rig/standins/hosts.py
+++ b/ternquay/rig/standins/hosts.py
@@ -102,14 +102,14 @@
             self.reset()
         else:
             whole = shaped(slot.command, answer)
-            slot.text = link.spoil(now, whole)
+            slot.text = link.corrupt(now, whole)
             slot.hop.lost = slot.text != whole
             self.flush(now)
 
     def flush(self, now: int) -> None:
         while self.slots and self.slots[0].text is not None:
             text = self.slots.popleft().text or b""
-            for at, piece in self.port.link.pieces(now, text):
+            for at, piece in self.port.link.fragments(now, text):
                 if at <= now:
                     self.put(piece)
                 else:
--- a/tests/test_laws.py
+++ b/tests/test_laws.py
@@ -240,14 +240,14 @@
     def link(kind: str, part: float = 1.0, pause: int = 20 * MS) -> Link:
         return Link((Planned(kind, 0, SECOND, (0,), 0, 1.0, part, pause, 1),), 0, 1)
 
-    assert link("link-delay").pieces(5, answer) == [(5 + 20 * MS, answer)]
+    assert link("link-delay").fragments(5, answer) == [(5 + 20 * MS, answer)]
     for kind in ("link-drip", "link-cut"):
-        pieces = link(kind).pieces(0, answer)
+        pieces = link(kind).fragments(0, answer)
         assert len(pieces) > 1 and b"".join(data for _, data in pieces) == answer
         assert [at for at, _ in pieces] == sorted(at for at, _ in pieces)
     assert link("link-reset").resets(0) and not link("link-reset").resets(SECOND)
     assert link("link-refuse").refuses(0) and link("link-silent").silent(0) and link("answers-lost").loses(0)
     spoiler = link("answers-spoilt")
-    spoilt = {spoiler.spoil(0, answer) for _ in range(60)}
+    spoilt = {spoiler.corrupt(0, answer) for _ in range(60)}
     assert len(spoilt) == 5 and answer not in spoilt
     assert any(RESET in text for text in spoilt)
