--- a/ternquay/rig/byhand.py
+++ b/ternquay/rig/byhand.py
@@ -22,7 +22,7 @@
     discovery = DiscoveryDriver(reactor, lambda: hosts.law.listing, time.monotonic_ns, 1, time.time_ns() // MS)
     hosts.on_list = discovery.changed
     listing = hosts.law.listing
-    known = json.loads(discovery.shown(listing.revision(0), True, listing.whole(0)))
+    known = json.loads(discovery.shown(listing.revision(0), True, listing.complete(0)))
     told = configuration(day, 0, listen, discovery.places[0][0], known, seed)
     config.write_text(json.dumps(told, indent=1) + "\n")
     begin = time.monotonic_ns()
--- a/ternquay/rig/laws/fleet.py
+++ b/ternquay/rig/laws/fleet.py
@@ -144,7 +144,7 @@
             speed = self.random.uniform(*self.day.hosts.speed)
             host = CacheHost(self.day.hosts, index, self._new_name(index), speed)
             self.hosts.append(host)
-            self.listing.change(0, self._list_entry(host, "up"), at_once=True)
+            self.listing.change(0, self._list_entry(host, "up"), immediate=True)
         self._fill_caches()
         for fault in self.faults:
             self._schedule_fault(fault)
--- a/ternquay/rig/laws/listing.py
+++ b/ternquay/rig/laws/listing.py
@@ -1,4 +1,4 @@
-"""The list of cache hosts: revisions, each told some time late; out of reach and garbage for a while."""
+"""Model of discovery's list of cache hosts: revisions that become visible with a delay, outages and garbage."""
 
 from bisect import bisect_right
 from dataclasses import dataclass, field
@@ -10,20 +10,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One line: `phase` is up, draining or removed; `since` is a start in this play's time, 0 for long ago."""
+    """A host in the list. `phase` is up, draining or removed; `since` is its start time, 0 if before the play."""
 
     id: str
-    where: str
+    address: str
     phase: str
     since: int
     zone: str = "here"
     size: float = 1.0
 
-    def told(self, epoch_ms: int) -> dict[str, Any]:
-        """In discovery's form; `epoch_ms` is the wall's time at the begin of the play."""
+    def to_json(self, epoch_ms: int) -> dict[str, Any]:
+        """Returns the entry in discovery's format; `epoch_ms` is the wall clock time at the start of the play."""
         return {
             "id": self.id,
-            "host_port": self.where,
+            "host_port": self.address,
             "locality": self.zone,
             "flavor": "rig",
             "cell": 0,
@@ -35,11 +35,13 @@
 
 @dataclass(slots=True)
 class Listing:
+    """The list and its faults. Revisions count from 1; revision `n` includes the first `n` changes."""
+
     terms: ListTerms
     faults: tuple[Planned, ...]
     seed: int
     random: Random = field(init=False)
-    visible: list[int] = field(default_factory=list)  # when each revision can be told, never falling
+    visible: list[int] = field(default_factory=list)  # time at which each revision becomes visible, ascending
     entries: list[Entry] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -48,39 +50,43 @@
     def _active(self, now: int, kind: str) -> Planned | None:
         return active(self.faults, now, kind)
 
-    def change(self, now: int, entry: Entry, at_once: bool = False) -> int:
-        """A change comes about; when it can be told."""
-        late = 0 if at_once else int(self.random.uniform(*self.terms.late_ms) * MS)
+    def change(self, now: int, entry: Entry, immediate: bool = False) -> int:
+        """Records a change and returns the time at which it becomes visible."""
+        delay = 0 if immediate else int(self.random.uniform(*self.terms.late_ms) * MS)
         fault = self._active(now, "list-late")
-        at = now + late + (fault.pause if fault else 0)
-        # In their order, though one behind a late one is late too.
+        at = now + delay + (fault.pause if fault else 0)
+        # Revisions become visible in order, so a change behind a delayed one is delayed as well.
         at = max(at, self.visible[-1] if self.visible else 0)
         self.visible.append(at)
         self.entries.append(entry)
         return at
 
     def revision(self, now: int) -> int:
+        """Returns the latest visible revision."""
         return bisect_right(self.visible, now)
 
     def next_change(self, after: int) -> int | None:
-        """When the first revision past `after` can be told, if there is one."""
+        """Returns the time at which the first revision after `after` becomes visible, or None."""
         return self.visible[after] if after < len(self.visible) else None
 
     def down(self, now: int) -> bool:
+        """Whether discovery is unavailable."""
         return self._active(now, "list-down") is not None
 
-    def queue(self, now: int) -> int:
-        """How long discovery works on each call that begins a watch."""
+    def watch_start_delay(self, now: int) -> int:
+        """Returns how many nanoseconds discovery takes for each call that starts a watch."""
         fault = self._active(now, "list-queue")
         return fault.pause if fault else 0
 
     def garbage(self, now: int) -> bool:
+        """Whether discovery sends malformed answers."""
         return self._active(now, "list-garbage") is not None
 
-    def whole(self, now: int) -> list[Entry]:
-        latest = {e.id: e for e in self.entries[: self.revision(now)]}
-        return [e for e in latest.values() if e.phase != "removed"]
+    def complete(self, now: int) -> list[Entry]:
+        """Returns the latest visible entry of each host that is not removed."""
+        latest = {entry.id: entry for entry in self.entries[: self.revision(now)]}
+        return [entry for entry in latest.values() if entry.phase != "removed"]
 
     def since(self, now: int, index: int) -> list[Entry]:
-        """What has changed after that revision, the latest of each host."""
-        return list({e.id: e for e in self.entries[index : self.revision(now)]}.values())
+        """Returns the latest entry of each host that changed after revision `index`."""
+        return list({entry.id: entry for entry in self.entries[index : self.revision(now)]}.values())
--- a/ternquay/rig/standins/__main__.py
+++ b/ternquay/rig/standins/__main__.py
@@ -29,7 +29,7 @@
     )
     hosts.on_list = discovery.changed
     listing = hosts.law.listing
-    known = discovery.shown(listing.revision(0), True, listing.whole(0)).decode()
+    known = discovery.shown(listing.revision(0), True, listing.complete(0)).decode()
 
     def begin(at: int) -> None:
         hosts.start(at)
--- a/ternquay/rig/standins/discovery.py
+++ b/ternquay/rig/standins/discovery.py
@@ -133,7 +133,7 @@
         if listing.garbage(now):
             self.spoilt += 1
             return GARBAGE[self.spoilt % len(GARBAGE)]
-        each = listing.queue(now)
+        each = listing.watch_start_delay(now)
         if each and now - self.answered[balancer] > GOES_ON:
             return self._queued(call, balancer, wait, now, each)
         return self._take(call, balancer, wait)
@@ -163,7 +163,7 @@
         listing, now = self.listing(), self.now()
         index = number_in(call, b"index")
         if index is None:
-            return self._write(balancer, listing.revision(now), True, listing.whole(now))
+            return self._write(balancer, listing.revision(now), True, listing.complete(now))
         if listing.revision(now) > index or not wait:
             return self._write(balancer, listing.revision(now), False, listing.since(now, index))
         watch = Watch(call, index, balancer)
@@ -206,5 +206,5 @@
         return self.shown(revision, whole, entries)
 
     def shown(self, revision: int, whole: bool, entries: list[Entry]) -> bytes:
-        members = [entry.told(self.epoch_ms) for entry in entries]
+        members = [entry.to_json(self.epoch_ms) for entry in entries]
         return orjson.dumps({"revision": revision, "complete": whole, "members": members})
--- a/tests/test_laws.py
+++ b/tests/test_laws.py
@@ -94,7 +94,7 @@
                 self.say(f"{self.names[one.ticket]} ends: {one.kind}{note}")
             elif isinstance(one, f.ListChanged):
                 entry = self.fleet.listing.entries[-1]
-                self.say(f"{entry.phase} of a host at {entry.where} can be told from {one.at / MS:.0f} ms on")
+                self.say(f"{entry.phase} of a host at {entry.address} can be told from {one.at / MS:.0f} ms on")
             else:
                 self.say(f"host {one.host} is {'up' if isinstance(one, f.HostUp) else 'down'}")
 
@@ -197,11 +197,11 @@
     late = Planned("list-late", 0, SECOND, (), 0, 1.0, 0.0, 2 * SECOND, 1)
     down = Planned("list-down", 3 * SECOND, 4 * SECOND, (), 0, 1.0, 0.0, 0, 1)
     listing = Listing(ListTerms(late_ms=(100, 100)), (late, down), 1)
-    listing.change(0, Entry("h", "a", "up", 0), at_once=True)
+    listing.change(0, Entry("h", "a", "up", 0), immediate=True)
     assert listing.change(SECOND // 2, Entry("h", "a", "draining", 0)) == 2600 * MS
     assert listing.change(SECOND, Entry("h", "a", "removed", 0)) == 2600 * MS
-    assert [e.phase for e in listing.whole(2 * SECOND)] == ["up"]
-    assert [e.phase for e in listing.since(2600 * MS, 1)] == ["removed"] and listing.whole(2600 * MS) == []
+    assert [e.phase for e in listing.complete(2 * SECOND)] == ["up"]
+    assert [e.phase for e in listing.since(2600 * MS, 1)] == ["removed"] and listing.complete(2600 * MS) == []
     assert listing.next_change(1) == 2600 * MS and listing.next_change(3) is None
     assert [listing.down(t * SECOND) for t in (2, 3, 4)] == [False, True, False]
 
