--- a/ternquay/rig/laws/fleet.py
+++ b/ternquay/rig/laws/fleet.py
@@ -218,9 +218,9 @@
         elif event == "silent-end":
             host.resume(at)
         elif event == "origin-slow":
-            self.origin.factor = fault.factor
+            self.origin.slowdown = fault.factor
         elif event == "origin-slow-end":
-            self.origin.factor = 1.0
+            self.origin.slowdown = 1.0
         elif event == "drain" and not host.collapsed:
             host.draining = True
             self._change_list(at, host, "draining")
@@ -319,7 +319,7 @@
         if job is None:
             self._collapse(now, host)
         elif action.kind in ("fetch", "store"):
-            if not self.origin.ask(now, job.ticket, job.cold and action.kind == "fetch"):
+            if not self.origin.request(now, job.ticket, job.cold and action.kind == "fetch"):
                 self._origin_ended(now, job.ticket, False)
         elif job.ticket in self.jobs:
             self._answer(now, host, job, action.kind)
--- a/ternquay/rig/standins/hosts.py
+++ b/ternquay/rig/standins/hosts.py
@@ -324,9 +324,9 @@
             late=self.late,
             cpu=cpu,
             strange=self.strangers,
-            origin=law.origin.asked,
+            origin=law.origin.requests_by_tenth,
             tipped=[records.Tipped(t.at + b, t.host, t.name, t.warmth, t.pushed) for t in law.collapses],
-            stopped=[records.Stopped(s.at + b, s.asked, s.by_cold) for s in law.origin.stops],
+            stopped=[records.Stopped(s.at + b, s.asked, s.by_cold) for s in law.origin.outages],
             samples=[
                 records.HostSample(s.at + b, s.host, s.up, s.warmth, s.open, s.work)
                 for s in law.samples
--- a/ternquay/rig/virtual.py
+++ b/ternquay/rig/virtual.py
@@ -191,8 +191,8 @@
             self.hops,
             self.told,
             [records.Tipped(t.at + BEGIN, t.host, t.name, t.warmth, t.pushed) for t in self.fleet.collapses],
-            [records.Stopped(s.at + BEGIN, s.asked, s.by_cold) for s in origin.stops],
-            origin.asked,
+            [records.Stopped(s.at + BEGIN, s.asked, s.by_cold) for s in origin.outages],
+            origin.requests_by_tenth,
             [],
             [],
         )
--- a/tests/test_laws.py
+++ b/tests/test_laws.py
@@ -184,12 +184,12 @@
 
 def test_the_origin_stops_past_its_load_and_comes_back() -> None:
     origin = Origin(OriginTerms(places=1, took_ms=(10.0, 10.0), stopping_rate=20.0, stopped_ms=500), 1)
-    taken = [origin.ask(n * MS, n, cold=n % 2 == 0) for n in range(25)]
+    taken = [origin.request(n * MS, n, cold=n % 2 == 0) for n in range(25)]
     assert taken == [True] * 20 + [False] * 5
-    assert (origin.stops[0].asked, origin.stops[0].by_cold) == (21, 11)
+    assert (origin.outages[0].asked, origin.outages[0].by_cold) == (21, 11)
     assert sorted(ticket for ticket, well in origin.advance(30 * MS) if not well) == [*range(20)]
-    assert not origin.ask(400 * MS, 30, cold=False)
-    assert origin.ask(521 * MS, 31, cold=False)
+    assert not origin.request(400 * MS, 30, cold=False)
+    assert origin.request(521 * MS, 31, cold=False)
     assert origin.advance(531 * MS)[-1] == (31, True)
 
 
