--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -484,7 +484,7 @@
     def run(self, turns: int, pause: int = 0) -> None:
         for _ in range(turns):
             self.at += pause
-            self.loop_timing.begins(self.at)
+            self.loop_timing.begin(self.at)
             due = [call for call in self.calls if call[0] <= self.at]
             self.calls = [call for call in self.calls if call[0] > self.at]
             for _, what, terms in due:
--- a/tests/test_stood_still.py
+++ b/tests/test_stood_still.py
@@ -11,10 +11,10 @@
 
 import orjson
 
-from ternquay.net.loop_timing import STOOD, LoopTiming
+from ternquay.net.loop_timing import STALL_NS, LoopTiming
 from tests.helper import FACTS, Net, ThreadedServer, member
 from tests.hosted_helper import ROOT
-from tests.test_endings import TurnsAway, begun
+from tests.test_endings import BusyHost, sent_commands
 from tests.test_net import mg
 from tests.test_review_links import balancer_config, free_port, wait_until
 
@@ -25,61 +25,66 @@
 
 def test_a_poll_that_returns_late_with_events_reports_a_pause_of_the_process() -> None:
     timing, now = LoopTiming(60 * MS), SECOND
-    timing.begins(now, now - 50 * MS, 250 * MS)
-    assert not timing.stood_still(now)
-    timing.begins(now + 2 * SECOND, now + MS, 250 * MS)
-    assert timing.stood_still(now + 2 * SECOND)
-    assert timing.unread(now + 2 * SECOND, 0) == 2 * SECOND - MS, "bytes may have arrived as soon as the poll began"
-    timing.begins(now + 2 * SECOND + 3 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
-    assert not timing.stood_still(now + 2 * SECOND + 3 * MS)
+    timing.begin(now, now - 50 * MS, 250 * MS)
+    assert not timing.process_stalled(now)
+    timing.begin(now + 2 * SECOND, now + MS, 250 * MS)
+    assert timing.process_stalled(now + 2 * SECOND)
+    assert timing.max_unread_time(now + 2 * SECOND, 0) == 2 * SECOND - MS, (
+        "bytes may have arrived as soon as the poll began"
+    )
+    timing.begin(now + 2 * SECOND + 3 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
+    assert not timing.process_stalled(now + 2 * SECOND + 3 * MS)
 
 
 def test_a_poll_that_returns_late_without_events_defers_the_report_to_the_next_one() -> None:
     """A stopped process causes this if the timeout of its poll passes meanwhile."""
     timing, now = LoopTiming(60 * MS), SECOND
-    timing.begins(now, now, 250 * MS)
-    timing.begins(now + 2 * SECOND, now + MS, 250 * MS, False)
-    timing.begins(now + 2 * SECOND + 2 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
-    assert timing.stood_still(now + 2 * SECOND + 2 * MS)
-    assert timing.unread(now + 2 * SECOND + 2 * MS, 0) == 2 * SECOND + MS
-    timing.begins(now + 3 * SECOND, now + 2 * SECOND + 3 * MS, 2 * SECOND)
-    assert not timing.stood_still(now + 3 * SECOND)
+    timing.begin(now, now, 250 * MS)
+    timing.begin(now + 2 * SECOND, now + MS, 250 * MS, False)
+    timing.begin(now + 2 * SECOND + 2 * MS, now + 2 * SECOND + 2 * MS, 250 * MS)
+    assert timing.process_stalled(now + 2 * SECOND + 2 * MS)
+    assert timing.max_unread_time(now + 2 * SECOND + 2 * MS, 0) == 2 * SECOND + MS
+    timing.begin(now + 3 * SECOND, now + 2 * SECOND + 3 * MS, 2 * SECOND)
+    assert not timing.process_stalled(now + 3 * SECOND)
 
 
 def test_the_report_is_dropped_if_the_next_poll_has_to_wait() -> None:
     timing, now = LoopTiming(60 * MS), SECOND
-    timing.begins(now, now, 250 * MS)
-    timing.begins(now + 2 * SECOND, now + MS, 250 * MS, False)
-    timing.begins(now + 2 * SECOND + 50 * MS, now + 2 * SECOND + MS, 250 * MS)
-    assert not timing.stood_still(now + 2 * SECOND + 50 * MS) and timing.unread(now + 2 * SECOND + 50 * MS, 0) == 0
+    timing.begin(now, now, 250 * MS)
+    timing.begin(now + 2 * SECOND, now + MS, 250 * MS, False)
+    timing.begin(now + 2 * SECOND + 50 * MS, now + 2 * SECOND + MS, 250 * MS)
+    assert (
+        not timing.process_stalled(now + 2 * SECOND + 50 * MS)
+        and timing.max_unread_time(now + 2 * SECOND + 50 * MS, 0) == 0
+    )
 
 
 def test_a_long_turn_and_the_turn_after_it_count_as_a_pause() -> None:
     timing, now = LoopTiming(60 * MS), SECOND
-    timing.begins(now, now, 250 * MS)
-    assert not timing.stood_still(now + STOOD) and timing.stood_still(now + STOOD + 1)
-    timing.begins(now + STOOD + 2 * MS, now + STOOD + MS, 250 * MS)
-    assert timing.stood_still(now + STOOD + 2 * MS)
+    timing.begin(now, now, 250 * MS)
+    assert not timing.process_stalled(now + STALL_NS) and timing.process_stalled(now + STALL_NS + 1)
+    timing.begin(now + STALL_NS + 2 * MS, now + STALL_NS + MS, 250 * MS)
+    assert timing.process_stalled(now + STALL_NS + 2 * MS)
 
 
 def test_a_poll_without_a_timeout_is_never_late() -> None:
     timing = LoopTiming(60 * MS)
-    timing.begins(100 * SECOND, SECOND, -1)
-    assert not timing.stood_still(100 * SECOND) and timing.unread(100 * SECOND, 0) == 0
+    timing.begin(100 * SECOND, SECOND, -1)
+    assert not timing.process_stalled(100 * SECOND) and timing.max_unread_time(100 * SECOND, 0) == 0
 
 
 def test_after_a_pause_a_hop_waits_for_the_next_poll() -> None:
     net = Net(hosts=2)
-    net.dispatcher.stood_still = lambda now: True
+    net.dispatcher.process_stalled = lambda now: True
     client = net.client()
     client.feed(mg(1))
     assert not net.reactor.tcpClients
     net.list(member(1, "draining"))
-    net.dispatcher.stood_still = lambda now: False
+    net.dispatcher.process_stalled = lambda now: False
     net.run(2)
     while net.reactor.tcpClients:
         net.accept()
-    assert len(begun(net)) == 1 and "host 2" in begun(net)[0], net.trace
+    assert len(sent_commands(net)) == 1 and "host 2" in sent_commands(net)[0], net.trace
 
 
 def test_a_hop_whose_connection_was_established_during_a_pause_is_routed_again() -> None:
@@ -87,20 +92,20 @@
     client = net.client()
     client.feed(mg(1))
     first = net.reactor.tcpClients[0][0]
-    net.dispatcher.stood_still = lambda now: True
+    net.dispatcher.process_stalled = lambda now: True
     net.accept()
-    assert not begun(net)
+    assert not sent_commands(net)
     net.list(member(int(first[-1]), "draining"))
-    net.dispatcher.stood_still = lambda now: False
+    net.dispatcher.process_stalled = lambda now: False
     net.run(2)
     while net.reactor.tcpClients:
         net.accept()
-    assert len(begun(net)) == 1 and f"host {first[-1]}" not in begun(net)[0], net.trace
+    assert len(sent_commands(net)) == 1 and f"host {first[-1]}" not in sent_commands(net)[0], net.trace
 
 
 def test_a_loop_that_is_late_in_every_turn_still_sends_hops() -> None:
     net = Net(hosts=2)
-    net.dispatcher.stood_still = lambda now: True
+    net.dispatcher.process_stalled = lambda now: True
     client = net.client()
     for number in range(5):
         client.feed(mg(number))
@@ -109,18 +114,18 @@
             net.accept()
         net.run(3)
         host = next(wire for wire in net.wires if wire.name.startswith("host") and not wire.lost)
-        assert len(begun(net)) == number + 1
+        assert len(sent_commands(net)) == number + 1
         host.feed(b"VA 3 O%d h1\r\nval\r\n" % number)
 
 
 def test_a_hop_that_waits_for_the_next_poll_is_dropped_if_its_client_leaves() -> None:
     net = Net()
-    net.dispatcher.stood_still = lambda now: True
+    net.dispatcher.process_stalled = lambda now: True
     client = net.client()
     client.feed(mg(1))
     client.end()
     net.run(5)
-    assert not net.reactor.tcpClients and not net.dispatcher.txs
+    assert not net.reactor.tcpClients and not net.dispatcher.open_txs
 
 
 class Discovery(ThreadedServer):
@@ -146,7 +151,7 @@
 
 
 def test_no_hop_reaches_a_host_whose_drain_was_announced_while_the_process_was_stopped(tmp_path: Path) -> None:
-    hosts, discovery, listen = (TurnsAway(), TurnsAway()), Discovery(), free_port()
+    hosts, discovery, listen = (BusyHost(), BusyHost()), Discovery(), free_port()
     members = [member(n) | {"host_port": f"127.0.0.1:{one.port}"} for n, one in enumerate(hosts, 1)]
     discovery.listed = orjson.dumps({"revision": 1, "complete": True, "members": members})
     settings = FACTS | {
