--- a/ternquay/rig/standins/hosts.py
+++ b/ternquay/rig/standins/hosts.py
@@ -14,7 +14,7 @@
 from ternquay.rig.laws.cachehost import CacheCommand
 from ternquay.rig.laws.clients import value_size
 from ternquay.rig.laws.link import RESET, Link
-from ternquay.rig.standins.reader import Command, CommandReader, Strange
+from ternquay.rig.standins.reader import Command, CommandError, CommandReader
 from ternquay.rig.terms import SECOND, Day, Planned
 
 STRANGE_MOST = 100
@@ -67,7 +67,7 @@
         now = self.driver.now()
         try:
             commands = self.reader.feed(now, data)
-        except Strange as fault:
+        except CommandError as fault:
             self.driver.strange(f"{fault}: {data[:80]!r}")
             self.transport.write(b"CLIENT_ERROR bad command\r\n")
             self.transport.loseConnection()
@@ -244,7 +244,7 @@
             command.write,
             port.index,
             self.law.hosts[port.index].name,
-            command.came + self.begin,
+            command.received_at + self.begin,
             now + self.begin,
         )
         self.hops.append(hop)
--- a/ternquay/rig/standins/reader.py
+++ b/ternquay/rig/standins/reader.py
@@ -1,89 +1,103 @@
-"""Reads the meta commands that reach a cache host, fed bytes; apart from the balancer's own reader, so that
-a fault of that one shows here."""
+"""Incremental parser of the meta commands that reach a cache host.
+
+It shares no code with the balancer's own parser, so that a fault of the balancer shows here.
+"""
 
 from dataclasses import dataclass, field
 
-LINE_MOST, VALUE_MOST, KEY_MOST = 4096, 4 << 20, 250
+MAX_LINE_BYTES = 4096
+MAX_VALUE_BYTES = 4 << 20
+MAX_KEY_BYTES = 250
 
 
 @dataclass(slots=True, frozen=True)
 class Command:
+    """A parsed command; `received_at` is the time at which its first byte arrived."""
+
     id: str
     profile: str
     write: bool
     key: str
     mark: str
     wait_ms: int
-    came: int  # its first byte
+    received_at: int
 
 
-class Strange(Exception):
-    """What is no command; the text says why."""
+class CommandError(Exception):
+    """The input is not a valid command; the text says why."""
 
 
-def read_line(words: list[bytes], came: int) -> tuple[Command, int]:
-    """A command and how long its value is, -1 for none."""
+def parse_line(words: list[bytes], received_at: int) -> tuple[Command, int]:
+    """Returns a command and the length of its value, -1 for none. Raises CommandError."""
     if not words or words[0] not in (b"mg", b"ms"):
-        raise Strange("no such verb")
+        raise CommandError("unknown verb")
     write = words[0] == b"ms"
-    if len(words) < 4 or not 0 < len(words[1]) <= KEY_MOST:
-        raise Strange("too few words, or no key")
+    if len(words) < 4 or not 0 < len(words[1]) <= MAX_KEY_BYTES:
+        raise CommandError("too few words, or a missing or oversized key")
     if write and not words[2].isdigit():
-        raise Strange("no length")
+        raise CommandError("value length is not a number")
     flags = words[3:] if write else words[2:]
-    ids = [f[1:] for f in flags if f[:1] == b"O"]
-    told = [f[1:] for f in flags if f[:1] == b"P"]
-    if len(ids) != 1 or not ids[0] or len(told) != 1 or (not write and flags.count(b"v") != 1):
-        raise Strange("flags that are none, or twice")
+    ids = [flag[1:] for flag in flags if flag[:1] == b"O"]
+    parameters = [flag[1:] for flag in flags if flag[:1] == b"P"]
+    if len(ids) != 1 or not ids[0] or len(parameters) != 1 or (not write and flags.count(b"v") != 1):
+        raise CommandError("a required flag is missing or repeated")
     try:
-        names = dict(pair.split("=", 1) for pair in told[0].decode("ascii").split(","))
-        wait = int(names["d"])
+        fields = dict(pair.split("=", 1) for pair in parameters[0].decode("ascii").split(","))
+        wait_ms = int(fields["d"])
         command = Command(
-            ids[0].decode("ascii"), names["c"], write, words[1].decode("ascii"), names.get("k", ""), wait, came
+            ids[0].decode("ascii"),
+            fields["c"],
+            write,
+            words[1].decode("ascii"),
+            fields.get("k", ""),
+            wait_ms,
+            received_at,
         )
-    except (ValueError, KeyError, UnicodeDecodeError) as fault:
-        raise Strange(f"names: {fault!r}") from fault
-    if wait <= 0:
-        raise Strange("no time left")
+    except (ValueError, KeyError, UnicodeDecodeError) as error:
+        raise CommandError(f"invalid parameters: {error!r}") from error
+    if wait_ms <= 0:
+        raise CommandError("no time left for the command")
     return command, int(words[2]) if write else -1
 
 
 @dataclass(slots=True)
 class CommandReader:
+    """The parser of one connection."""
+
     buffer: bytearray = field(default_factory=bytearray)
-    came: int = 0
-    wanted: Command | None = None
-    length: int = -1
+    received_at: int = 0
+    pending: Command | None = None
+    value_length: int = -1
 
     def feed(self, now: int, data: bytes) -> list[Command]:
-        """The commands that are whole now. Raises Strange at what is none."""
-        if not self.buffer and self.wanted is None:
-            self.came = now
+        """Adds data and returns the commands that are complete now. Raises CommandError for invalid input."""
+        if not self.buffer and self.pending is None:
+            self.received_at = now
         self.buffer += data
-        found, at = [], 0
+        commands, at = [], 0
         while True:
-            if self.wanted is None:
+            if self.pending is None:
                 end = self.buffer.find(b"\r\n", at)
                 if end < 0:
-                    if len(self.buffer) - at > LINE_MOST:
-                        raise Strange("a line without an end")
+                    if len(self.buffer) - at > MAX_LINE_BYTES:
+                        raise CommandError("line is too long")
                     break
-                command, self.length = read_line(bytes(self.buffer[at:end]).split(b" "), self.came)
+                command, self.value_length = parse_line(bytes(self.buffer[at:end]).split(b" "), self.received_at)
                 at = end + 2
-                if self.length > VALUE_MOST:
-                    raise Strange("too long a value")
-                if self.length < 0:
-                    found.append(command)
-                    self.came = now
+                if self.value_length > MAX_VALUE_BYTES:
+                    raise CommandError("value is too long")
+                if self.value_length < 0:
+                    commands.append(command)
+                    self.received_at = now
                 else:
-                    self.wanted = command
+                    self.pending = command
             else:
-                end = at + self.length
+                end = at + self.value_length
                 if len(self.buffer) < end + 2:
                     break
                 if self.buffer[end : end + 2] != b"\r\n":
-                    raise Strange("a value without its end")
-                found.append(self.wanted)
-                self.wanted, self.came, at = None, now, end + 2
+                    raise CommandError("value is not followed by a line end")
+                commands.append(self.pending)
+                self.pending, self.received_at, at = None, now, end + 2
         del self.buffer[:at]
-        return found
+        return commands
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -27,7 +27,7 @@
 from ternquay.rig.load import Connection, Load
 from ternquay.rig.measure import measure
 from ternquay.rig.ports import drawn_from, free_place
-from ternquay.rig.standins.reader import CommandReader, Strange
+from ternquay.rig.standins.reader import CommandError, CommandReader
 from ternquay.rig.survey import Job, against, by_day
 from ternquay.rig.terms import MS, SECOND, DayError, day_names, planned, read_day
 from ternquay.rig.virtual import World
@@ -140,7 +140,7 @@
             ("c3", "k3", False, "", 1),
         ]
         if cut == 1:
-            assert [c.came for c in found] == [0, 27, 65]
+            assert [c.received_at for c in found] == [0, 27, 65]
     for bad in (
         b"get k\r\n",
         b"mg k v Oa\r\n",
@@ -151,7 +151,7 @@
         b"mg k v Oa Ob Pc=c,d=1\r\n",
         b"x" * 5000,
     ):
-        with pytest.raises(Strange):
+        with pytest.raises(CommandError):
             CommandReader().feed(0, bad)
 
 
