--- a/ternquay/net/client.py
+++ b/ternquay/net/client.py
@@ -114,11 +114,11 @@
         self.frontend.client_disconnected(self)
         self.frontend.sockets.descriptor_freed(self)
         pending, self.pending = self.pending, deque()
-        for answer in pending:
-            if isinstance(answer, PendingAnswer) and answer.stream is not None:
-                answer.stream.discard()
-            elif isinstance(answer, PendingAnswer) and answer.answer is None:
-                answer.dispatcher.client_gone(answer.tx)
+        for item in pending:
+            if isinstance(item, PendingAnswer) and item.stream is not None:
+                item.stream.discard()
+            elif isinstance(item, PendingAnswer) and item.answer is None:
+                item.dispatcher.client_gone(item.tx)
 
     def rawDataReceived(self, data: bytes) -> None:
         if self.ended or self.closing:
@@ -278,6 +278,7 @@
         return RequestRefusal.LATE_TURN if late else None
 
     def begin_transaction(self, command: meta.Command, pending_answer: PendingAnswer, unread: int) -> None:
+        """Passes a transaction to the dispatcher. `unread`: the longest time that the command waited to be read."""
         params, ttl = command.params, max(0, command.ttl_ms * MS - unread)
         arrival = IncomingTx(
             params["c"],
--- a/ternquay/net/dispatcher.py
+++ b/ternquay/net/dispatcher.py
@@ -164,9 +164,9 @@
         """Returns the time in nanoseconds on the reactor's monotonic clock."""
         return int(self.clock.seconds() * SECOND)
 
-    def call_at(self, at: int, what: Callable[..., None], *args: Any) -> DelayedCall:
+    def call_at(self, at: int, callback: Callable[..., None], *args: Any) -> DelayedCall:
         """Schedules a call for the time `at`, in nanoseconds."""
-        return self.clock.callLater(max(0, at - self.now()) / SECOND, what, *args)
+        return self.clock.callLater(max(0, at - self.now()) / SECOND, callback, *args)
 
     def jittered(self, span: int) -> int:
         """Returns a random duration between 0.5 and 1.5 times `span`, so that clients or processes do not retry at
@@ -194,7 +194,7 @@
         try:
             actions = self.balancer.decide(self.now(), event)
         except Exception:
-            self.log("ERROR", "the decisions failed on {}", type(event).__name__, trace=True)
+            self.log("ERROR", "the routing decisions failed on event {}", type(event).__name__, trace=True)
             # The decisions expect the actions made before the failure to run; a hop that is not sent would never end.
             actions, failed = self.balancer.actions if self.balancer.actions is not before else [], True
         for action in actions:
@@ -202,7 +202,7 @@
                 self._apply(action)
             except Exception:
                 # A failed action must not prevent the others, such as another client's answer or the timer.
-                self.log("ERROR", "{} failed", type(action).__name__, trace=True)
+                self.log("ERROR", "action {} failed", type(action).__name__, trace=True)
                 if isinstance(action, m.SendHop):
                     self._hop_send_failed(action)
         if failed and isinstance(event, m.TxArrived):
--- a/ternquay/net/meta.py
+++ b/ternquay/net/meta.py
@@ -51,8 +51,8 @@
     def forward(self, wait_ms: int) -> bytes:
         """Returns the command for a cache host: as received, apart from the time `d` to wait for the answer."""
         flags = list(self.flags)
-        names = flags[self.params_at][1:].split(b",")
-        updated = [b"d=%d" % wait_ms if name.startswith(b"d=") else name for name in names]
+        params = flags[self.params_at][1:].split(b",")
+        updated = [b"d=%d" % wait_ms if param.startswith(b"d=") else param for param in params]
         flags[self.params_at] = b"P" + b",".join(updated)
         if self.stream_length:
             return b" ".join((self.verb, self.key, b"%d" % self.stream_length, *flags)) + b"\r\n"
@@ -145,10 +145,10 @@
     return int(word) if word.isdigit() and len(word) < 10 else -1
 
 
-def find_line_end(buffer: bytearray, at: int, most: int) -> int:
-    """Returns the end of the line that starts at `at`; -1: incomplete; -2: longer than `most`."""
-    end = buffer.find(b"\r\n", at, at + most + 2)
-    return -2 if end < 0 and len(buffer) - at >= most + 2 else end
+def find_line_end(buffer: bytearray, at: int, max_bytes: int) -> int:
+    """Returns the end of the line that starts at `at`; -1: incomplete; -2: longer than `max_bytes`."""
+    end = buffer.find(b"\r\n", at, at + max_bytes + 2)
+    return -2 if end < 0 and len(buffer) - at >= max_bytes + 2 else end
 
 
 def find_value_end(buffer: bytearray, at: int, length: int) -> int:
@@ -179,23 +179,23 @@
     if unknown or flags.count(b"v") != (words[0] == b"mg") or not PRINTABLE.fullmatch(b"".join(words)):
         return InvalidCommand(b"CLIENT_ERROR bad flags")
     ids = [f[1:] for f in flags if f[:1] == b"O"]
-    places = [i for i, f in enumerate(flags) if f[:1] == b"P"]
+    param_indices = [i for i, f in enumerate(flags) if f[:1] == b"P"]
     if len(ids) != 1 or not ids[0]:
         return InvalidCommand(b"CLIENT_ERROR bad id")
-    if len(places) != 1:
+    if len(param_indices) != 1:
         return InvalidCommand(b"CLIENT_ERROR bad names")
     try:
-        text = flags[places[0]][1:].decode("ascii")
+        text = flags[param_indices[0]][1:].decode("ascii")
         pairs = [pair.split("=", 1) for pair in text.split(",")]
-        names = {name: value for name, value in pairs}
+        params = {name: value for name, value in pairs}
     except ValueError:
         return InvalidCommand(b"CLIENT_ERROR bad names")
-    if len(names) != len(pairs) or not names.get("c"):
+    if len(params) != len(pairs) or not params.get("c"):
         return InvalidCommand(b"CLIENT_ERROR bad profile")
-    ttl = parse_length(names.get("d", "").encode())
+    ttl = parse_length(params.get("d", "").encode())
     if not 0 < ttl <= MAX_TTL_MS:
         return InvalidCommand(b"CLIENT_ERROR bad time")
-    return Command(words[0], words[1], flags, places[0], ids[0], names, ttl, None)
+    return Command(words[0], words[1], flags, param_indices[0], ids[0], params, ttl, None)
 
 
 @dataclass(slots=True)
@@ -223,15 +223,15 @@
         if not self.failed:
             self.buffer += data
 
-    def parse(self, most: int = sys.maxsize, limit_wait: Callable[[], int] | None = None) -> list[RequestItem]:
-        """Returns up to `most` complete items.
+    def parse(self, max_items: int = sys.maxsize, limit_wait: Callable[[], int] | None = None) -> list[RequestItem]:
+        """Returns up to `max_items` complete items.
 
         `limit_wait` is called for each command before it is parsed beyond its end. If it returns a time to wait, the
         command becomes an OverLimit item.
         """
         found: list[RequestItem] = []
         at, self.limit_wait = 0, limit_wait
-        while not self.failed and len(found) < most:
+        while not self.failed and len(found) < max_items:
             if self.stream_left >= 0:
                 step = self._parse_chunk(at, found)
             else:
@@ -319,11 +319,11 @@
         end = find_value_end(self.buffer, at, self.value_length)
         if end < 0:
             return self._fail(b"CLIENT_ERROR bad data chunk", found) if end == -2 else -1
-        wanted, self.awaiting_value = self.awaiting_value, None
-        if isinstance(wanted, Command):
-            found.append(replace(wanted, value=bytes(self.buffer[at:end])))
-        elif wanted is not None:
-            found.append(wanted)
+        command, self.awaiting_value = self.awaiting_value, None
+        if isinstance(command, Command):
+            found.append(replace(command, value=bytes(self.buffer[at:end])))
+        elif command is not None:
+            found.append(command)
         return end + 2
 
 
@@ -377,20 +377,20 @@
         if end < 0:
             return -1
         words = bytes(self.buffer[at:end]).split()
-        known, write = self.expected[0]
+        request_id, is_write = self.expected[0]
         verb = words[0] if words else b""
         if words[:2] == [b"SERVER_ERROR", b"busy"]:
             self._emit(found, Answer(m.HopOutcome.FULL))
         elif words == [b"SERVER_ERROR", b"failed"]:
             self._emit(found, Answer(m.HopOutcome.ERROR))
-        elif verb == b"VA" and not write and len(words) > 2 and b"O" + known in words[2:]:
+        elif verb == b"VA" and not is_write and len(words) > 2 and b"O" + request_id in words[2:]:
             self.value_length, self.cache_result = parse_length(words[1]), self._cache_result(words[2:])
             if not 0 <= self.value_length <= self.max_value_bytes:
                 raise ProtocolError("bad length")
             if self.value_length > self.stream_above_bytes:
                 found.append(ValueHeader(self.value_length, self.cache_result))
                 self.stream_left, self.value_length = self.value_length, -1
-        elif verb == b"HD" and write and b"O" + known in words[1:]:
+        elif verb == b"HD" and is_write and b"O" + request_id in words[1:]:
             receipts = [w[1:] for w in words[1:] if w[:1] == b"c"]
             if len(receipts) != 1:
                 raise ProtocolError("no receipt")
