--- a/ternquay/rig/standins/__main__.py
+++ b/ternquay/rig/standins/__main__.py
@@ -25,10 +25,15 @@
     )
     balancers = plan.day.balancers.count if plan.shard == 0 else 0  # discovery is the first one's
     discovery = DiscoveryDriver(
-        reactor, lambda: hosts.law.listing, time.monotonic_ns, balancers, plan.epoch_ms, plan.day.list.must_ask_ms * MS
+        reactor,
+        lambda: hosts.model.listing,
+        time.monotonic_ns,
+        balancers,
+        plan.epoch_ms,
+        plan.day.list.must_ask_ms * MS,
     )
-    hosts.on_list = discovery.changed
-    listing = hosts.law.listing
+    hosts.on_list_change = discovery.changed
+    listing = hosts.model.listing
     known = discovery.shown(listing.revision(0), True, listing.complete(0)).decode()
 
     def begin(at: int) -> None:
@@ -36,7 +41,7 @@
         discovery.start(at)
 
     def end() -> None:
-        records.write(Path(plan.out), hosts.saw(discovery.told, cpu()))
+        records.write(Path(plan.out), hosts.record(discovery.told, cpu()))
 
     live(reactor, plan, {"discovery": discovery.places, "known": known}, begin, end)
 
--- a/ternquay/rig/standins/hosts.py
+++ b/ternquay/rig/standins/hosts.py
@@ -1,4 +1,4 @@
-"""Cache hosts on sockets: one listener each, all driven by one law of the fleet on one timer."""
+"""Stand-ins of cache hosts on sockets: one listener each, all driven by one fleet model on one timer."""
 
 from collections import deque
 from collections.abc import Callable
@@ -10,19 +10,19 @@
 from twisted.python.failure import Failure
 
 from ternquay.rig import records
-from ternquay.rig.laws import fleet as f
+from ternquay.rig.laws import fleet as fleet_model
 from ternquay.rig.laws.cachehost import CacheCommand
 from ternquay.rig.laws.clients import value_size
 from ternquay.rig.laws.link import RESET, Link
 from ternquay.rig.standins.reader import Command, CommandError, CommandReader
 from ternquay.rig.terms import SECOND, Day, Planned
 
-STRANGE_MOST = 100
-PAD = b"." * (1 << 16)
+MAX_INVALID_COMMANDS = 100  # reports kept
+PADDING = b"." * (1 << 16)
 
 
-class Slot:
-    """One answer that a connection owes, in its place among the others."""
+class PendingAnswer:
+    """An answer that a connection owes; answers are sent in the order of the commands."""
 
     __slots__ = ("hop", "text", "command")
 
@@ -32,7 +32,7 @@
 
 
 class HostConnection(LineReceiver):
-    """Thin driver of one connection from a balancer."""
+    """A connection from a balancer, without decisions of its own: the fleet model and the link decide."""
 
     line_mode = 0
     transport: Any
@@ -40,108 +40,111 @@
     def __init__(self, port: "HostPort") -> None:
         self.port, self.driver = port, port.driver
         self.reader = CommandReader()
-        self.slots: deque[Slot] = deque()
+        self.pending: deque[PendingAnswer] = deque()
         self.tickets: set[int] = set()
-        self.over = False
+        self.closed = False
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.port.all.add(self)
+        self.port.connections.add(self)
         if self.port.link.refuses(self.driver.now()):
             self.reset()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.over = True
-        self.port.all.discard(self)
+        self.closed = True
+        self.port.connections.discard(self)
         for ticket in list(self.tickets):
             self.driver.cancel(ticket)
 
     def reset(self) -> None:
-        if not self.over:
-            self.over = True
+        """Aborts the connection with a TCP reset."""
+        if not self.closed:
+            self.closed = True
             self.transport.abortConnection()
 
     def rawDataReceived(self, data: bytes) -> None:
-        if self.over:
+        if self.closed:
             return
         now = self.driver.now()
         try:
             commands = self.reader.feed(now, data)
-        except CommandError as fault:
-            self.driver.strange(f"{fault}: {data[:80]!r}")
+        except CommandError as error:
+            self.driver.report_invalid(f"{error}: {data[:80]!r}")
             self.transport.write(b"CLIENT_ERROR bad command\r\n")
             self.transport.loseConnection()
             return
         for command in commands:
-            if not self.over:
-                self.taken(now, command)
+            if not self.closed:
+                self.command_received(now, command)
 
-    def taken(self, now: int, command: Command) -> None:
-        hop = self.driver.note(self.port, command, now)
-        slot = Slot(hop, command)
-        self.slots.append(slot)
+    def command_received(self, now: int, command: Command) -> None:
+        hop = self.driver.record_hop(self.port, command, now)
+        pending_answer = PendingAnswer(hop, command)
+        self.pending.append(pending_answer)
         link = self.port.link
         if link.silent(now):
             hop.fate = "swallowed"
-            self.port.vanished = True
+            self.port.was_silent = True
         elif link.resets(now) and link.random.random() < 0.5:
-            # Somewhere between: for all that its sender knows it may have run.
+            # The command is lost on the way, but its sender cannot rule out that it ran.
             hop.fate = "swallowed"
             self.reset()
         else:
-            self.driver.arrive(self, slot)
+            self.driver.arrive(self, pending_answer)
 
-    def answered(self, slot: Slot, answer: f.Answer) -> None:
+    def answer_ready(self, pending_answer: PendingAnswer, answer: fleet_model.Answer) -> None:
         now, link = self.driver.now(), self.port.link
-        if self.over or link.silent(now):
-            slot.hop.lost = True
+        if self.closed or link.silent(now):
+            pending_answer.hop.lost = True
         elif link.loses(now):
-            slot.hop.lost = True  # and all behind it on this connection waits for ever
+            pending_answer.hop.lost = True  # later answers on this connection are never sent
         elif link.resets(now):
-            slot.hop.lost = True
+            pending_answer.hop.lost = True
             self.reset()
         else:
-            whole = shaped(slot.command, answer)
-            slot.text = link.corrupt(now, whole)
-            slot.hop.lost = slot.text != whole
+            encoded = encode_answer(pending_answer.command, answer)
+            pending_answer.text = link.corrupt(now, encoded)
+            pending_answer.hop.lost = pending_answer.text != encoded
             self.flush(now)
 
     def flush(self, now: int) -> None:
-        while self.slots and self.slots[0].text is not None:
-            text = self.slots.popleft().text or b""
-            for at, piece in self.port.link.fragments(now, text):
+        """Sends the answers that are ready, up to the first one that is not."""
+        while self.pending and self.pending[0].text is not None:
+            text = self.pending.popleft().text or b""
+            for at, fragment in self.port.link.fragments(now, text):
                 if at <= now:
-                    self.put(piece)
+                    self.write_fragment(fragment)
                 else:
-                    self.driver.reactor.callLater((at - now) / SECOND, self.put, piece)
-        if not self.slots and self.port.link.resets(now):
-            # The next command to be written here may cross the close.
-            self.driver.reactor.callLater(link_pause(self.port.link), self.close)
+                    self.driver.reactor.callLater((at - now) / SECOND, self.write_fragment, fragment)
+        if not self.pending and self.port.link.resets(now):
+            # The close may cross the next command that a balancer writes here.
+            self.driver.reactor.callLater(draw_close_delay(self.port.link), self.close_if_idle)
 
-    def put(self, piece: bytes) -> None:
-        if self.over:
+    def write_fragment(self, fragment: bytes) -> None:
+        if self.closed:
             return
-        text, reset, _ = piece.partition(RESET)
+        text, reset, _ = fragment.partition(RESET)
         self.transport.write(text)
         if reset:
-            self.over = True
+            self.closed = True
             self.transport.loseConnection()
 
-    def close(self) -> None:
-        if not self.over and not self.slots:
-            self.over = True
+    def close_if_idle(self) -> None:
+        if not self.closed and not self.pending:
+            self.closed = True
             self.transport.loseConnection()
 
 
-def link_pause(link: Link) -> float:
+def draw_close_delay(link: Link) -> float:
+    """Returns the seconds after which an idle connection is closed."""
     return link.random.uniform(0.0, 0.04)
 
 
-def shaped(command: Command, answer: f.Answer) -> bytes:
-    """In the protocol's form; a value begins with its stamp, which no one else can make."""
+def encode_answer(command: Command, answer: fleet_model.Answer) -> bytes:
+    """Encodes an answer in the protocol. A value begins with its stamp, which nothing else can produce."""
     id, stamp = command.id.encode(), answer.stamp.encode()
     if answer.kind == "value":
-        body = stamp + b" " + PAD[: int(stamp.rpartition(b"/")[2]) - len(stamp) - 1]
+        body = stamp + b" " + PADDING[: int(stamp.rpartition(b"/")[2]) - len(stamp) - 1]
         note = (b"", b" h1", b" h0", b" h0 Z")[answer.note]
         return b"VA %d O%b%b\r\n%b\r\n" % (len(body), id, note, body)
     if answer.kind == "receipt":
@@ -150,41 +153,43 @@
 
 
 class HostPort(Factory):
-    """The listener of one cache host, closed while that is down."""
+    """The listener of one cache host, closed while the host is down."""
 
     noisy = False
 
-    def __init__(self, driver: "FleetDriver", index: int, place: str, faults: tuple[Planned, ...], seed: int) -> None:
+    def __init__(self, driver: "FleetDriver", index: int, address: str, faults: tuple[Planned, ...], seed: int) -> None:
         self.driver, self.index = driver, index
-        self.address, _, number = place.rpartition(":")
-        self.number = int(number)
+        self.address, _, number = address.rpartition(":")
+        self.port_number = int(number)
         self.link = Link(faults, index, seed)
-        self.all: set[HostConnection] = set()
+        self.connections: set[HostConnection] = set()
         self.port: Any = None
-        self.vanished = False
+        self.was_silent = False
 
     def buildProtocol(self, addr: Any) -> HostConnection:
         return HostConnection(self)
 
     def open(self) -> None:
+        """Starts to listen; retries while the address is still in use."""
         try:
-            self.port = self.driver.reactor.listenTCP(self.number, self, 1024, self.address)
+            self.port = self.driver.reactor.listenTCP(self.port_number, self, 1024, self.address)
         except CannotListenError:
             if not self.driver.begin:
                 raise
-            # The one before is not gone yet.
+            # The previous listener has not released the address yet.
             self.driver.reactor.callLater(0.02, self.open)
 
     def close(self) -> None:
+        """Stops to listen and resets all connections."""
         if self.port is not None:
             self.port.stopListening()
             self.port = None
-        for connection in list(self.all):
+        for connection in list(self.connections):
             connection.reset()
 
 
 class FleetDriver:
-    """The law of the fleet on the reactor: what arrives goes in, what is due comes out."""
+    """Runs the fleet model on the reactor: passes commands to it and sends the answers that it produces."""
 
     def __init__(
         self,
@@ -193,143 +198,149 @@
         faults: tuple[Planned, ...],
         seed: int,
         clock: Callable[[], int],
-        places: list[str],
+        addresses: list[str],
         shard: int = 0,
         shards: int = 1,
     ) -> None:
         self.reactor, self.day, self.clock = reactor, day, clock
         self.begin = 0
-        self.ports = [HostPort(self, i, place, faults, seed) for i, place in enumerate(places)]
-        self.mine = self.ports[shard::shards]
-        for port in self.mine:
+        self.ports = [HostPort(self, i, address, faults, seed) for i, address in enumerate(addresses)]
+        self.own_ports = self.ports[shard::shards]
+        for port in self.own_ports:
             port.open()
-        self.law = f.Fleet(day, faults, seed, places)
+        self.model = fleet_model.Fleet(day, faults, seed, addresses)
         self.profiles = {p.name: i for i, p in enumerate(day.profiles)}
         self.hops: list[records.Hop] = []
-        self.open: dict[int, tuple[HostConnection, Slot]] = {}
-        self.noted: dict[int, records.Hop] = {}
-        self.strangers: list[str] = []
-        self.late: list[int] = []
-        self.on_list: Callable[[int], None] = lambda at: None
+        self.open_commands: dict[int, tuple[HostConnection, PendingAnswer]] = {}
+        self.hops_by_ticket: dict[int, records.Hop] = {}
+        self.invalid_commands: list[str] = []
+        self.timer_lateness: list[int] = []
+        self.on_list_change: Callable[[int], None] = lambda at: None
         self.timer: Any = None
         self.timer_at = 0
 
     def now(self) -> int:
-        """Time of the play."""
+        """Returns the nanoseconds since the start of the play."""
         return self.clock() - self.begin if self.begin else 0
 
     def start(self, begin: int) -> None:
         self.begin = begin
-        for port in self.mine:
+        for port in self.own_ports:
             for fault in port.link.faults:
                 if fault.kind == "link-silent":
-                    self.reactor.callLater((begin + fault.end - self.clock()) / SECOND, self.back, port)
-        self.pump()
+                    self.reactor.callLater((begin + fault.end - self.clock()) / SECOND, self.end_silence, port)
+        self.process_due()
 
-    def back(self, port: HostPort) -> None:
-        """A machine that had vanished is back, and knows nothing of the connections that it had."""
-        for connection in list(port.all):
-            if port.vanished:
+    def end_silence(self, port: HostPort) -> None:
+        """Ends the silence of a host: as after a reboot, it resets the connections that it had."""
+        for connection in list(port.connections):
+            if port.was_silent:
                 connection.reset()
 
-    def strange(self, text: str) -> None:
-        if len(self.strangers) < STRANGE_MOST:
-            self.strangers.append(text)
+    def report_invalid(self, text: str) -> None:
+        if len(self.invalid_commands) < MAX_INVALID_COMMANDS:
+            self.invalid_commands.append(text)
 
-    def note(self, port: HostPort, command: Command, now: int) -> records.Hop:
+    def record_hop(self, port: HostPort, command: Command, now: int) -> records.Hop:
         hop = records.Hop(
             command.id,
             command.mark,
             self.profiles.get(command.profile, -1),
             command.write,
             port.index,
-            self.law.hosts[port.index].name,
+            self.model.hosts[port.index].name,
             command.received_at + self.begin,
             now + self.begin,
         )
         self.hops.append(hop)
         return hop
 
-    # ---- in ----
+    # ---- commands ----
 
-    def arrive(self, connection: HostConnection, slot: Slot) -> None:
-        command, now = slot.command, self.now()
-        if slot.hop.profile < 0:
-            self.strange(f"no such profile: {command.profile[:40]}")
+    def arrive(self, connection: HostConnection, pending_answer: PendingAnswer) -> None:
+        command, now = pending_answer.command, self.now()
+        if pending_answer.hop.profile < 0:
+            self.report_invalid(f"no such profile: {command.profile[:40]}")
             return connection.reset()
-        self.law.advance(now)
+        self.model.advance(now)
         size = value_size(self.day, command.key)
-        ask = CacheCommand(command.id, slot.hop.profile, command.write, command.key, command.mark, size)
-        ticket = self.law.arrive(now, connection.port.index, ask)
-        self.open[ticket] = connection, slot
-        self.noted[ticket] = slot.hop
+        cache_command = CacheCommand(
+            command.id, pending_answer.hop.profile, command.write, command.key, command.mark, size
+        )
+        ticket = self.model.arrive(now, connection.port.index, cache_command)
+        self.open_commands[ticket] = connection, pending_answer
+        self.hops_by_ticket[ticket] = pending_answer.hop
         connection.tickets.add(ticket)
-        self.pump()
+        self.process_due()
 
     def cancel(self, ticket: int) -> None:
-        self.open.pop(ticket, None)
-        self.law.advance(self.now())
-        self.law.cancel(self.now(), ticket)
-        self.pump()
+        self.open_commands.pop(ticket, None)
+        self.model.advance(self.now())
+        self.model.cancel(self.now(), ticket)
+        self.process_due()
 
-    # ---- out ----
+    # ---- outcomes ----
 
-    def pump(self) -> None:
+    def process_due(self) -> None:
+        """Advances the model to now, acts on its outcomes and sets the timer for the next event."""
         now = self.now()
-        self.law.advance(now)
-        for outcome in self.law.take_outcomes():
-            if isinstance(outcome, f.Answer):
+        self.model.advance(now)
+        for outcome in self.model.take_outcomes():
+            if isinstance(outcome, fleet_model.Answer):
                 self._answer(outcome)
-            elif isinstance(outcome, f.HostDown):
+            elif isinstance(outcome, fleet_model.HostDown):
                 self.ports[outcome.host].close()
-            elif isinstance(outcome, f.HostUp):
+            elif isinstance(outcome, fleet_model.HostUp):
                 self.ports[outcome.host].open()
             else:
-                self.on_list(outcome.at)
-        self._wake()
+                self.on_list_change(outcome.at)
+        self._schedule_timer()
 
-    def _wake(self) -> None:
-        due = self.law.due()
+    def _schedule_timer(self) -> None:
+        due = self.model.due()
         if due is None or (self.timer is not None and self.timer.active() and self.timer_at <= due):
             return
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer_at = due
-        self.timer = self.reactor.callLater(max(0, due - self.now()) / SECOND, self._fire)
+        self.timer = self.reactor.callLater(max(0, due - self.now()) / SECOND, self._timer_due)
 
-    def _fire(self) -> None:
-        self.late.append(self.now() - self.timer_at)
-        self.pump()
+    def _timer_due(self) -> None:
+        self.timer_lateness.append(self.now() - self.timer_at)
+        self.process_due()
 
-    def _answer(self, answer: f.Answer) -> None:
-        connection, slot = self.open.pop(answer.ticket, (None, None))
-        if connection is not None and slot is not None:
+    def _answer(self, answer: fleet_model.Answer) -> None:
+        connection, pending_answer = self.open_commands.pop(answer.ticket, (None, None))
+        if connection is not None and pending_answer is not None:
             connection.tickets.discard(answer.ticket)
-            connection.answered(slot, answer)
+            connection.answer_ready(pending_answer, answer)
 
-    # ---- what was seen ----
+    # ---- records ----
 
-    def saw(self, told: list[records.Told], cpu: float) -> records.FleetSaw:
-        for ticket, hop in self.noted.items():
-            seen = self.law.records[ticket]
+    def record(self, deliveries: list[records.Told], cpu: float) -> records.FleetSaw:
+        """Returns the records of the play; `cpu` is the CPU time of the process."""
+        for ticket, hop in self.hops_by_ticket.items():
+            command_record = self.model.records[ticket]
             if hop.fate == "taken":
-                hop.fate = seen.fate
-            hop.begun, hop.effect, hop.ended = (t and t + self.begin for t in (seen.begun, seen.effect, seen.ended))
-            hop.repeat, hop.note, hop.cold = seen.repeat, seen.note, seen.cold
-            hop.answer, hop.stamp = seen.answer, seen.stamp
-        b, law, mine = self.begin, self.law, {port.index for port in self.mine}
+                hop.fate = command_record.fate
+            hop.begun, hop.effect, hop.ended = (
+                t and t + self.begin for t in (command_record.begun, command_record.effect, command_record.ended)
+            )
+            hop.repeat, hop.note, hop.cold = command_record.repeat, command_record.note, command_record.cold
+            hop.answer, hop.stamp = command_record.answer, command_record.stamp
+        begin, model, own_indexes = self.begin, self.model, {port.index for port in self.own_ports}
         return records.FleetSaw(
             hops=self.hops,
-            told=told,
-            late=self.late,
+            told=deliveries,
+            late=self.timer_lateness,
             cpu=cpu,
-            strange=self.strangers,
-            origin=law.origin.requests_by_tenth,
-            tipped=[records.Tipped(t.at + b, t.host, t.name, t.warmth, t.pushed) for t in law.collapses],
-            stopped=[records.Stopped(s.at + b, s.asked, s.by_cold) for s in law.origin.outages],
+            strange=self.invalid_commands,
+            origin=model.origin.requests_by_tenth,
+            tipped=[records.Tipped(t.at + begin, t.host, t.name, t.warmth, t.pushed) for t in model.collapses],
+            stopped=[records.Stopped(s.at + begin, s.asked, s.by_cold) for s in model.origin.outages],
             samples=[
-                records.HostSample(s.at + b, s.host, s.up, s.warmth, s.open, s.work)
-                for s in law.samples
-                if s.host in mine
+                records.HostSample(s.at + begin, s.host, s.up, s.warmth, s.open, s.work)
+                for s in model.samples
+                if s.host in own_indexes
             ],
         )
