--- a/ternquay/consensus/core.py
+++ b/ternquay/consensus/core.py
@@ -897,4 +897,5 @@
 
 
 def with_member(rejection: Rejection | None, name: str) -> Rejection:
+    """The rejection with the name of the member that it came from."""
     return Rejection(name, rejection.field, rejection.reason) if rejection is not None else Rejection(name)
--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -391,18 +391,18 @@
         self.is_writing = True
         boot_id = self.boot.boot_id
 
-        def over(boot: BootState) -> None:
+        def on_discarded(boot: BootState) -> None:
             self.is_writing = False
             self._load_boot_state(boot)
 
-        def fault(failure: Any) -> None:
+        def on_failed(failure: Any) -> None:
             self.is_writing = False
             self._report_disk_trouble(failure)
             self.reactor.callLater(
                 DISK_RETRY_SECONDS, lambda: self._on_disk_rolled_back() if self.boot.boot_id == boot_id else None
             )
 
-        self.stored.do(self.store.discard_disk_state).addCallbacks(over, fault)
+        self.stored.do(self.store.discard_disk_state).addCallbacks(on_discarded, on_failed)
 
     # ---- driving the core ----
 
@@ -657,13 +657,13 @@
         self.waiters[key] = waiter
         timer = self.reactor.callLater(self.outcome_timeout_seconds, self._give_up, key)
 
-        def over(result: Any) -> Any:
+        def on_outcome(result: Any) -> Any:
             self.waiters.pop(key, None)
             if timer.active():
                 timer.cancel()
             return result
 
-        waiter.addBoth(over)
+        waiter.addBoth(on_outcome)
         self._drive()
         return waiter
 
@@ -702,13 +702,13 @@
         # A lost message is not sent again: the client repeats the call with its idempotency key and gets the outcome.
         timer = self.reactor.callLater(1 + self.config.lease_ns / SECOND, reply.callback, OUTCOME_UNKNOWN)
 
-        def over(reply: Reply) -> Reply:
+        def on_reply(result: Reply) -> Reply:
             self.forwarded.pop(id, None)
             if timer.active():
                 timer.cancel()
-            return reply
+            return result
 
-        reply.addCallback(over)
+        reply.addCallback(on_reply)
         text = Forwarded(id, (call.method, call.path, dict(call.query), dict(call.headers), call.body, call.peer))
         self.links.send(leader, self._frame(leader, FrameKind.CALL, msgspec.msgpack.encode(text)))
         return reply
--- a/ternquay/hosted/fleet/store.py
+++ b/ternquay/hosted/fleet/store.py
@@ -106,10 +106,12 @@
         db.execute("COMMIT")
 
     def _get(self, db: sqlite3.Connection, name: str) -> bytes | None:
+        """The value of that name in fleet_meta, or None."""
         row = db.execute("SELECT value FROM fleet_meta WHERE name = ?", (name,)).fetchone()
         return bytes(row[0]) if row else None
 
     def _put(self, db: sqlite3.Connection, **values: bytes | int | str) -> None:
+        """Writes the values to fleet_meta under the names of the arguments, which are part of the stored format."""
         rows = [(name, value if isinstance(value, bytes) else str(value).encode()) for name, value in values.items()]
         db.executemany("INSERT OR REPLACE INTO fleet_meta VALUES (?, ?)", rows)
 
