--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -71,9 +71,9 @@
         host = self.hosts.get(hop.host)
         # A draining host gets no hop. The balancer should know, but it may have failed on the list that said so.
         # A streamed value that was partly written elsewhere can't be sent again, as its first bytes are not kept.
-        partly_written = hop.tx.flow is not None and hop.tx.flow.touched
+        partly_written = hop.tx.stream is not None and hop.tx.stream.partly_taken
         connection = (
-            self._pick_connection(host, hop.tx.flow is None)
+            self._pick_connection(host, hop.tx.stream is None)
             if host is not None and host.ready and (not partly_written)
             else None
         )
@@ -98,7 +98,7 @@
             idle_time = now - connection.idle_since
             if (
                 idle_time < self.limits.host_idle_timeout
-                and self.idle_loss.holds(idle_time, now)
+                and self.idle_loss.is_usable(idle_time, now)
                 and connection.nothing_unread()
             ):
                 connection.idle_before_hop = idle_time
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -129,7 +129,7 @@
         net.run(20)
         host.feed(va(number))
     old = net.dispatcher.balancer
-    names = {index: name for name, index in net.dispatcher.hosts.items()}
+    names = {index: name for name, index in net.dispatcher.host_indices.items()}
     encoded = encode_learned(old.learned(), names)
     learned = decode_learned(
         encoded | {"hosts": encoded["hosts"] | {"unknown": encoded["hosts"]["h1"]}}, {"h1": 7, "h2": 3}
@@ -160,11 +160,11 @@
 def test_a_cold_host_takes_half_its_load_from_each_of_two_processes() -> None:
     net = Net(hosts=1)
     net.list(member(2, since=1_000_000))
-    net.dispatcher.beside(0.5)
+    net.dispatcher.set_cold_fraction(0.5)
     assert [h.cold_fraction for h in net.dispatcher.balancer.hosts.values()] == [0.5, 0.5]
     net.list(member(3, since=1_000_000))
     net.list(member(1, "removed"))
-    net.dispatcher.beside(1.0)
+    net.dispatcher.set_cold_fraction(1.0)
     assert [h.cold_fraction for h in net.dispatcher.balancer.hosts.values()] == [1.0, 1.0] and set(
         net.dispatcher.members
     ) == {
--- a/tests/test_hosted_endings.py
+++ b/tests/test_hosted_endings.py
@@ -20,9 +20,9 @@
 from ternquay.hosted.tenants.tenant import Endpoint, Guarantee, State
 from tests.helper import Net, Wire, member
 from tests.hosted_helper import HostedService
-from tests.test_endings import Ending, begun, drained, ready
+from tests.test_endings import EndingResponse, draining_list, first_host_ready, sent_commands
 from tests.test_hosted import FakeCacheHost
-from tests.test_net import Agent, mg
+from tests.test_net import FakeAgent, mg
 from tests.test_registry import LIMITS, registry_of, tenant
 
 HELLO = b"mn\r\n"
@@ -52,7 +52,7 @@
 
     def start_turn(self) -> None:
         """Starts a turn of the loop, in which data is read at once; later it would wait for its turn."""
-        self.host.loop_timing.begins(int(self.reactor.seconds() * 10**9))
+        self.host.loop_timing.begin(int(self.reactor.seconds() * 10**9))
 
     def client(self, address: str = "127.0.0.1") -> Wire:
         count = sum(w.name.startswith("client") for w in self.wires)
@@ -116,22 +116,22 @@
     waits, other, third = net.client(), net.idle_client(), net.idle_client()
     net.reactor.advance(0.01)
     waits.feed(mg(1))
-    assert not begun(net) and not net.reactor.tcpClients, "it waits for its turn"
+    assert not sent_commands(net) and not net.reactor.tcpClients, "it waits for its turn"
     if way == "reclaimed":
         net.frontend.reclaim(1)
     elif way == "leave":
         net.frontend.leave()
     elif way == "shed":
-        net.frontend.shed()
-        net.frontend.shed()
-        net.frontend.shed()
+        net.frontend.close_longest_idle()
+        net.frontend.close_longest_idle()
+        net.frontend.close_longest_idle()
     else:
         net.start_turn()
         net.client("127.0.0.9")
     net.run(2)
     assert not waits.lost and (other.lost or third.lost)
     net.accept()
-    assert len(begun(net)) == 1
+    assert len(sent_commands(net)) == 1
 
 
 def test_a_client_whose_command_continues_in_unread_data_is_not_closed_for_another() -> None:
@@ -169,7 +169,7 @@
             self.sessionno += 1
             self.net.client()
 
-    def gate(self, accept: bool) -> None:
+    def set_accepting(self, accept: bool) -> None:
         pass
 
     def stopListening(self) -> None:
@@ -224,41 +224,41 @@
     agent: Any = None
     monkeypatch.setattr("ternquay.net.discovery.Agent", lambda *_: agent)
     net = HostedNet(servers=())
-    agent = Agent(net)
+    agent = FakeAgent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     there = net.host.registry.tenants["sur"].tenant
     net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8500))))
     agent.calls[0].callback(
-        Ending(orjson.dumps({"revision": 1, "complete": True, "members": [member(1)]}), ResponseDone())
+        EndingResponse(orjson.dumps({"revision": 1, "complete": True, "members": [member(1)]}), ResponseDone())
     )
-    assert ready(net)
+    assert first_host_ready(net)
     net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8600))))
     assert len(agent.calls) == 3, "the first list, the watch, and the first list of the new source"
     net.run(after)
-    agent.calls[1].callback(Ending(drained(5), ResponseDone()))
-    assert ready(net) is not taken
+    agent.calls[1].callback(EndingResponse(draining_list(5), ResponseDone()))
+    assert first_host_ready(net) is not taken
     net.run(1000)
     assert len(agent.calls) == 3, "the old source is not called any more"
 
 
 def test_a_list_of_the_old_source_is_ignored_once_servers_are_configured(monkeypatch: pytest.MonkeyPatch) -> None:
     net = HostedNet(servers=())
-    agent = Agent(net)
+    agent = FakeAgent(net)
     monkeypatch.setattr("ternquay.net.discovery.Agent", agent)
     there = net.host.registry.tenants["sur"].tenant
     net.host.change(ReplaceTenant(replace(there, source=Endpoint("127.0.0.1", 8500))))
     net.host.change(ReplaceTenant(tenant("sur")))
-    agent.calls[0].callback(Ending(drained(5), ResponseDone()))
-    assert list(net.runtime.host_list) == ["127.0.1.1:11211"] and ready(net)
+    agent.calls[0].callback(EndingResponse(draining_list(5), ResponseDone()))
+    assert list(net.runtime.host_list) == ["127.0.1.1:11211"] and first_host_ready(net)
 
 
 def test_on_loopback_clients_in_the_backlog_at_a_shutdown_are_accepted_and_answered(tmp_path: Path) -> None:
     """SIGTERM while all sockets of a tenant are in use: the clients in the backlog must still get an answer."""
     cache = FakeCacheHost()
-    one = HostedService(tmp_path).start()
+    service = HostedService(tmp_path).start()
     try:
-        listen = one.parse_address(
-            one.create_tenant("sur", (cache.address,), limits={"sockets": {"least": 0.05, "most": 0.1}})
+        listen = service.parse_address(
+            service.create_tenant("sur", (cache.address,), limits={"sockets": {"least": 0.05, "most": 0.1}})
         )
         with ExitStack() as ended:
             for _ in range(25):  # as many as it may have; they are new, so none of them is closed for another yet
@@ -267,13 +267,13 @@
             waits = [ended.enter_context(socket.create_connection(listen, timeout=5)) for _ in range(4)]
             for number, client in enumerate(waits):
                 client.sendall(b"mg k v O%d Pc=read,d=900\r\n" % number)
-            assert one.process is not None
-            one.process.terminate()
+            assert service.process is not None
+            service.process.terminate()
             answers = [client.recv(200) for client in waits]
         assert all(text.startswith((b"VA 2", b"SERVER_ERROR busy")) for text in answers), answers
-        assert one.process.wait(10) == 0
+        assert service.process.wait(10) == 0
     finally:
-        one.kill()
+        service.kill()
 
 
 def test_a_client_that_waits_long_for_its_turn_is_not_closed_as_stalled() -> None:
@@ -285,11 +285,11 @@
     net.reactor.advance(0.01)
     waits = net.client()
     waits.feed(mg(1))
-    assert waits.protocol.waiting and not begun(net)
+    assert waits.protocol.waiting and not sent_commands(net)
     net.runtime.resources.scheduler.scheduled_run.cancel()  # its turn does not come for 6 s
     for _ in range(6):
         net.reactor.advance(1.0)
-        net.frontend.swept()
+        net.frontend.close_stale()
         net.take()
     assert half.lost and not waits.lost, net.trace
     assert not waits.protocol.run_piece()
--- a/tests/test_laws.py
+++ b/tests/test_laws.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ternquay.rig.laws import fleet as f
-from ternquay.rig.laws.cachehost import Ask
+from ternquay.rig.laws.cachehost import CacheCommand
 from ternquay.rig.laws.clients import Clients
 from ternquay.rig.laws.link import RESET, Link
 from ternquay.rig.laws.listing import Entry, Listing
@@ -77,7 +77,7 @@
     ) -> int:
         write = profile >= ONCE
         self.say(f"host {host} is asked {name}: {'write' if write else 'read'} {key}{' mark ' + mark if mark else ''}")
-        ticket = self.fleet.arrive(self.now, host, Ask(name, profile, write, key, mark, size))
+        ticket = self.fleet.arrive(self.now, host, CacheCommand(name, profile, write, key, mark, size))
         self.names[ticket] = name
         self.take()
         return ticket
@@ -88,10 +88,10 @@
         self.take()
 
     def take(self) -> None:
-        for one in self.fleet.take():
+        for one in self.fleet.take_outcomes():
             if isinstance(one, f.Answer):
                 note = ("", " hit", " miss", " shared miss")[one.note]
-                self.say(f"{self.names[one.ticket]} ends: {one.what}{note}")
+                self.say(f"{self.names[one.ticket]} ends: {one.kind}{note}")
             elif isinstance(one, f.ListChanged):
                 entry = self.fleet.listing.entries[-1]
                 self.say(f"{entry.phase} of a host at {entry.where} can be told from {one.at / MS:.0f} ms on")
@@ -135,7 +135,7 @@
     scene.run(1000)
     late = scene.ask("forgotten", profile=NOTE, mark="m")
     scene.run(100)
-    seen = scene.fleet.seen
+    seen = scene.fleet.records
     assert seen[first].stamp == seen[repeat].stamp and seen[repeat].effect == 0 != seen[first].effect
     assert seen[late].effect
     check_trace("law_marks", scene.trace)
@@ -152,7 +152,7 @@
     scene.run(20)
     scene.cancel(stored)
     scene.run(100)
-    assert [bool(scene.fleet.seen[t].effect) for t in (running, queued, stored)] == [False, False, True]
+    assert [bool(scene.fleet.records[t].effect) for t in (running, queued, stored)] == [False, False, True]
     check_trace("law_cancel", scene.trace)
 
 
@@ -166,10 +166,10 @@
     assert scene.fleet.hosts[host].warmth(scene.now) == pytest.approx(0.2, abs=0.05)
     for n in range(90):
         scene.ask(f"n{n}", host, key="kept")
-        if scene.fleet.hosts[host].tipped:
+        if scene.fleet.hosts[host].collapsed:
             break
     scene.trace[3:] = [line for line in scene.trace[3:] if "asked" not in line]
-    assert scene.fleet.tips[0].pushed > 4.0
+    assert scene.fleet.collapses[0].pushed > 4.0
     check_trace("law_cold", scene.trace)
 
 
@@ -179,7 +179,7 @@
     ticket = scene.ask("swallowed")
     scene.run(1000)
     check_trace("law_silent", scene.trace)
-    assert scene.fleet.seen[ticket].fate == "swallowed"
+    assert scene.fleet.records[ticket].fate == "swallowed"
 
 
 def test_the_origin_stops_past_its_load_and_comes_back() -> None:
@@ -240,14 +240,14 @@
     def link(kind: str, part: float = 1.0, pause: int = 20 * MS) -> Link:
         return Link((Planned(kind, 0, SECOND, (0,), 0, 1.0, part, pause, 1),), 0, 1)
 
-    assert link("link-delay").pieces(5, answer) == [(5 + 20 * MS, answer)]
+    assert link("link-delay").fragments(5, answer) == [(5 + 20 * MS, answer)]
     for kind in ("link-drip", "link-cut"):
-        pieces = link(kind).pieces(0, answer)
+        pieces = link(kind).fragments(0, answer)
         assert len(pieces) > 1 and b"".join(data for _, data in pieces) == answer
         assert [at for at, _ in pieces] == sorted(at for at, _ in pieces)
     assert link("link-reset").resets(0) and not link("link-reset").resets(SECOND)
     assert link("link-refuse").refuses(0) and link("link-silent").silent(0) and link("answers-lost").loses(0)
     spoiler = link("answers-spoilt")
-    spoilt = {spoiler.spoil(0, answer) for _ in range(60)}
+    spoilt = {spoiler.corrupt(0, answer) for _ in range(60)}
     assert len(spoilt) == 5 and answer not in spoilt
     assert any(RESET in text for text in spoilt)
