--- a/ternquay/rig/byhand.py
+++ b/ternquay/rig/byhand.py
@@ -20,16 +20,16 @@
     places = host_places(day)
     hosts = FleetDriver(reactor, day, planned(day, seed), seed, time.monotonic_ns, places)
     discovery = DiscoveryDriver(reactor, lambda: hosts.model.listing, time.monotonic_ns, 1, time.time_ns() // MS)
-    hosts.on_list_change = discovery.changed
+    hosts.on_list_change = discovery.list_changed
     listing = hosts.model.listing
-    known = json.loads(discovery.shown(listing.revision(0), True, listing.complete(0)))
-    told = configuration(day, 0, listen, discovery.places[0][0], known, seed)
+    known = json.loads(discovery.encode(listing.revision(0), True, listing.complete(0)))
+    told = configuration(day, 0, listen, discovery.addresses[0][0], known, seed)
     config.write_text(json.dumps(told, indent=1) + "\n")
     begin = time.monotonic_ns()
     hosts.start(begin)
     discovery.start(begin)
     for place, host in zip(places, hosts.model.hosts, strict=True):
         typer.echo(f"{host.name:20} {place}")
-    typer.echo(f"discovery            {discovery.places[0][0]}")
+    typer.echo(f"discovery            {discovery.addresses[0][0]}")
     typer.echo(f"start a balancer with: ternquay serve --config {config}")
     reactor.run()
--- a/ternquay/rig/standins/__main__.py
+++ b/ternquay/rig/standins/__main__.py
@@ -1,4 +1,4 @@
-"""The process of all stand-ins: cache hosts, the origin behind them, discovery."""
+"""The process of the stand-ins: cache hosts, the origin behind them and discovery."""
 
 import sys
 import time
@@ -12,6 +12,7 @@
 
 
 def run(plan: Plan) -> None:
+    """Runs the stand-ins of one plan until its end and writes their records."""
     reactor = install()
     hosts = FleetDriver(
         reactor,
@@ -23,7 +24,7 @@
         plan.shard,
         plan.shards,
     )
-    balancers = plan.day.balancers.count if plan.shard == 0 else 0  # discovery is the first one's
+    balancers = plan.day.balancers.count if plan.shard == 0 else 0  # only the first shard runs discovery
     discovery = DiscoveryDriver(
         reactor,
         lambda: hosts.model.listing,
@@ -32,18 +33,18 @@
         plan.epoch_ms,
         plan.day.list.must_ask_ms * MS,
     )
-    hosts.on_list_change = discovery.changed
+    hosts.on_list_change = discovery.list_changed
     listing = hosts.model.listing
-    known = discovery.shown(listing.revision(0), True, listing.complete(0)).decode()
+    known = discovery.encode(listing.revision(0), True, listing.complete(0)).decode()
 
     def begin(at: int) -> None:
         hosts.start(at)
         discovery.start(at)
 
     def end() -> None:
-        records.write(Path(plan.out), hosts.record(discovery.told, cpu()))
+        records.write(Path(plan.out), hosts.record(discovery.deliveries, cpu()))
 
-    live(reactor, plan, {"discovery": discovery.places, "known": known}, begin, end)
+    live(reactor, plan, {"discovery": discovery.addresses, "known": known}, begin, end)
 
 
 run(read_plan(sys.argv[1]))
--- a/ternquay/rig/standins/discovery.py
+++ b/ternquay/rig/standins/discovery.py
@@ -1,4 +1,7 @@
-"""Discovery on sockets: HTTP with watches, at two addresses for each balancer, as one may move."""
+"""Stand-in of discovery on sockets: HTTP with watches (long polls), with injected faults.
+
+Each balancer gets two addresses, so that a test can move it from one to the other.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,23 +16,25 @@
 from ternquay.rig.laws.listing import Entry, Listing
 from ternquay.rig.terms import MS, SECOND
 
-WAIT_MOST = 60_000
-GOES_ON = 200 * MS  # a watch does, as long as the next call comes within this of the last answer
-QUEUE_MOST = SECOND  # a call that would wait longer is turned away
-COUNT_EVERY = 0.02  # seconds
+MAX_WAIT_MS = 60_000
+WATCH_CONTINUES_NS = 200 * MS  # a call within this time of the last answer continues its watch
+MAX_QUEUE_WAIT_NS = SECOND  # a call that would wait longer is rejected
+COUNT_INTERVAL_SECONDS = 0.02
 GARBAGE = (b"", b"{", b'{"revision":"x","complete":true,"members":[{}]}', b"\xff\x00<html>", b"[]")
 
 
 @dataclass(slots=True, eq=False)
 class Watch:
+    """A call that discovery holds open until revision `index` is outdated or its wait is over."""
+
     call: Request
     index: int
     balancer: int
-    silent: bool = False  # nothing comes on it any more
+    silent: bool = False  # a fault suppresses all its answers
 
 
 class Targets(Resource):
-    """`/api/targets` as one balancer sees it."""
+    """The resource `/api/targets` for one balancer."""
 
     isLeaf = True
 
@@ -38,15 +43,18 @@
         self.driver, self.balancer = driver, balancer
 
     def render_GET(self, call: Request) -> Any:
-        return self.driver.asked(call, self.balancer)
+        return self.driver.handle_call(call, self.balancer)
 
 
-def number_in(call: Request, name: bytes) -> int | None:
-    words = (call.args or {}).get(name, [b""])
-    return int(words[0]) if words[0].isdigit() and len(words[0]) < 12 else None
+def query_number(call: Request, name: bytes) -> int | None:
+    """Returns a numeric query parameter, or None if it is missing or malformed."""
+    values = (call.args or {}).get(name, [b""])
+    return int(values[0]) if values[0].isdigit() and len(values[0]) < 12 else None
 
 
 class DiscoveryDriver:
+    """Serves the list model on the reactor and records which change was delivered to which balancer when."""
+
     def __init__(
         self,
         reactor: Any,
@@ -54,25 +62,25 @@
         clock: Callable[[], int],
         balancers: int,
         epoch_ms: int,
-        must_ask: int = 10 * SECOND,
+        must_ask_ns: int = 10 * SECOND,
     ) -> None:
         self.reactor, self.listing, self.clock, self.epoch_ms = reactor, listing, clock, epoch_ms
         self.begin = 0
         self.watches: set[Watch] = set()
-        self.told: list[records.Told] = []
-        self.spoilt = 0
-        self.counted = [DeliveryClock(must_ask) for _ in range(balancers)]
-        self.answered = [0] * balancers  # when each balancer's last answer was written
-        self.free_at = 0  # when discovery has worked through the calls that begin a watch
-        self.places: list[list[str]] = []
+        self.deliveries: list[records.Told] = []
+        self.faulty_answers = 0
+        self.delivery_clocks = [DeliveryClock(must_ask_ns) for _ in range(balancers)]
+        self.last_answer_at = [0] * balancers  # time of the last answer to each balancer
+        self.queue_free_at = 0  # time at which the queue of calls that start a watch is empty
+        self.addresses: list[list[str]] = []
         for balancer in range(balancers):
             site = Site(Targets(self, balancer))
             site.noisy = False
             ports = [reactor.listenTCP(0, site, 256, f"127.2.{balancer}.{n}") for n in (1, 2)]
-            self.places.append([f"127.2.{balancer}.{n}:{port.getHost().port}" for n, port in enumerate(ports, 1)])
+            self.addresses.append([f"127.2.{balancer}.{n}:{port.getHost().port}" for n, port in enumerate(ports, 1)])
 
     def now(self) -> int:
-        # Against a revision of before the list began, told to whoever calls between the word to begin and the begin.
+        # The start time may lie ahead: a call before it must not get a revision from before the first one.
         return max(0, self.clock() - self.begin) if self.begin else 0
 
     def start(self, begin: int) -> None:
@@ -81,107 +89,111 @@
             if fault.kind == "list-down":
                 self.reactor.callLater((begin + fault.start - self.clock()) / SECOND, self.end_watches)
             if fault.kind == "list-silent":
-                self.reactor.callLater((begin + fault.start - self.clock()) / SECOND, self.silence)
-        for counted in self.counted:
-            # What stands at the begin is in the list that each starts with.
-            counted.version = self.listing().revision(0)
-        self._count()
-
-    def silence(self) -> None:
-        """All watches that are open fall silent, and say nothing of it."""
+                self.reactor.callLater((begin + fault.start - self.clock()) / SECOND, self.silence_watches)
+        for clock in self.delivery_clocks:
+            # Each balancer starts with a list that includes the revision at the start.
+            clock.version = self.listing().revision(0)
+        self._count_deliveries()
+
+    def silence_watches(self) -> None:
+        """Silences all open watches without any sign to the balancers."""
         for watch in self.watches:
             watch.silent = True
-            self.counted[watch.balancer].watch_silent(self.now())
+            self.delivery_clocks[watch.balancer].watch_silent(self.now())
 
-    def _count(self) -> None:
-        """What counts as told by the clocks though it was not written."""
+    def _count_deliveries(self) -> None:
+        """Records the changes that count as delivered by the clocks although they were not written."""
         listing, now = self.listing(), self.now()
-        for balancer, counted in enumerate(self.counted):
-            due = counted.due_version(now, listing.visible)
-            if due > counted.version:
-                entries = listing.entries[counted.version : due]
-                self.told += [records.Told(balancer, now + self.begin, entry.id, entry.phase) for entry in entries]
-                counted.version = due
-        self.reactor.callLater(COUNT_EVERY, self._count)
+        for balancer, clock in enumerate(self.delivery_clocks):
+            due = clock.due_version(now, listing.visible)
+            if due > clock.version:
+                entries = listing.entries[clock.version : due]
+                self.deliveries += [
+                    records.Told(balancer, now + self.begin, entry.id, entry.phase) for entry in entries
+                ]
+                clock.version = due
+        self.reactor.callLater(COUNT_INTERVAL_SECONDS, self._count_deliveries)
 
     def end_watches(self) -> None:
-        """Discovery went down."""
+        """Ends all watches, as discovery goes down."""
         watches, self.watches = self.watches, set()
-        for counted in self.counted:
-            counted.discovery_down(self.now())
+        for clock in self.delivery_clocks:
+            clock.discovery_down(self.now())
         for watch in watches:
-            self.counted[watch.balancer].call_failed()
-            self._fail(watch.call)
+            self.delivery_clocks[watch.balancer].call_failed()
+            self._abort(watch.call)
 
-    def _fail(self, call: Any) -> None:
+    def _abort(self, call: Any) -> None:
         if call.channel is not None and call.channel.transport is not None:
             call.channel.transport.abortConnection()
 
-    def asked(self, call: Request, balancer: int) -> Any:
+    def handle_call(self, call: Request, balancer: int) -> Any:
         listing, now = self.listing(), self.now()
-        wait = min(WAIT_MOST, number_in(call, b"wait") or 0)
-        self.counted[balancer].call_received(now, wait * MS)
+        wait = min(MAX_WAIT_MS, query_number(call, b"wait") or 0)
+        self.delivery_clocks[balancer].call_received(now, wait * MS)
         if listing.down(now):
-            self.counted[balancer].call_failed()
-            if self.spoilt % 2:
+            self.delivery_clocks[balancer].call_failed()
+            if self.faulty_answers % 2:
                 call.setResponseCode(503)
-                self.spoilt += 1
+                self.faulty_answers += 1
                 return b"down"
-            self.spoilt += 1
-            self._fail(call)
+            self.faulty_answers += 1
+            self._abort(call)
             return NOT_DONE_YET
         if listing.garbage(now):
-            self.spoilt += 1
-            return GARBAGE[self.spoilt % len(GARBAGE)]
-        each = listing.watch_start_delay(now)
-        if each and now - self.answered[balancer] > GOES_ON:
-            return self._queued(call, balancer, wait, now, each)
-        return self._take(call, balancer, wait)
-
-    def _queued(self, call: Request, balancer: int, wait: int, now: int, each: int) -> Any:
-        """A call that begins a watch waits its turn, or is turned away where that would be too long."""
-        at = max(now, self.free_at) + each
-        if at - now > QUEUE_MOST:
-            self.counted[balancer].call_failed()
+            self.faulty_answers += 1
+            return GARBAGE[self.faulty_answers % len(GARBAGE)]
+        delay = listing.watch_start_delay(now)
+        if delay and now - self.last_answer_at[balancer] > WATCH_CONTINUES_NS:
+            return self._queue_call(call, balancer, wait, now, delay)
+        return self._answer_or_watch(call, balancer, wait)
+
+    def _queue_call(self, call: Request, balancer: int, wait: int, now: int, delay: int) -> Any:
+        """Queues a call that starts a watch, or rejects it if it would wait too long."""
+        at = max(now, self.queue_free_at) + delay
+        if at - now > MAX_QUEUE_WAIT_NS:
+            self.delivery_clocks[balancer].call_failed()
             call.setResponseCode(503)
             return b"busy"
-        self.free_at = at
-        left: list[Any] = []
-        call.notifyFinish().addErrback(lambda _: left.append(call))
+        self.queue_free_at = at
+        disconnected: list[Any] = []
+        call.notifyFinish().addErrback(lambda _: disconnected.append(call))
 
-        def turn() -> None:
-            if not left:
-                body = self._take(call, balancer, wait)
+        def process() -> None:
+            if not disconnected:
+                body = self._answer_or_watch(call, balancer, wait)
                 if body is not NOT_DONE_YET:
                     call.write(body)
                     call.finish()
 
-        self.reactor.callLater((at - now) / SECOND, turn)
+        self.reactor.callLater((at - now) / SECOND, process)
         return NOT_DONE_YET
 
-    def _take(self, call: Request, balancer: int, wait: int) -> Any:
+    def _answer_or_watch(self, call: Request, balancer: int, wait: int) -> Any:
         listing, now = self.listing(), self.now()
-        index = number_in(call, b"index")
+        index = query_number(call, b"index")
         if index is None:
-            return self._write(balancer, listing.revision(now), True, listing.complete(now))
+            return self._answer(balancer, listing.revision(now), True, listing.complete(now))
         if listing.revision(now) > index or not wait:
-            return self._write(balancer, listing.revision(now), False, listing.since(now, index))
+            return self._answer(balancer, listing.revision(now), False, listing.since(now, index))
         watch = Watch(call, index, balancer)
         self.watches.add(watch)
         call.notifyFinish().addErrback(lambda _: self.watches.discard(watch))
-        self.reactor.callLater(wait / 1000, self._look, watch, True)
+        self.reactor.callLater(wait / 1000, self._answer_watch, watch, True)
         return NOT_DONE_YET
 
-    def changed(self, at: int) -> None:
-        """There will be something new at that time of the play."""
-        self.reactor.callLater(max(0, at - self.now()) / SECOND + 0.001, self._look_all)
+    def list_changed(self, at: int) -> None:
+        """Notes that a new revision becomes visible at that time."""
+        self.reactor.callLater(max(0, at - self.now()) / SECOND + 0.001, self._answer_watches)
 
-    def _look_all(self) -> None:
+    def _answer_watches(self) -> None:
         for watch in list(self.watches):
-            self._look(watch)
+            self._answer_watch(watch)
+
+    def _answer_watch(self, watch: Watch, over: bool = False) -> None:
+        """Answers a watch if there is a new revision or its wait is over.
 
-    def _look(self, watch: Watch, over: bool = False) -> None:
-        """Answers it if there is something new, or its time is over: it may have begun before the play's time did."""
+        `over` is passed in, as the watch may have started before the time of the play."""
         listing, now = self.listing(), self.now()
         if watch not in self.watches or watch.silent or (listing.revision(now) <= watch.index and not over):
             return
@@ -190,21 +202,22 @@
             watch.call.write(GARBAGE[1])
         else:
             entries = listing.since(now, watch.index)
-            watch.call.write(self._write(watch.balancer, listing.revision(now), False, entries))
+            watch.call.write(self._answer(watch.balancer, listing.revision(now), False, entries))
         watch.call.finish()
 
-    def _write(self, balancer: int, revision: int, whole: bool, entries: list[Entry]) -> bytes:
+    def _answer(self, balancer: int, revision: int, complete: bool, entries: list[Entry]) -> bytes:
         now = self.now() + self.begin
-        self.answered[balancer] = self.now()
-        self.counted[balancer].answer_written(revision)
-        self.told += [records.Told(balancer, now, entry.id, entry.phase) for entry in entries]
-        if whole:
-            # What is not in it is told as gone just so.
-            named, known = {entry.id for entry in entries}, self.listing().entries[:revision]
-            gone = {entry.id for entry in known} - named
-            self.told += [records.Told(balancer, now, id, "removed") for id in sorted(gone)]
-        return self.shown(revision, whole, entries)
-
-    def shown(self, revision: int, whole: bool, entries: list[Entry]) -> bytes:
+        self.last_answer_at[balancer] = self.now()
+        self.delivery_clocks[balancer].answer_written(revision)
+        self.deliveries += [records.Told(balancer, now, entry.id, entry.phase) for entry in entries]
+        if complete:
+            # A complete list implies the removal of all hosts that are not in it.
+            listed, known = {entry.id for entry in entries}, self.listing().entries[:revision]
+            removed = {entry.id for entry in known} - listed
+            self.deliveries += [records.Told(balancer, now, id, "removed") for id in sorted(removed)]
+        return self.encode(revision, complete, entries)
+
+    def encode(self, revision: int, complete: bool, entries: list[Entry]) -> bytes:
+        """Encodes an answer as JSON."""
         members = [entry.to_json(self.epoch_ms) for entry in entries]
-        return orjson.dumps({"revision": revision, "complete": whole, "members": members})
+        return orjson.dumps({"revision": revision, "complete": complete, "members": members})
