--- a/ternquay/hosted/fleet/member.py
+++ b/ternquay/hosted/fleet/member.py
@@ -1,6 +1,6 @@
 """One running member of a fleet: drives the consensus core with links, disk and tenants, and reports its status.
 
-    fleet = FleetMember(reactor, config, host, stored, store, store.begin_boot())
+    fleet = FleetMember(reactor, config, host, store_thread, store, store.begin_boot())
     fleet.start()                          # raises InvalidField where the members' port can't be bound
     fleet.propose(commit)                  # -> a Deferred: fires once the change is in force, or fails with
                                            #    ChangeAborted, OutcomeUnknown or RetryLater
@@ -150,12 +150,12 @@
         reactor: Any,
         config: FleetConfig,
         host: Any,
-        stored: Any,
+        store_thread: Any,
         store: FleetStore,
         boot: BootState,
         clock: Callable[[], int] = clock,
     ) -> None:
-        self.reactor, self.config, self.host, self.stored, self.store = reactor, config, host, stored, store
+        self.reactor, self.config, self.host, self.store_thread, self.store = reactor, config, host, store_thread, store
         self.clock, self.random = clock, Random()
         self.timing = Timing.for_lease(config.lease_ns, config.serve_without_majority)
         self.outcome_timeout_seconds = OUTCOME_TIMEOUT_SECONDS + 3 * config.lease_ns / SECOND
@@ -391,18 +391,18 @@
         self.is_writing = True
         boot_id = self.boot.boot_id
 
-        def over(boot: BootState) -> None:
+        def on_discarded(boot: BootState) -> None:
             self.is_writing = False
             self._load_boot_state(boot)
 
-        def fault(failure: Any) -> None:
+        def on_failed(failure: Any) -> None:
             self.is_writing = False
             self._report_disk_trouble(failure)
             self.reactor.callLater(
                 DISK_RETRY_SECONDS, lambda: self._on_disk_rolled_back() if self.boot.boot_id == boot_id else None
             )
 
-        self.stored.do(self.store.discard_disk_state).addCallbacks(over, fault)
+        self.store_thread.run(self.store.discard_disk_state).addCallbacks(on_discarded, on_failed)
 
     # ---- driving the core ----
 
@@ -428,7 +428,7 @@
             self.links.send(name, self._frame(name, FrameKind.CONSENSUS, encode(message)))
         if core.snapshot_needed and not self.is_reading_snapshot:
             self.is_reading_snapshot = True
-            self.stored.do(self.store.snapshot).addCallbacks(self._on_snapshot_read, self._on_snapshot_failed)
+            self.store_thread.run(self.store.snapshot).addCallbacks(self._on_snapshot_read, self._on_snapshot_failed)
         if to_validate or core.writes or core.outcomes or core.to_validate:
             self._drive()
         self._fail_superseded()
@@ -567,7 +567,7 @@
             return
         self.is_writing = True
         jobs = list(self.jobs)
-        self.stored.do(self.store.execute, jobs).addCallbacks(
+        self.store_thread.run(self.store.execute, jobs).addCallbacks(
             self._on_written, self._on_write_failed, callbackArgs=(jobs,)
         )
 
@@ -657,13 +657,13 @@
         self.waiters[key] = waiter
         timer = self.reactor.callLater(self.outcome_timeout_seconds, self._give_up, key)
 
-        def over(result: Any) -> Any:
+        def on_outcome(result: Any) -> Any:
             self.waiters.pop(key, None)
             if timer.active():
                 timer.cancel()
             return result
 
-        waiter.addBoth(over)
+        waiter.addBoth(on_outcome)
         self._drive()
         return waiter
 
@@ -702,13 +702,13 @@
         # A lost message is not sent again: the client repeats the call with its idempotency key and gets the outcome.
         timer = self.reactor.callLater(1 + self.config.lease_ns / SECOND, reply.callback, OUTCOME_UNKNOWN)
 
-        def over(reply: Reply) -> Reply:
+        def on_reply(result: Reply) -> Reply:
             self.forwarded.pop(id, None)
             if timer.active():
                 timer.cancel()
-            return reply
+            return result
 
-        reply.addCallback(over)
+        reply.addCallback(on_reply)
         text = Forwarded(id, (call.method, call.path, dict(call.query), dict(call.headers), call.body, call.peer))
         self.links.send(leader, self._frame(leader, FrameKind.CALL, msgspec.msgpack.encode(text)))
         return reply
--- a/ternquay/hosted/host.py
+++ b/ternquay/hosted/host.py
@@ -212,10 +212,12 @@
         held = {runtime: runtime.buffered_bytes() for runtime in self.runtimes.values()}
         while sum(held.values()) > self.memory_bytes:
             runtime = max(held, key=lambda one: held[one] - one.entry.tenant.limits.memory.least * self.memory_bytes)
-            clients = [client for client in runtime.frontend.all if client.kept or client.queued]
+            clients = [client for client in runtime.frontend.clients if client.buffered_bytes or client.queued_bytes]
             if not clients:
                 break
-            runtime.frontend.drop(max(clients, key=lambda client: client.kept + client.queued), CloseReason.MEMORY)
+            runtime.frontend.drop(
+                max(clients, key=lambda client: client.buffered_bytes + client.queued_bytes), CloseReason.MEMORY
+            )
             held[runtime] = runtime.buffered_bytes()
 
     def process(self) -> dict[str, Any]:
@@ -257,7 +259,7 @@
         accept_grace = leave_after = stop_after = flush_timeout = 0
         for runtime in self.runtimes.values():
             limits = runtime.limits
-            runtime.dispatcher.ends_at = now + limits.last_answer_after
+            runtime.dispatcher.answer_deadline = now + limits.last_answer_after
             accept_grace, stop_after = max(accept_grace, limits.accept_grace), max(stop_after, limits.stop_after)
             leave_after, flush_timeout = (
                 max(leave_after, limits.leave_after),
@@ -269,7 +271,7 @@
         self.reactor.callLater(stop_after / SECOND, self._stop)
 
     def _open_transactions(self) -> int:
-        return sum(not tx.answered for runtime in self.runtimes.values() for tx in runtime.dispatcher.txs.values())
+        return sum(not tx.answered for runtime in self.runtimes.values() for tx in runtime.dispatcher.open_txs.values())
 
     def _close_listeners(self) -> None:
         closed = [runtime.close_listeners(not runtime.frontend.leaving) for runtime in self.runtimes.values()]
@@ -282,7 +284,7 @@
         self._wait_for_clients()
 
     def _wait_for_clients(self) -> None:
-        if any(runtime.frontend.all for runtime in self.runtimes.values()):
+        if any(runtime.frontend.clients for runtime in self.runtimes.values()):
             self.reactor.callLater(0.01, self._wait_for_clients)
         else:
             self._stop()
@@ -293,7 +295,7 @@
             after_answers_sent(self.reactor, self._owes_answers, self.flush_timeout, self._stopped)
 
     def _owes_answers(self) -> bool:
-        return any(runtime.frontend.owes() for runtime in self.runtimes.values())
+        return any(runtime.frontend.has_unsent_answers() for runtime in self.runtimes.values())
 
     def _stopped(self) -> None:
         if self.reactor.running:
@@ -334,9 +336,9 @@
 
     def __init__(self, reactor: Any, service: ServiceConfig) -> None:
         self.reactor, self.service = reactor, service
-        self.keeper: Any = None
+        self.executor: Any = None
         self.api: Any = None
-        self.stored: Any = None
+        self.store_thread: Any = None
         self.fleet: Any = None
         if service.store:
             self._with_store()
@@ -346,7 +348,7 @@
     def _with_store(self) -> None:
         # Imported here, because a process without a store does not load any of this.
         from ternquay.hosted.administration.api import Api
-        from ternquay.hosted.administration.changes import Keeper, Stored
+        from ternquay.hosted.administration.changes import ChangeExecutor, StoreThread
         from ternquay.hosted.store import Store, StoreError
 
         fleet_config, boot = self.service.fellows, None
@@ -367,15 +369,17 @@
         except StoreError as fault:
             raise ServiceConfigError(f"store.path: {fault}") from fault
         self.host = TenantHost(self.reactor, self.service, registry)
-        self.stored = Stored(self.reactor, store)
-        self.keeper = Keeper(self.reactor, Api(self.service.operators), self.host, self.stored, time.time_ns)
-        self.host.remove = self.keeper.remove
+        self.store_thread = StoreThread(self.reactor, store)
+        self.executor = ChangeExecutor(
+            self.reactor, Api(self.service.operators), self.host, self.store_thread, time.time_ns
+        )
+        self.host.remove = self.executor.remove
         if fleet_config is not None:
             from ternquay.hosted.fleet.member import FleetMember
 
             assert boot is not None
-            self.fleet = FleetMember(self.reactor, fleet_config, self.host, self.stored, member, boot)
-            self.keeper.join(self.fleet)
+            self.fleet = FleetMember(self.reactor, fleet_config, self.host, self.store_thread, member, boot)
+            self.executor.join(self.fleet)
             self.host.resources.admission_delay = self.fleet.admission_delay
 
     def start(self) -> None:
@@ -387,7 +391,7 @@
             if self.service.api is not None:
                 from ternquay.hosted.administration.http import ApiPort
 
-                self.api = ApiPort(self.reactor, self.service, self.keeper)
+                self.api = ApiPort(self.reactor, self.service, self.executor)
                 self.api.begin()
         except InvalidField as fault:
             raise ServiceConfigError(f"{self.service.path}: {fault.field}: {fault.reason}") from fault
@@ -405,9 +409,9 @@
         for field in ("process", "store", "listen", "log", "fellows"):
             if getattr(new, field) != getattr(self.service, field) and field != "process":
                 logger.warning("the reloaded file changes {}, which takes effect at the next start", field)
-        if self.keeper is not None:
+        if self.executor is not None:
             if new.api is not None:  # else all operators would be locked out until the next start
-                self.keeper.api.operators = new.operators
+                self.executor.api.operators = new.operators
         elif not self.host.ending:
             self.host.follow(new.registry)
         logger.info("reloaded the file")
@@ -416,8 +420,8 @@
         """Stops the API and the changes, and lets the tenants finish."""
         if self.api is not None:
             self.api.end()
-        if self.keeper is not None:
-            self.keeper.end()
+        if self.executor is not None:
+            self.executor.end()
         if self.fleet is not None:
             self.fleet.step_down()
         self.host.shut_down()  # a member votes and renews its lease while it finishes open transactions
@@ -426,8 +430,8 @@
         """Closes the fleet's links and the store, after the event loop has stopped."""
         if self.fleet is not None:
             self.fleet.stop()
-        if self.stored is not None:
-            self.stored.end()
+        if self.store_thread is not None:
+            self.store_thread.end()
 
 
 def run(service: ServiceConfig) -> None:
--- a/ternquay/net/pool.py
+++ b/ternquay/net/pool.py
@@ -40,23 +40,23 @@
 
     # ---- calls of the dispatcher ----
 
-    def listed(self, index: int, address: Address, ready: bool) -> None:
+    def update_host(self, index: int, address: Address, ready: bool) -> None:
         """Adds or updates a cache host of the host list."""
         host = self.hosts.setdefault(index, HostConnections(index, address))
         if address != host.address or not ready:
             self._close_idle(host)
         host.address, host.ready = address, ready
 
-    def unlisted(self, index: int) -> None:
+    def remove_host(self, index: int) -> None:
         """Removes a cache host that is gone for good; its record goes with its last connection."""
         host = self.hosts.get(index)
         if host is None:
             return  # the list that named it failed before it reached the pool
         host.ready, host.gone = False, True
-        self.recall(index)
+        self.return_unsent_hops(index)
         self._remove_if_unused(host)
 
-    def recall(self, index: int) -> None:
+    def return_unsent_hops(self, index: int) -> None:
         """Takes back the hops that connections have not started, where the host drains or its address changed."""
         for connection in list(self.hosts[index].connections):
             if not connection.may_send():
@@ -71,9 +71,9 @@
         host = self.hosts.get(hop.host)
         # A draining host gets no hop. The balancer should know, but it may have failed on the list that said so.
         # A streamed value that was partly written elsewhere can't be sent again, as its first bytes are not kept.
-        partly_written = hop.tx.flow is not None and hop.tx.flow.touched
+        partly_written = hop.tx.stream is not None and hop.tx.stream.partly_taken
         connection = (
-            self._pick_connection(host, hop.tx.flow is None)
+            self._pick_connection(host, hop.tx.stream is None)
             if host is not None and host.ready and (not partly_written)
             else None
         )
@@ -98,7 +98,7 @@
             idle_time = now - connection.idle_since
             if (
                 idle_time < self.limits.host_idle_timeout
-                and self.idle_loss.holds(idle_time, now)
+                and self.idle_loss.is_usable(idle_time, now)
                 and connection.nothing_unread()
             ):
                 connection.idle_before_hop = idle_time
--- a/ternquay/net/replacement.py
+++ b/ternquay/net/replacement.py
@@ -79,7 +79,7 @@
         self._update_ceiling(None)
         if self.other_present:
             logger.info("another process of this balancer is running and will be replaced")
-            self.service.dispatcher.beside(0.5)
+            self.service.dispatcher.set_cold_fraction(0.5)
         self.poll()
 
     def poll(self) -> None:
@@ -97,7 +97,7 @@
                 if other
                 else "the other process of this balancer has ended"
             )
-            service.dispatcher.beside(0.5 if other else 1.0)
+            service.dispatcher.set_cold_fraction(0.5 if other else 1.0)
         # One clock tick earlier, as both processes may poll within the same tick.
         note = self.slots.read(self.other_since - MS) if other else None
         self._update_ceiling(note)
@@ -108,9 +108,9 @@
         ):
             on_ready, self.on_ready = self.on_ready, None
             if note is not None and self.is_successor:
-                learned = decode_learned(note.learned, service.dispatcher.hosts)
+                learned = decode_learned(note.learned, service.dispatcher.host_indices)
                 if learned is not None:
-                    service.dispatcher.happened(learned)
+                    service.dispatcher.handle_event(learned)
             elif self.is_successor:
                 logger.warning("the other process wrote no note: this one serves with the configured host list")
             on_ready()
@@ -140,7 +140,7 @@
         if (same_source and note.revision > discovery.revision) or (not same_source and self.on_ready is not None):
             if same_source:
                 discovery.revision = note.revision
-            self.service.dispatcher.list_told(True, note.members)
+            self.service.dispatcher.update_hosts(True, note.members)
 
     def _write_note(self, now: int) -> None:
         service = self.service
@@ -149,7 +149,7 @@
         if state == self.last_state and now - self.written_at < NOTE_REFRESH_NS:
             return
         self.last_state, self.written_at = state, now
-        names = {index: name for name, index in dispatcher.hosts.items()}
+        names = {index: name for name, index in dispatcher.host_indices.items()}
         self.slots.write(
             Note(
                 now,
@@ -157,7 +157,7 @@
                 service.serves(),
                 str(discovery.address),
                 discovery.revision,
-                tuple(dispatcher.members.values()),
+                tuple(dispatcher.host_entries.values()),
                 encode_learned(dispatcher.balancer.learned(), names),
             )
         )
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ternquay.net import meta
-from ternquay.net.client import OVERDUE
+from ternquay.net.client import OVERDUE_ANSWER
 from ternquay.net.config import ConfigError, read_config
 from ternquay.net.management import respond
 from tests.helper import Net, member
@@ -141,7 +141,7 @@
     with serving(balancer_config(listen, free_port(), management=f"127.0.0.1:{at}"), tmp_path) as process:
         resting = socket.create_connection(("127.0.0.1", listen), timeout=10)
         resting.sendall(b"mn\r\n")
-        assert resting.recv(100) == meta.HELLO
+        assert resting.recv(100) == meta.NOOP_ANSWER
         half = socket.create_connection(("127.0.0.1", listen), timeout=10)
         half.sendall(b"mg k")
         assert http_status(at, OUT) == http_status(at, OUT) == 200 and http_status(at, READY) == 503
@@ -149,22 +149,24 @@
         assert resting.recv(100) == b""
         time.sleep(0.1)
         assert hello_reply(listen) == meta.OUT_OF_SERVICE  # it still refuses
-        assert half.recv(100) == OVERDUE + b"\r\n" and half.recv(100) == b""  # its request was not complete in time
+        assert (
+            half.recv(100) == OVERDUE_ANSWER + b"\r\n" and half.recv(100) == b""
+        )  # its request was not complete in time
         assert process.poll() is None
         assert (
             http_status(at, BACK) == http_status(at, BACK) == 200
             and http_status(at, READY) == 200
-            and hello_reply(listen) == meta.HELLO
+            and hello_reply(listen) == meta.NOOP_ANSWER
         )
         # Out, in, out and in again: the timers of the first drain do not act on a later state.
         for text in (OUT, BACK, OUT, BACK):
             assert http_status(at, text) == 200
         stays = socket.create_connection(("127.0.0.1", listen), timeout=10)
         stays.sendall(b"mn\r\n")
-        assert stays.recv(100) == meta.HELLO
+        assert stays.recv(100) == meta.NOOP_ANSWER
         time.sleep(3.5)
         stays.sendall(b"mn\r\n")
-        assert stays.recv(100) == meta.HELLO
+        assert stays.recv(100) == meta.NOOP_ANSWER
         # A shutdown during a drain.
         assert http_status(at, OUT) == 200
         process.terminate()
@@ -181,7 +183,7 @@
     written.feed(b"mn\r\n")
     first, second = net.accept(), net.accept()
     written.unread = b"m"  # bytes have arrived but were not read yet
-    net.frontend.hello = meta.OUT_OF_SERVICE
+    net.frontend.noop_answer = meta.OUT_OF_SERVICE
     net.frontend.leave(net.limits.new_client_grace)
     net.take()
     assert idle.lost and not busy.lost and not written.lost
@@ -199,7 +201,7 @@
     [w for w in net.wires if w.name.startswith("host") and not w.lost][-1].feed(va(3))
     assert late.lost
     net.run(1000)
-    assert silent.lost and not net.frontend.all
+    assert silent.lost and not net.frontend.clients
     net.matches("net_out_of_service")
 
 
@@ -214,7 +216,7 @@
     net.frontend.leave(net.limits.new_client_grace)
     net.run(80)
     moving.feed(b"mg k")
-    net.frontend.cut_off()
+    net.frontend.close_inactive()
     assert half.lost and not busy.lost and not moving.lost
 
 
