--- a/ternquay/rig/balancer_process.py
+++ b/ternquay/rig/balancer_process.py
@@ -15,7 +15,7 @@
 from ternquay.rig.contender import Contender
 from ternquay.rig.ports import free_place
 from ternquay.rig.processes import READY_WITHIN, TURN, PlayError, PortTaken, Running, Stage
-from ternquay.rig.system_calls import CallPlan, prepared
+from ternquay.rig.system_calls import CallPlan, fault_environment
 from ternquay.rig.terms import BALANCER_FAULTS, MS, Day, Planned, laid_over
 
 
@@ -65,7 +65,7 @@
         if not self.day.calls and not self.day.clock:
             return {}
         plan = CallPlan(self.day.calls, self.day.clock, Random(f"{self.seed}/calls/{self.number}").getrandbits(32))
-        return prepared(plan, self.stage.out / "logs", f"balancer-{self.number}", str(self.contender.tree))
+        return fault_environment(plan, self.stage.out / "logs", f"balancer-{self.number}", str(self.contender.tree))
 
     def answers(self) -> bool:
         """Whether it says that it serves."""
--- a/ternquay/rig/results.py
+++ b/ternquay/rig/results.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ternquay.rig.judge import Breach
-from ternquay.rig.system_calls import struck
+from ternquay.rig.system_calls import failure_counts
 
 EVIDENCE_MOST = 200
 
@@ -15,7 +15,7 @@
 def write_result(out: Path, result: dict[str, Any], breaches: list[Breach]) -> None:
     """With the system calls that failed, and the steps of clocks, as the processes' own logs count them."""
     out.mkdir(parents=True, exist_ok=True)
-    result["struck"] = dict(sorted(struck(out / "logs").items()))
+    result["struck"] = dict(sorted(failure_counts(out / "logs").items()))
     (out / "result.json").write_text(json.dumps(result, indent=1) + "\n")
     kept = [msgspec.structs.asdict(b) for b in breaches[:EVIDENCE_MOST]]
     (out / "breaches.json").write_text(json.dumps(kept, indent=1) + "\n")
--- a/ternquay/rig/soak.py
+++ b/ternquay/rig/soak.py
@@ -20,7 +20,7 @@
 from ternquay.rig.measure import measure
 from ternquay.rig.play import play
 from ternquay.rig.results import write_result
-from ternquay.rig.system_calls import struck
+from ternquay.rig.system_calls import failure_counts
 from ternquay.rig.terms import BALANCER_FAULTS, SHORT, Call, CallFault, ClockStep, Day, Fault, FaultKind
 
 QUIET = 0.05  # of the day at its start, and at its end, in which no fault begins or ends
@@ -217,7 +217,7 @@
         violations,
         uncaught,
         len(saw.stops),
-        struck(out / "logs").total(),
+        failure_counts(out / "logs").total(),
     ), breaches
 
 
--- a/ternquay/rig/system_calls.py
+++ b/ternquay/rig/system_calls.py
@@ -1,9 +1,9 @@
-"""What a machine does to a process that a test or the rig starts: calls that fail, a wall clock that is stepped.
+"""Fault injection into a process that a test or the rig starts: failing system calls and wall clock steps.
 
-    environment = prepared(plan, folder)        # for subprocess.Popen of the program, started as it always is
-    counts = struck(folder)                     # how often each call failed with each error, as proof that it did
+    environment = fault_environment(plan, folder)  # for subprocess.Popen of the program, with its usual command line
+    counts = failure_counts(folder)                # how often each call failed with each error, as proof of injection
 
-rig/interpose/sitecustomize.py carries a plan out inside the process; nothing else on the machine is touched.
+rig/interpose/sitecustomize.py executes the plan inside the process; nothing else on the machine is affected.
 """
 
 import errno
@@ -16,11 +16,11 @@
 from ternquay.rig.terms import SHORT, CallFault, ClockStep, DayError, Terms, call_fault, read_toml
 
 INTERPOSE = Path(__file__).parent / "interpose"
-CLOCK = "clock STEP"  # how a step that was seen is counted
+CLOCK = "clock STEP"  # log line of a clock step that the process observed
 
 
 class CallPlan(Terms, frozen=True):
-    """All that happens to one process; the seed draws which calls fail."""
+    """The faults of one process; the seed determines which calls fail."""
 
     faults: tuple[CallFault, ...] = ()
     steps: tuple[ClockStep, ...] = ()
@@ -28,28 +28,31 @@
 
 
 def checked(plan: CallPlan, where: str) -> CallPlan:
-    """Raises DayError, which names the field."""
+    """Returns the plan if it is valid. Raises DayError, which names the field."""
     if wrong := call_fault(plan.faults, "faults"):
         raise DayError(f"{where}: {wrong}")
     return plan
 
 
 def read_plan(path: Path) -> CallPlan:
-    """A plan in TOML. Raises DayError, which names the file and the field."""
+    """Reads a plan from a TOML file. Raises DayError, which names the file and the field."""
     try:
         return checked(msgspec.convert(read_toml(path), CallPlan), str(path))
-    except msgspec.ValidationError as fault:
-        text, _, field = str(fault).partition(" - at `$")
-        raise DayError(f"{path}: {field.strip('.`') or 'the plan'}: {text}") from fault
+    except msgspec.ValidationError as error:
+        text, _, field = str(error).partition(" - at `$")
+        raise DayError(f"{path}: {field.strip('.`') or 'the plan'}: {text}") from error
 
 
-def prepared(plan: CallPlan, folder: Path, name: str = "call", path: str = "") -> dict[str, str]:
-    """The environment of a process that fares by that plan; `path` is where its program is found, if not by ours."""
+def fault_environment(plan: CallPlan, folder: Path, name: str = "call", path: str = "") -> dict[str, str]:
+    """Writes the plan to the folder and returns the environment of a process that it applies to.
+
+    `path` replaces PYTHONPATH if given. Raises DayError, which names the field, if the plan is invalid.
+    """
     lines = [
-        f"{one.call} {-1 if one.error == SHORT else getattr(errno, one.error)} {one.start} {one.end} {one.rate}\n"
-        for one in checked(plan, "the plan").faults
+        f"{f.call} {-1 if f.error == SHORT else getattr(errno, f.error)} {f.start} {f.end} {f.rate}\n"
+        for f in checked(plan, "the plan").faults
     ]
-    lines += [f"clock {one.at} {one.by}\n" for one in plan.steps]
+    lines += [f"clock {step.at} {step.by}\n" for step in plan.steps]
     plan_file, log = folder / f"{name}-plan", folder / f"{name}-log"
     plan_file.write_text("".join(lines))
     paths = [str(INTERPOSE), *filter(None, [path or os.environ.get("PYTHONPATH")])]
@@ -61,6 +64,6 @@
     }
 
 
-def struck(folder: Path) -> Counter[str]:
-    """How often each call failed with each error, by `CALL ERROR`, in all processes whose logs lie there."""
+def failure_counts(folder: Path) -> Counter[str]:
+    """Counts the injected failures by `CALL ERROR` over all processes whose logs are in the folder."""
     return Counter(line for log in folder.glob("*-log") for line in log.read_text().splitlines())
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -19,7 +19,7 @@
 
 from ternquay.net.library_log import TwistedLogObserver
 from ternquay.net.poller import RetryingPoller
-from ternquay.rig.system_calls import CallPlan, prepared, read_plan, struck
+from ternquay.rig.system_calls import CallPlan, failure_counts, fault_environment, read_plan
 from ternquay.rig.terms import CallFault, DayError
 from tests.helper import member
 from tests.test_flow import Store
@@ -68,7 +68,7 @@
     store, listen, path = Store(3), free_port(), folder / "told.json"
     known = {"revision": 1, "complete": True, "members": [member(1) | {"host_port": f"127.0.0.1:{store.port}"}]}
     path.write_bytes(orjson.dumps(balancer_config(listen, free_port(), known=known)))
-    environment = prepared(CallPlan(faults), folder) | {"EDGE_CONFIG": str(path)}
+    environment = fault_environment(CallPlan(faults), folder) | {"EDGE_CONFIG": str(path)}
     with open(folder / "log", "wb") as log:
         process = subprocess.Popen(
             [sys.executable, "-m", "ternquay.net"], stderr=log, env=environment, cwd=Path(__file__).parents[1]
@@ -97,7 +97,7 @@
         time.sleep(1.5)
         before = one.cpu()
         assert request(one.port).startswith((b"VA 9 O1", b"SERVER_ERROR busy"))  # the client waited and was not closed
-        assert 0 < struck(tmp_path)[f"accept {error}"] < MAX_FAILURES and one.cpu() - before < 0.5
+        assert 0 < failure_counts(tmp_path)[f"accept {error}"] < MAX_FAILURES and one.cpu() - before < 0.5
         assert one.log().count(f"accept failed: {error}") == 1 and "Traceback" not in one.log()
         assert one.process.poll() is None
 
@@ -113,7 +113,7 @@
             for number, client in enumerate(clients):
                 client.sendall(mg(number, key="k9"))
             assert all(client.recv(200) for client in clients)
-        assert time.monotonic() - began < 0.8 and struck(tmp_path)["accept ENFILE"] > 10
+        assert time.monotonic() - began < 0.8 and failure_counts(tmp_path)["accept ENFILE"] > 10
 
 
 def test_consecutive_failed_connections_do_not_spin_the_loop(tmp_path: Path) -> None:
@@ -121,7 +121,7 @@
         began = time.monotonic()
         assert request(one.port).startswith((b"VA 9", b"SERVER_ERROR busy"))
         assert time.monotonic() - began > 0.2  # it failed until then
-        assert struck(tmp_path)["accept EPROTO"] < MAX_FAILURES and one.cpu() < 2.0
+        assert failure_counts(tmp_path)["accept EPROTO"] < MAX_FAILURES and one.cpu() < 2.0
 
 
 def test_refused_writes_do_not_spin_the_loop(tmp_path: Path) -> None:
@@ -130,7 +130,7 @@
         before = one.cpu()
         request(one.port)
         time.sleep(1.0)
-        assert 0 < struck(tmp_path)["send ENOBUFS"] < 3 * MAX_FAILURES and one.cpu() - before < 0.5
+        assert 0 < failure_counts(tmp_path)["send ENOBUFS"] < 3 * MAX_FAILURES and one.cpu() - before < 0.5
         assert request(one.port, 2).startswith((b"VA 9 O2", b"SERVER_ERROR busy"))
 
 
@@ -218,7 +218,7 @@
     with running(tmp_path, CallFault("accept", error, rate=0.5)) as one:
         answers = [request(one.port, number) for number in range(12)]
         assert all(text.startswith((b"VA 9", b"SERVER_ERROR busy")) for text in answers), answers
-        assert struck(tmp_path)[f"accept {error}"] > 0
+        assert failure_counts(tmp_path)[f"accept {error}"] > 0
         assert one.log().count(f"accept failed: {error}") == 1 and "Traceback" not in one.log()
         assert one.process.poll() is None
 
@@ -249,7 +249,7 @@
         failures_end = time.monotonic() + 2.0
         for number in range(40):
             request(one.port, number)
-        assert struck(tmp_path)[f"{call} {error}"] > 0
+        assert failure_counts(tmp_path)[f"{call} {error}"] > 0
         time.sleep(max(0.0, failures_end - time.monotonic()))  # from here on no call fails
         assert request(one.port, 100).startswith((b"VA 9 O100", b"SERVER_ERROR busy"))
         assert "Traceback" not in one.log() and "k9" not in one.log() and one.process.poll() is None, one.log()
