--- a/ternquay/rig/disk_faults.py
+++ b/ternquay/rig/disk_faults.py
@@ -1,10 +1,10 @@
-"""Plans of failing calls on the files of one folder, for a process that a test or the rig starts.
+"""Disk fault injection: failing calls on the files of one folder, in a process that a test or the rig starts.
 
-    environment = prepared(plan, folder, scratch)    # for subprocess.Popen of the program, started as it always is
-    counts = struck(scratch)                         # how often each call failed with each error, as proof
+    environment = fault_environment(faults, folder, scratch)  # for subprocess.Popen, with the usual command line
+    counts = failure_counts(scratch)                          # how often each call failed with each error, as proof
 
-rig/interpose/disk.c carries a plan out inside the process, below SQLite; it is built with the system's C compiler, once
-for each scratch folder. Nothing else on the machine is touched.
+rig/interpose/disk.c executes the plan inside the process, below SQLite. It is built with the system's C compiler, once
+for each scratch folder. Nothing else on the machine is affected.
 """
 
 import errno
@@ -20,7 +20,7 @@
 
 
 class DiskFault(Terms, frozen=True):
-    """`call` fails with `error` from `start` to `end`, in seconds from the start of the process, so often of all."""
+    """`call` fails with `error` and probability `rate` from `start` to `end`, in seconds since the process started."""
 
     call: Literal["open", "write", "fsync"]
     error: str
@@ -29,32 +29,36 @@
     rate: Share = 1.0
 
 
-def _number(fault: DiskFault, where: str) -> int:
+def _error_number(fault: DiskFault, where: str) -> int:
+    """Returns the errno of a fault, -1 for a short write."""
     if fault.error == SHORT and fault.call == "write":
         return -1
     if fault.error not in errno.errorcode.values():
-        raise DayError(f"{where}.error: no error of {fault.call} is called {fault.error:.40}")
+        raise DayError(f"{where}.error: unknown error for {fault.call}: {fault.error:.40}")
     return int(getattr(errno, fault.error))
 
 
-def prepared(faults: tuple[DiskFault, ...], folder: Path, scratch: Path) -> dict[str, str]:
-    """The environment of a process for which calls on that folder fail. Raises DayError, which names the field."""
+def fault_environment(faults: tuple[DiskFault, ...], folder: Path, scratch: Path) -> dict[str, str]:
+    """Writes the plan and returns the environment of a process for which calls on that folder fail.
+
+    Raises DayError, which names the field, if the plan is invalid.
+    """
     lines = []
-    for i, one in enumerate(faults):
-        if not 0 <= one.start < one.end:
-            raise DayError(f"faults[{i}].end: {one.end} is not after the start")
-        lines.append(f"{one.call} {_number(one, f'faults[{i}]')} {one.start} {one.end} {one.rate}\n")
+    for i, fault in enumerate(faults):
+        if not 0 <= fault.start < fault.end:
+            raise DayError(f"faults[{i}].end: {fault.end} is not after the start")
+        lines.append(f"{fault.call} {_error_number(fault, f'faults[{i}]')} {fault.start} {fault.end} {fault.rate}\n")
     (scratch / "disk-plan").write_text("".join(lines))
     return os.environ | {
-        "LD_PRELOAD": str(built(scratch)),
+        "LD_PRELOAD": str(build_library(scratch)),
         "TERNQUAY_DISK_PLAN": str(scratch / "disk-plan"),
         "TERNQUAY_DISK_LOG": str(scratch / "disk-log"),
         "TERNQUAY_DISK_FOLDER": str(folder.resolve()),
     }
 
 
-def built(scratch: Path) -> Path:
-    """The library, built there."""
+def build_library(scratch: Path) -> Path:
+    """Builds the library in the scratch folder unless it exists, and returns its path."""
     library = scratch / "disk.so"
     if not library.exists():
         subprocess.run(
@@ -63,10 +67,10 @@
     return library
 
 
-def struck(scratch: Path) -> Counter[str]:
-    """How often each call failed with each error, by `CALL ERROR`."""
-    found: Counter[str] = Counter()
+def failure_counts(scratch: Path) -> Counter[str]:
+    """Counts the injected failures by `CALL ERROR`."""
+    counts: Counter[str] = Counter()
     for line in (scratch / "disk-log").read_text().splitlines():
         call, number = line.split()
-        found[f"{call} {errno.errorcode.get(int(number), SHORT)}"] += 1
-    return found
+        counts[f"{call} {errno.errorcode.get(int(number), SHORT)}"] += 1
+    return counts
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ternquay.rig.disk_faults import DiskFault, prepared, struck
+from ternquay.rig.disk_faults import DiskFault, failure_counts, fault_environment
 from ternquay.rig.terms import DayError
 from tests.hosted_helper import ROOT, HostedService
 from tests.test_hosted import READ, FakeCacheHost
@@ -32,7 +32,7 @@
         self.began = 0.0
 
     def launch(self) -> None:
-        environment = prepared(self.faults, self.store, self.scratch)
+        environment = fault_environment(self.faults, self.store, self.scratch)
         self.began = time.monotonic()
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
@@ -103,7 +103,7 @@
         acknowledged, states[version] = version, "active"
         assert service.exchange(port, READ % (1, 2), 0.5).startswith(b"VA 2")
         log = service.log.read_text()
-        assert struck(service.scratch).total() > 0 and "Traceback" not in log
+        assert failure_counts(service.scratch).total() > 0 and "Traceback" not in log
         service.kill()
         service.faults = ()
         service.start()
@@ -124,4 +124,4 @@
 )
 def test_an_invalid_plan_names_its_field(tmp_path: Path, fault: DiskFault, field: str) -> None:
     with pytest.raises(DayError, match=field.replace("[", r"\[")):
-        prepared((fault,), tmp_path, tmp_path)
+        fault_environment((fault,), tmp_path, tmp_path)
