--- a/ternquay/rig/interpose/disk.c
+++ b/ternquay/rig/interpose/disk.c
@@ -1,8 +1,8 @@
-/* Makes calls on the files of one folder fail by a plan, in the process that preloads it (LD_PRELOAD).
+/* Injects failures into calls on the files of one folder, in the process that preloads it (LD_PRELOAD).
  *
- * TERNQUAY_DISK_PLAN names a file of lines `CALL ERRNO START END RATE`: open, write or fsync, an error's number or -1
- * for a short write, seconds from the start of the process, and the part of the calls that fail. TERNQUAY_DISK_FOLDER
- * is the folder, TERNQUAY_DISK_LOG a file that has a line `CALL ERRNO` for each call that failed.
+ * TERNQUAY_DISK_PLAN names a file of lines `CALL ERRNO START END RATE`: open, write or fsync; an errno, or -1 for a
+ * short write; the interval in seconds since the process started; and the share of the calls that fail.
+ * TERNQUAY_DISK_FOLDER is the folder. Each failed call adds a line `CALL ERRNO` to the file TERNQUAY_DISK_LOG.
  * Built by ternquay.rig.disk_faults: cc -shared -fPIC -O1 -o disk.so disk.c
  */
 #define _GNU_SOURCE
@@ -17,8 +17,8 @@
 #include <time.h>
 #include <unistd.h>
 
-#define FAULTS_MOST 64
-#define SHORT (-1)
+#define MAX_FAULTS 64
+#define SHORT_WRITE (-1)
 
 struct fault {
     char call[8];
@@ -26,10 +26,10 @@
     double start, end, rate;
 };
 
-static struct fault faults[FAULTS_MOST];
+static struct fault faults[MAX_FAULTS];
 static int fault_count, log_descriptor = -1;
 static char folder[4096];
-static double began;
+static double started_at;
 
 static double seconds(void)
 {
@@ -40,40 +40,42 @@
 
 __attribute__((constructor)) static void load(void)
 {
-    const char *plan = getenv("TERNQUAY_DISK_PLAN"), *where = getenv("TERNQUAY_DISK_FOLDER");
+    const char *plan = getenv("TERNQUAY_DISK_PLAN"), *folder_path = getenv("TERNQUAY_DISK_FOLDER");
     const char *log = getenv("TERNQUAY_DISK_LOG");
     FILE *file = plan != NULL ? fopen(plan, "r") : NULL;
-    if (file == NULL || where == NULL || log == NULL)
+    if (file == NULL || folder_path == NULL || log == NULL)
         return;
-    while (fault_count < FAULTS_MOST) {
-        struct fault *one = &faults[fault_count];
-        if (fscanf(file, "%7s %d %lf %lf %lf", one->call, &one->error, &one->start, &one->end, &one->rate) != 5)
+    while (fault_count < MAX_FAULTS) {
+        struct fault *fault = &faults[fault_count];
+        if (fscanf(file, "%7s %d %lf %lf %lf", fault->call, &fault->error, &fault->start, &fault->end,
+                   &fault->rate) != 5)
             break;
         fault_count++;
     }
     fclose(file);
-    snprintf(folder, sizeof folder, "%s/", where);
+    snprintf(folder, sizeof folder, "%s/", folder_path);
     log_descriptor = open(log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
-    began = seconds();
+    started_at = seconds();
 }
 
-/* The error of a call on that path, 0 for none. */
-static int failing(const char *call, const char *path)
+/* Returns the errno for a call on that path, 0 for none, and logs an injected failure. */
+static int draw_error(const char *call, const char *path)
 {
     if (fault_count == 0 || strncmp(path, folder, strlen(folder)) != 0)
         return 0;
-    double now = seconds() - began;
+    double elapsed = seconds() - started_at;
     for (int i = 0; i < fault_count; i++) {
-        const struct fault *one = &faults[i];
-        if (strcmp(one->call, call) != 0 || now < one->start || now >= one->end || drand48() >= one->rate)
+        const struct fault *fault = &faults[i];
+        if (strcmp(fault->call, call) != 0 || elapsed < fault->start || elapsed >= fault->end
+            || drand48() >= fault->rate)
             continue;
-        dprintf(log_descriptor, "%s %d\n", call, one->error);
-        return one->error;
+        dprintf(log_descriptor, "%s %d\n", call, fault->error);
+        return fault->error;
     }
     return 0;
 }
 
-static int failing_descriptor(const char *call, int descriptor)
+static int draw_descriptor_error(const char *call, int descriptor)
 {
     char link[64], path[4096];
     if (fault_count == 0 || descriptor == log_descriptor)
@@ -83,17 +85,17 @@
     if (length < 0)
         return 0;
     path[length] = '\0';
-    return failing(call, path);
+    return draw_error(call, path);
 }
 
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
-#define WRITE(name, parameters, arguments, shortened)             \
+#define WRITE(name, parameters, arguments, short_arguments)       \
     ssize_t name parameters                                       \
     {                                                             \
-        int error = failing_descriptor("write", descriptor);      \
-        if (error == SHORT && size > 1)                           \
-            return REAL(name) shortened;                          \
+        int error = draw_descriptor_error("write", descriptor);   \
+        if (error == SHORT_WRITE && size > 1)                     \
+            return REAL(name) short_arguments;                    \
         if (error > 0) {                                          \
             errno = error;                                        \
             return -1;                                            \
@@ -110,7 +112,7 @@
 #define SYNC(name)                                                \
     int name(int descriptor)                                      \
     {                                                             \
-        int error = failing_descriptor("fsync", descriptor);      \
+        int error = draw_descriptor_error("fsync", descriptor);   \
         if (error > 0) {                                          \
             errno = error;                                        \
             return -1;                                            \
@@ -131,7 +133,7 @@
             mode = va_arg(rest, mode_t);                          \
             va_end(rest);                                         \
         }                                                         \
-        int error = failing("open", path);                        \
+        int error = draw_error("open", path);                     \
         if (error > 0) {                                          \
             errno = error;                                        \
             return -1;                                            \
