--- a/ternquay/net/listener.py
+++ b/ternquay/net/listener.py
@@ -33,7 +33,7 @@
 
 from ternquay.net.transports import BackoffServer
 
-# Errors of the connection that was to be accepted, which accept(2) passes on, or of one that a firewall forbids.
+# Errors of the single connection that is being accepted: accept(2) passes them on, or a firewall rejects the connection.
 CONNECTION_ERRORS = frozenset(
     {
         ECONNABORTED,
