--- a/ternquay/net/listener.py
+++ b/ternquay/net/listener.py
@@ -33,7 +33,7 @@
 
 from ternquay.net.transports import BackoffServer
 
-# Errors of the single connection that is being accepted: accept(2) passes them on, or a firewall rejects the connection.
+# Errors of the one connection that is being accepted: accept(2) passes them on, or a firewall rejects it.
 CONNECTION_ERRORS = frozenset(
     {
         ECONNABORTED,
