--- a/ternquay/rig/balancer_process.py
+++ b/ternquay/rig/balancer_process.py
@@ -16,7 +16,7 @@
 from ternquay.rig.ports import free_place
 from ternquay.rig.processes import READY_WITHIN, TURN, PlayError, PortTaken, Running, Stage
 from ternquay.rig.system_calls import CallPlan, fault_environment
-from ternquay.rig.terms import BALANCER_FAULTS, MS, Day, Planned, laid_over
+from ternquay.rig.terms import BALANCER_FAULTS, MS, Day, PlannedFault, merge_tables
 
 
 class Balancer:
@@ -36,7 +36,7 @@
 
     def configure(self, discovery: str, known: dict[str, Any]) -> None:
         told = configuration(self.day, self.number, self.listen, discovery, known, self.seed)
-        self.told = laid_over(told, self.contender.over)
+        self.told = merge_tables(told, self.contender.over)
         self._write()
 
     def _write(self) -> None:
@@ -149,7 +149,7 @@
 
 
 def balancer_events(
-    faults: tuple[Planned, ...], balancers: list[Balancer], second: list[str]
+    faults: tuple[PlannedFault, ...], balancers: list[Balancer], second: list[str]
 ) -> list[tuple[int, Callable[[], bool | None]]]:
     """What is done to balancers, and when; `second` are the addresses that discovery moves to."""
     events: list[tuple[int, Callable[[], bool | None]]] = []
--- a/ternquay/rig/byhand.py
+++ b/ternquay/rig/byhand.py
@@ -11,14 +11,14 @@
 from ternquay.rig.configuration import configuration, host_places
 from ternquay.rig.standins.discovery import DiscoveryDriver
 from ternquay.rig.standins.hosts import FleetDriver
-from ternquay.rig.terms import MS, Day, planned
+from ternquay.rig.terms import MS, Day, plan_faults
 
 
 def run(day: Day, seed: int, config: Path, listen: str) -> None:
     reactor = MonotonicReactor()
     installReactor(reactor)
     places = host_places(day)
-    hosts = FleetDriver(reactor, day, planned(day, seed), seed, time.monotonic_ns, places)
+    hosts = FleetDriver(reactor, day, plan_faults(day, seed), seed, time.monotonic_ns, places)
     discovery = DiscoveryDriver(reactor, lambda: hosts.model.listing, time.monotonic_ns, 1, time.time_ns() // MS)
     hosts.on_list_change = discovery.list_changed
     listing = hosts.model.listing
--- a/ternquay/rig/laws/clients.py
+++ b/ternquay/rig/laws/clients.py
@@ -7,7 +7,7 @@
 from itertools import accumulate
 from random import Random
 
-from ternquay.rig.terms import MS, SECOND, Day, Planned
+from ternquay.rig.terms import MS, SECOND, Day, PlannedFault
 
 DEFAULT_RETRY_DELAY_NS = 80 * MS  # used if the answer names no delay
 MIN_RETRY_TIME_NS = 60 * MS  # a client does not retry with less time left
@@ -46,7 +46,7 @@
 class Clients:
     """The arrivals and the retry policy of all clients of a play."""
 
-    def __init__(self, day: Day, faults: tuple[Planned, ...], seed: int) -> None:
+    def __init__(self, day: Day, faults: tuple[PlannedFault, ...], seed: int) -> None:
         self.day, self.seed = day, seed
         self.length_ns = int(day.seconds * SECOND)
         self.faults = faults
--- a/ternquay/rig/laws/fleet.py
+++ b/ternquay/rig/laws/fleet.py
@@ -16,7 +16,7 @@
 from ternquay.rig.laws.clients import value_size
 from ternquay.rig.laws.listing import Entry, Listing
 from ternquay.rig.laws.origin import Origin
-from ternquay.rig.terms import MS, SECOND, Day, Planned
+from ternquay.rig.terms import MS, SECOND, Day, PlannedFault
 
 REPEAT_WORK_SHARE = 0.2  # work of a repeat without effect, relative to a full command
 SAMPLE_INTERVAL_NS = SECOND // 4
@@ -117,14 +117,14 @@
     """The event-driven model. Callers pass the current time in nanoseconds, which never decreases."""
 
     day: Day
-    faults: tuple[Planned, ...]
+    faults: tuple[PlannedFault, ...]
     seed: int
     addresses: list[str]
     hosts: list[CacheHost] = field(default_factory=list)
     records: dict[int, CommandRecord] = field(default_factory=dict)
     collapses: list[Collapse] = field(default_factory=list)
     samples: list[HostState] = field(default_factory=list)
-    events: list[tuple[int, int, str, int, Planned | None]] = field(default_factory=list)
+    events: list[tuple[int, int, str, int, PlannedFault | None]] = field(default_factory=list)
     host_wakeups: list[tuple[int, int]] = field(default_factory=list)  # heap of (time, host), may be stale
     outcomes: list[Outcome] = field(default_factory=list)
     marks: dict[str, Mark] = field(default_factory=dict)
@@ -170,11 +170,11 @@
 
     # ---- the day's faults ----
 
-    def _schedule(self, at: int, event: str, host: int, fault: Planned | None = None) -> None:
+    def _schedule(self, at: int, event: str, host: int, fault: PlannedFault | None = None) -> None:
         self.event_count += 1
         heappush(self.events, (at, self.event_count, event, host, fault))
 
-    def _schedule_fault(self, fault: Planned) -> None:
+    def _schedule_fault(self, fault: PlannedFault) -> None:
         first_events = {
             "host-slow": "slow",
             "host-silent": "silent",
@@ -199,7 +199,7 @@
                         fault,
                     )
 
-    def _schedule_release(self, fault: Planned) -> None:
+    def _schedule_release(self, fault: PlannedFault) -> None:
         """Schedules a rolling release: group by group, hosts drain, stop and start again at their old address."""
         order = list(fault.hosts)
         Random(f"{self.seed}/release").shuffle(order)
@@ -210,7 +210,7 @@
             for host in group:
                 self._schedule(fault.start + n * step, "drain", host, fault)
 
-    def _apply_fault(self, at: int, event: str, host: CacheHost, fault: Planned) -> None:
+    def _apply_fault(self, at: int, event: str, host: CacheHost, fault: PlannedFault) -> None:
         if event in ("slow", "slow-end"):
             host.slowdown = fault.factor if event == "slow" else 1.0
         elif event == "silent":
--- a/ternquay/rig/laws/link.py
+++ b/ternquay/rig/laws/link.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from ternquay.rig.terms import MS, Planned, active
+from ternquay.rig.terms import MS, PlannedFault, active_fault
 
 RESET = b"\0reset"  # marker inside a fragment, which occurs in no answer: the connection ends here
 
@@ -16,7 +16,7 @@
 class Link:
     """The faults of one host's link; draws come from a generator seeded for that link."""
 
-    faults: tuple[Planned, ...]
+    faults: tuple[PlannedFault, ...]
     host: int
     seed: int
     random: Random = field(init=False)
@@ -25,8 +25,8 @@
         self.random = Random(f"{self.seed}/link/{self.host}")
         self.faults = tuple(fault for fault in self.faults if self.host in fault.hosts)
 
-    def _active(self, now: int, kind: str) -> Planned | None:
-        return active(self.faults, now, kind)
+    def _active(self, now: int, kind: str) -> PlannedFault | None:
+        return active_fault(self.faults, now, kind)
 
     def _applies(self, now: int, kind: str) -> bool:
         """Draws whether an active fault of that kind applies to the current event."""
--- a/ternquay/rig/laws/listing.py
+++ b/ternquay/rig/laws/listing.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any
 
-from ternquay.rig.terms import MS, ListTerms, Planned, active
+from ternquay.rig.terms import MS, ListTerms, PlannedFault, active_fault
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,7 +38,7 @@
     """The list and its faults. Revisions count from 1; revision `n` includes the first `n` changes."""
 
     terms: ListTerms
-    faults: tuple[Planned, ...]
+    faults: tuple[PlannedFault, ...]
     seed: int
     random: Random = field(init=False)
     visible: list[int] = field(default_factory=list)  # time at which each revision becomes visible, ascending
@@ -47,8 +47,8 @@
     def __post_init__(self) -> None:
         self.random = Random(f"{self.seed}/list")
 
-    def _active(self, now: int, kind: str) -> Planned | None:
-        return active(self.faults, now, kind)
+    def _active(self, now: int, kind: str) -> PlannedFault | None:
+        return active_fault(self.faults, now, kind)
 
     def change(self, now: int, entry: Entry, immediate: bool = False) -> int:
         """Records a change and returns the time at which it becomes visible."""
--- a/ternquay/rig/load.py
+++ b/ternquay/rig/load.py
@@ -17,7 +17,7 @@
 from ternquay.rig import records
 from ternquay.rig.child import Plan, cpu, install, live, read_plan
 from ternquay.rig.laws.clients import Arrival, Clients
-from ternquay.rig.terms import MS, SECOND, planned
+from ternquay.rig.terms import MS, SECOND, plan_faults
 
 GRACE = 200 * MS  # past its limit a try is watched for so long, as a late answer is to be seen
 DEAD = SECOND  # a balancer that can't be reached is left alone for so long
@@ -178,7 +178,7 @@
     def __init__(self, reactor: Any, plan: Plan) -> None:
         self.reactor, self.plan, self.day = reactor, plan, plan.day
         self.clock = time.monotonic_ns
-        self.law = Clients(plan.day, planned(plan.day, plan.seed), plan.seed)
+        self.law = Clients(plan.day, plan_faults(plan.day, plan.seed), plan.seed)
         self.coming = (a for a in self.law.arrivals() if a.number % plan.loads == plan.index)
         self.next = next(self.coming, None)
         self.random = Random(f"{plan.seed}/load/{plan.index}")
--- a/ternquay/rig/play.py
+++ b/ternquay/rig/play.py
@@ -22,7 +22,7 @@
 from ternquay.rig.configuration import host_places, tail_ms
 from ternquay.rig.contender import Contender
 from ternquay.rig.processes import TURN, PlayError, PortTaken, Running, Stage, share_cores, staged
-from ternquay.rig.terms import MS, SECOND, Day, has_stopping_clients, planned
+from ternquay.rig.terms import MS, SECOND, Day, has_stopped_clients, plan_faults
 
 SAMPLE_EVERY = SECOND // 4
 TRIES = 3  # ports may be taken between the moment we find them free and the moment a balancer listens
@@ -127,7 +127,7 @@
         for n, core in enumerate(cores.standins)
     ]
     clients = [child(f"load-{n}", "ternquay.rig.load", core, index=n) for n, core in enumerate(cores.loads)]
-    if has_stopping_clients(day):
+    if has_stopped_clients(day):
         clients.append(child("stopping", "ternquay.rig.stopping", cores.loads[-1]))
     told = [one.told() for one in standins][0]
     for balancer in balancers:
@@ -141,7 +141,7 @@
     children = [*standins, *clients]
     for running in children:
         running.say(f"begin {begin}\n")
-    events = balancer_events(planned(day, seed), balancers, [second for _, second in told["discovery"]])
+    events = balancer_events(plan_faults(day, seed), balancers, [second for _, second in told["discovery"]])
     follow(day, begin, events, balancers, children, progress)
     for running in children:
         running.check_log()
@@ -154,10 +154,10 @@
     try:
         fleet = records.together([records.read_fleet(stage.out / f"{name}.saw") for name in standins])
         clients = [records.read_load(stage.out / f"load-{n}.saw") for n in range(loads)]
-        stops = records.read_stops(stage.out / "stopping.saw") if has_stopping_clients(day) else []
+        stops = records.read_stops(stage.out / "stopping.saw") if has_stopped_clients(day) else []
     except (OSError, msgspec.DecodeError) as fault:
         raise PlayError(f"what was seen can't be read: {fault}") from fault
-    for name in (*standins, *(f"load-{n}" for n in range(loads)), *(["stopping"] if has_stopping_clients(day) else [])):
+    for name in (*standins, *(f"load-{n}" for n in range(loads)), *(["stopping"] if has_stopped_clients(day) else [])):
         (stage.out / f"{name}.saw").unlink()
         (stage.out / f"{name}.json").unlink()
     return records.Saw(
--- a/ternquay/rig/report.py
+++ b/ternquay/rig/report.py
@@ -15,7 +15,7 @@
 from ternquay.rig.measure import committed_at, histogram, in_goal, tries_of
 from ternquay.rig.records import Saw
 from ternquay.rig.results import EVIDENCE_MOST
-from ternquay.rig.terms import SECOND, Day, Planned, planned
+from ternquay.rig.terms import SECOND, Day, PlannedFault, plan_faults
 
 matplotlib.use("Agg")
 STYLE = (
@@ -28,7 +28,7 @@
 
     def __init__(self, day: Day, saw: Saw) -> None:
         self.day, self.saw = day, saw
-        self.faults = planned(day, saw.seed)
+        self.faults = plan_faults(day, saw.seed)
         self.found = tries_of(saw)
         self.done: list[tuple[str, str]] = []
 
@@ -145,7 +145,7 @@
         return self.done
 
 
-def fault_row(fault: Planned) -> str:
+def fault_row(fault: PlannedFault) -> str:
     on = ", ".join(map(str, fault.hosts)) if fault.kind.startswith(("host", "link", "answers", "rolling")) else ""
     return (
         f"<tr><td>{escape(fault.kind)}</td><td>{fault.start / SECOND:.1f} s</td>"
--- a/ternquay/rig/standins/__main__.py
+++ b/ternquay/rig/standins/__main__.py
@@ -8,7 +8,7 @@
 from ternquay.rig.child import Plan, cpu, install, live, read_plan
 from ternquay.rig.standins.discovery import DiscoveryDriver
 from ternquay.rig.standins.hosts import FleetDriver
-from ternquay.rig.terms import MS, planned
+from ternquay.rig.terms import MS, plan_faults
 
 
 def run(plan: Plan) -> None:
@@ -17,7 +17,7 @@
     hosts = FleetDriver(
         reactor,
         plan.day,
-        planned(plan.day, plan.seed),
+        plan_faults(plan.day, plan.seed),
         plan.seed,
         time.monotonic_ns,
         plan.places,
--- a/ternquay/rig/standins/hosts.py
+++ b/ternquay/rig/standins/hosts.py
@@ -15,7 +15,7 @@
 from ternquay.rig.laws.clients import value_size
 from ternquay.rig.laws.link import RESET, Link
 from ternquay.rig.standins.reader import Command, CommandError, CommandReader
-from ternquay.rig.terms import SECOND, Day, Planned
+from ternquay.rig.terms import SECOND, Day, PlannedFault
 
 MAX_INVALID_COMMANDS = 100  # reports kept
 PADDING = b"." * (1 << 16)
@@ -157,7 +157,9 @@
 
     noisy = False
 
-    def __init__(self, driver: "FleetDriver", index: int, address: str, faults: tuple[Planned, ...], seed: int) -> None:
+    def __init__(
+        self, driver: "FleetDriver", index: int, address: str, faults: tuple[PlannedFault, ...], seed: int
+    ) -> None:
         self.driver, self.index = driver, index
         self.address, _, number = address.rpartition(":")
         self.port_number = int(number)
@@ -195,7 +197,7 @@
         self,
         reactor: Any,
         day: Day,
-        faults: tuple[Planned, ...],
+        faults: tuple[PlannedFault, ...],
         seed: int,
         clock: Callable[[], int],
         addresses: list[str],
--- a/ternquay/rig/stopping.py
+++ b/ternquay/rig/stopping.py
@@ -16,7 +16,7 @@
 
 from ternquay.rig import records
 from ternquay.rig.child import Plan, install, live, read_plan
-from ternquay.rig.terms import CROWDS, SECOND, Planned, planned
+from ternquay.rig.terms import CROWDS, SECOND, PlannedFault, plan_faults
 
 DIAL = 1.0  # seconds
 CROWD_WITHIN = 0.2  # seconds in which a crowd comes
@@ -101,7 +101,7 @@
 
     def start(self, begin: int) -> None:
         self.begin = begin
-        for fault in planned(self.plan.day, self.plan.seed):
+        for fault in plan_faults(self.plan.day, self.plan.seed):
             if fault.kind in CROWDS:
                 self.reactor.callLater((begin + fault.start - self.clock()) / SECOND, self._crowd, fault)
         self._wait()
@@ -110,7 +110,7 @@
         if self.plan.day.clients.stops:
             self.reactor.callLater(self.random.expovariate(self.plan.day.clients.stops), self._next)
 
-    def _crowd(self, fault: Planned) -> None:
+    def _crowd(self, fault: PlannedFault) -> None:
         """All clients of a crowd, a few in each turn."""
         idling: list[Idling] = []
         for number in range(fault.count):
--- a/ternquay/rig/system_calls.py
+++ b/ternquay/rig/system_calls.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ternquay.rig.terms import SHORT, CallFault, ClockStep, DayError, Terms, call_fault, read_toml
+from ternquay.rig.terms import SHORT, CallFault, ClockStep, DayError, Terms, invalid_calls, read_toml
 
 INTERPOSE = Path(__file__).parent / "interpose"
 CLOCK = "clock STEP"  # log line of a clock step that the process observed
@@ -29,7 +29,7 @@
 
 def checked(plan: CallPlan, where: str) -> CallPlan:
     """Returns the plan if it is valid. Raises DayError, which names the field."""
-    if wrong := call_fault(plan.faults, "faults"):
+    if wrong := invalid_calls(plan.faults, "faults"):
         raise DayError(f"{where}: {wrong}")
     return plan
 
--- a/ternquay/rig/terms.py
+++ b/ternquay/rig/terms.py
@@ -279,12 +279,12 @@
     clock: tuple[ClockStep, ...] = ()
 
 
-def has_stopping_clients(day: Day) -> bool:
+def has_stopped_clients(day: Day) -> bool:
     """Whether a process of clients that don't go on is part of the play."""
     return day.clients.stops > 0 or any(one.kind in CROWDS for one in day.faults)
 
 
-class Planned(msgspec.Struct, frozen=True):
+class PlannedFault(msgspec.Struct, frozen=True):
     """A fault with its times and targets settled."""
 
     kind: str
@@ -298,12 +298,12 @@
     count: int
 
 
-def active(faults: tuple[Planned, ...], now: int, kind: str) -> Planned | None:
+def active_fault(faults: tuple[PlannedFault, ...], now: int, kind: str) -> PlannedFault | None:
     """The first fault of that kind that acts now."""
     return next((f for f in faults if f.kind == kind and f.start <= now < f.end), None)
 
 
-def _fault_of(day: Day) -> str:
+def _invalid_field(day: Day) -> str:
     """What is wrong with a day beyond the types of its fields, or nothing."""
     if not day.profiles:
         return "profiles: at least one is wanted"
@@ -328,17 +328,17 @@
             return f"faults[{i}].count: a count of clients is wanted"
         if f.kind in BALANCER_FAULTS | CROWDS and f.balancer >= day.balancers.count:
             return f"faults[{i}].balancer: there are {day.balancers.count} balancers, from 0"
-    if wrong := call_fault(day.calls, "calls"):
+    if wrong := invalid_calls(day.calls, "calls"):
         return wrong
     for i, trouble in enumerate(day.agreement.troubles):
         if trouble.end <= trouble.start:
             return f"agreement.troubles[{i}].end: {trouble.end} is not after the start"
         if not day.agreement.peers:
             return f"agreement.troubles[{i}]: are between members, and without peers there are none"
-    return _tenants_fault(day)
+    return _invalid_tenants(day)
 
 
-def call_fault(calls: tuple[CallFault, ...], where: str) -> str:
+def invalid_calls(calls: tuple[CallFault, ...], where: str) -> str:
     """What is wrong with failing calls beyond the types of their fields, or nothing."""
     for i, one in enumerate(calls):
         if one.error == SHORT and one.call not in ("send", "recv"):
@@ -350,7 +350,7 @@
     return ""
 
 
-def _tenants_fault(day: Day) -> str:
+def _invalid_tenants(day: Day) -> str:
     names = [one.name for one in day.tenants]
     owners = {one.name for one in day.tenants if not one.fleet}
     if len(set(names)) != len(names):
@@ -375,7 +375,7 @@
     except msgspec.ValidationError as fault:
         text, _, path = str(fault).partition(" - at `$")
         raise DayError(f"{where}: {path.strip('.`') or 'the day'}: {text}") from fault
-    if wrong := _fault_of(day):
+    if wrong := _invalid_field(day):
         raise DayError(f"{where}: {wrong}")
     return day
 
@@ -394,12 +394,12 @@
         raise DayError(f"{path}: {fault}") from fault
 
 
-def laid_over(below: dict[str, Any], above: dict[str, Any]) -> dict[str, Any]:
+def merge_tables(below: dict[str, Any], above: dict[str, Any]) -> dict[str, Any]:
     """Tables are merged, all else is replaced."""
     both = dict(below)
     for field, value in above.items():
         old = both.get(field)
-        both[field] = laid_over(old, value) if isinstance(old, dict) and isinstance(value, dict) else value
+        both[field] = merge_tables(old, value) if isinstance(old, dict) and isinstance(value, dict) else value
     return both
 
 
@@ -409,7 +409,7 @@
     path = Path(name) if name.endswith(".toml") else folder / f"{name}.toml"
     if not name.endswith(".toml") and name not in day_names():
         raise DayError(f"{name}: no day of that name; there are {', '.join(day_names())}")
-    told = laid_over(laid_over(read_toml(folder / "base.toml"), read_toml(path)), over or {})
+    told = merge_tables(merge_tables(read_toml(folder / "base.toml"), read_toml(path)), over or {})
     told.setdefault("name", path.stem)
     return _checked(told, str(path) if name.endswith(".toml") else path.name)
 
@@ -419,7 +419,7 @@
     return msgspec.structs.replace(day, flood=msgspec.structs.replace(day.flood, shape=shape))
 
 
-def planned(day: Day, seed: int) -> tuple[Planned, ...]:
+def plan_faults(day: Day, seed: int) -> tuple[PlannedFault, ...]:
     """The faults of a day with their targets drawn; the same for the same seed."""
     length, found = int(day.seconds * SECOND), []
     for i, f in enumerate(day.faults):
@@ -427,7 +427,7 @@
         many = f.count if f.count is not None else round((f.share or 0.0) * day.hosts.count)
         hosts = tuple(sorted(drawn.sample(range(day.hosts.count), min(max(1, many), day.hosts.count))))
         found.append(
-            Planned(
+            PlannedFault(
                 f.kind,
                 int(f.start * length),
                 int(f.end * length),
--- a/ternquay/rig/virtual.py
+++ b/ternquay/rig/virtual.py
@@ -15,7 +15,7 @@
 from ternquay.rig.laws.cachehost import CacheCommand
 from ternquay.rig.laws.clients import Arrival, Clients, value_size
 from ternquay.rig.laws.listing import Entry
-from ternquay.rig.terms import MS, SECOND, Day, planned
+from ternquay.rig.terms import MS, SECOND, Day, plan_faults
 
 NET = MS // 5  # one way between any two
 BEGIN = 1000 * SECOND
@@ -56,7 +56,7 @@
     balancer: Small = field(init=False)
 
     def __post_init__(self) -> None:
-        faults = planned(self.day, self.seed)
+        faults = plan_faults(self.day, self.seed)
         places = [f"host-{n}" for n in range(self.day.hosts.count)]
         self.fleet = f.Fleet(self.day, faults, self.seed, places)
         self.clients = Clients(self.day, faults, self.seed)
--- a/tests/test_laws.py
+++ b/tests/test_laws.py
@@ -10,7 +10,7 @@
 from ternquay.rig.laws.link import RESET, Link
 from ternquay.rig.laws.listing import Entry, Listing
 from ternquay.rig.laws.origin import Origin
-from ternquay.rig.terms import MS, SECOND, ListTerms, OriginTerms, Planned, planned, read_day
+from ternquay.rig.terms import MS, SECOND, ListTerms, OriginTerms, PlannedFault, plan_faults, read_day
 from tests.helper import check_trace
 
 # Indexes into PROFILES.
@@ -68,7 +68,7 @@
 
     def __init__(self, **over: Any) -> None:
         self.day = read_day("calm", SMALL_FLEET | {"profiles": PROFILES} | over)
-        self.fleet = fleet_model.Fleet(self.day, planned(self.day, 1), 1, ["a", "b"])
+        self.fleet = fleet_model.Fleet(self.day, plan_faults(self.day, 1), 1, ["a", "b"])
         self.now, self.trace = 0, list[str]()
         self.command_names: dict[int, str] = {}
 
@@ -162,7 +162,7 @@
 def test_a_crashed_host_restarts_cold_and_collapses_under_load() -> None:
     fault = {"kind": "host-crash", "start": 0.01, "end": 0.05, "count": 1}
     simulation = Simulation(faults=[fault], hosts=SMALL_FLEET["hosts"] | {"queue": 900})
-    host = planned(simulation.day, 1)[0].hosts[0]
+    host = plan_faults(simulation.day, 1)[0].hosts[0]
     simulation.run(190)
     simulation.send("lost", host)
     simulation.run(900)
@@ -197,8 +197,8 @@
 
 
 def test_list_changes_become_visible_late_and_in_order_and_the_list_goes_down() -> None:
-    late = Planned("list-late", 0, SECOND, (), 0, 1.0, 0.0, 2 * SECOND, 1)
-    down = Planned("list-down", 3 * SECOND, 4 * SECOND, (), 0, 1.0, 0.0, 0, 1)
+    late = PlannedFault("list-late", 0, SECOND, (), 0, 1.0, 0.0, 2 * SECOND, 1)
+    down = PlannedFault("list-down", 3 * SECOND, 4 * SECOND, (), 0, 1.0, 0.0, 0, 1)
     listing = Listing(ListTerms(late_ms=(100, 100)), (late, down), 1)
     listing.change(0, Entry("h", "a", "up", 0), immediate=True)
     assert listing.change(SECOND // 2, Entry("h", "a", "draining", 0)) == 2600 * MS
@@ -211,8 +211,8 @@
 
 def test_arrivals_repeat_for_a_seed_and_rise_in_a_burst() -> None:
     day = read_day("burst", {"seconds": 20.0})
-    first, second = (list(Clients(day, planned(day, 5), 5).arrivals()) for _ in range(2))
-    other = list(Clients(day, planned(day, 6), 6).arrivals())
+    first, second = (list(Clients(day, plan_faults(day, 5), 5).arrivals()) for _ in range(2))
+    other = list(Clients(day, plan_faults(day, 6), 6).arrivals())
     assert first == second != other
     inside = sum(8 * SECOND <= a.due < 13 * SECOND for a in first) / 5
     outside = sum(not 8 * SECOND <= a.due < 13 * SECOND for a in first) / 15
@@ -241,7 +241,7 @@
     answer = b"VA 300 Oabc h1\r\n" + b"x" * 300 + b"\r\n"
 
     def link(kind: str, part: float = 1.0, pause: int = 20 * MS) -> Link:
-        return Link((Planned(kind, 0, SECOND, (0,), 0, 1.0, part, pause, 1),), 0, 1)
+        return Link((PlannedFault(kind, 0, SECOND, (0,), 0, 1.0, part, pause, 1),), 0, 1)
 
     assert link("link-delay").fragments(5, answer) == [(5 + 20 * MS, answer)]
     for kind in ("link-drip", "link-cut"):
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -29,7 +29,7 @@
 from ternquay.rig.ports import drawn_from, free_place
 from ternquay.rig.standins.reader import CommandError, CommandReader
 from ternquay.rig.survey import Job, against, by_day
-from ternquay.rig.terms import MS, SECOND, DayError, day_names, planned, read_day
+from ternquay.rig.terms import MS, SECOND, DayError, day_names, plan_faults, read_day
 from ternquay.rig.virtual import World
 from tests.test_judge import QUIET, Right
 
@@ -77,9 +77,9 @@
 
 def test_a_fault_has_the_same_targets_for_the_same_seed() -> None:
     day = read_day("crash-fifth")
-    assert planned(day, 3) == planned(day, 3)
-    assert len({planned(day, seed)[0].hosts for seed in range(9)}) > 1
-    assert len(planned(day, 3)[0].hosts) == 2
+    assert plan_faults(day, 3) == plan_faults(day, 3)
+    assert len({plan_faults(day, seed)[0].hosts for seed in range(9)}) > 1
+    assert len(plan_faults(day, 3)[0].hosts) == 2
 
 
 BAD = [
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,7 +9,7 @@
 from ternquay.rig.judge import judge
 from ternquay.rig.records import FleetSaw, Life, Pause, Saw, Stop
 from ternquay.rig.soak import KINDS, SoakTerms, own_findings, play_seed, soak_day
-from ternquay.rig.terms import BALANCER_FAULTS, MS, SECOND, FaultKind, planned, read_day
+from ternquay.rig.terms import BALANCER_FAULTS, MS, SECOND, FaultKind, plan_faults, read_day
 
 BASE = read_day("calm")
 T0 = 100 * SECOND
@@ -32,7 +32,7 @@
     assert msgspec.convert(msgspec.to_builtins(day), type(day)) == day
     for balancer in range(3):
         ends = 0
-        for fault in sorted(planned(day, seed), key=lambda one: one.start):
+        for fault in sorted(plan_faults(day, seed), key=lambda one: one.start):
             if fault.kind in BALANCER_FAULTS and fault.balancer == balancer:
                 assert fault.start > ends
                 ends = fault.end
