--- a/ternquay/hosted/administration/http.py
+++ b/ternquay/hosted/administration/http.py
@@ -1,6 +1,6 @@
-"""The administration API on sockets: the calls of net/http.py, with a rate, a certificate and documents.
+"""The listener of the administration API, built on net/http.py, with a rate limit and TLS.
 
-Who is over the rate is told so and cut off, and connections are accepted at that rate.
+Calls beyond the rate get status 429 and their connection is closed. New connections are accepted at the same rate.
 """
 
 from collections.abc import Mapping
@@ -20,63 +20,64 @@
 from ternquay.hosted.tenants.tenant import InvalidField
 from ternquay.net.http import Channel, IncomingRequest, RequestLimits, RequestPort
 
-QUERY_MOST = 1024
-PATH_MOST = 512
+MAX_QUERY_LENGTH = 1024
+MAX_PATH_LENGTH = 512
 
 
-def call_of(call_in: IncomingRequest) -> Call | Reply:
-    path, _, query = call_in.uri.decode("latin-1").partition("?")
-    if len(path) > PATH_MOST or len(query) > QUERY_MOST:
+def parse_call(request: IncomingRequest) -> Call | Reply:
+    """Returns the call of a request, or the problem with it."""
+    path, _, query = request.uri.decode("latin-1").partition("?")
+    if len(path) > MAX_PATH_LENGTH or len(query) > MAX_QUERY_LENGTH:
         return problem(400, "the path is too long")
     headers = {
         name.decode("latin-1").lower(): values[-1].decode("latin-1")
-        for name, values in call_in.requestHeaders.getAllRawHeaders()
+        for name, values in request.requestHeaders.getAllRawHeaders()
     }
     try:
-        told = dict(parse_qsl(query, max_num_fields=16, errors="strict"))
+        parameters = dict(parse_qsl(query, max_num_fields=16, errors="strict"))
     except ValueError:
         return problem(400, "the query can't be read")
-    body = call_in.content.read() if call_in.content is not None else b""
-    peer = getattr(call_in.getClientAddress(), "host", "")
-    return Call(call_in.method.decode("latin-1"), path, told, headers, body, peer)
+    body = request.content.read() if request.content is not None else b""
+    peer = getattr(request.getClientAddress(), "host", "")
+    return Call(request.method.decode("latin-1"), path, parameters, headers, body, peer)
 
 
-def written(reply: Reply) -> tuple[bytes, dict[str, str]]:
-    """Its body and headers."""
+def encode_reply(reply: Reply) -> tuple[bytes, dict[str, str]]:
+    """Returns the body and the headers of the reply."""
     body = orjson.dumps(reply.body) if reply.body is not None else b""
     return body, {"content-type": "application/json", "cache-control": "no-store", **reply.headers}
 
 
-def answer(call_in: IncomingRequest, reply: Reply) -> None:
-    body, headers = written(reply)
-    call_in.reply(reply.status, body, headers)
+def send_reply(request: IncomingRequest, reply: Reply) -> None:
+    body, headers = encode_reply(reply)
+    request.reply(reply.status, body, headers)
 
 
-def limits_of(api: ApiDocument) -> RequestLimits:
+def request_limits_from(api: ApiDocument) -> RequestLimits:
     return RequestLimits(
         body_bytes=api.body_bytes, connections=api.connections, idle_seconds=max(1, api.idle_ms // 1000)
     )
 
 
 class ApiPort(RequestPort):
-    """The listener of the API."""
+    """Accepts connections and hands their calls to the executor."""
 
     def __init__(self, reactor: Any, service: ServiceConfig, executor: ChangeExecutor) -> None:
         assert service.api is not None
-        super().__init__(limits_of(service.api))
+        super().__init__(request_limits_from(service.api))
         self.reactor, self.service, self.executor = reactor, service, executor
         self.api: ApiDocument = service.api
-        self.calls = TokenBucket(self.api.calls_a_second, float(self.api.burst))
-        self.comers = TokenBucket(self.api.calls_a_second, float(self.api.burst))  # connections, at the same rate
+        self.call_rate = TokenBucket(self.api.calls_a_second, float(self.api.burst))
+        self.connection_rate = TokenBucket(self.api.calls_a_second, float(self.api.burst))  # accepted connections
         self.certificate: Any = None
         self.port: Any = None
 
     def buildProtocol(self, addr: Any) -> Any:
-        wait = self.comers.take(int(self.reactor.seconds() * SECOND))
+        wait = self.connection_rate.take(int(self.reactor.seconds() * SECOND))
         if wait:
-            # This one still comes in; the next wait to be accepted.
+            # Accepts this connection and pauses before the next.
             self.port.stopReading()
-            self.reactor.callLater(wait / SECOND, self._open)
+            self.reactor.callLater(wait / SECOND, self._resume_accepting)
         return super().buildProtocol(addr)
 
     def channel_opened(self, channel: Channel) -> None:
@@ -84,53 +85,54 @@
         if len(self.channels) > self.request_limits.connections:
             channel.reject(503, "too many connections")
 
-    def _open(self) -> None:
+    def _resume_accepting(self) -> None:
         if self.port.connected and not self.port.disconnecting:
             self.port.startReading()
 
     def error_response(self, status: int, detail: str) -> tuple[bytes, Mapping[str, str]]:
-        return written(problem(status, detail, headers={"retry-after": "1"} if status == 503 else None))
+        return encode_reply(problem(status, detail, headers={"retry-after": "1"} if status == 503 else None))
 
     def begin(self) -> None:
-        where = self.service.listen
-        assert where is not None
+        """Starts listening. Raises InvalidField for the address and ServiceConfigError for the certificate."""
+        endpoint = self.service.listen
+        assert endpoint is not None
         try:
             if self.api.tls is not None:
                 from ternquay.hosted.administration.tls import Certificate
 
                 self.certificate = Certificate(self.api, Path(self.service.path).parent)
-                self.port = self.reactor.listenSSL(where.port, self, self.certificate, 64, where.host)
+                self.port = self.reactor.listenSSL(endpoint.port, self, self.certificate, 64, endpoint.host)
             else:
-                self.port = self.reactor.listenTCP(where.port, self, 64, where.host)
-        except CannotListenError as fault:
-            raise InvalidField("api.listen", f"can't be bound: {fault.socketError}") from fault
-        logger.info("the administration API listens on {}", format_endpoint(where))
+                self.port = self.reactor.listenTCP(endpoint.port, self, 64, endpoint.host)
+        except CannotListenError as error:
+            raise InvalidField("api.listen", f"can't be bound: {error.socketError}") from error
+        logger.info("the administration API listens on {}", format_endpoint(endpoint))
 
     def reload(self, service: ServiceConfig) -> None:
-        """Raises ServiceConfigError where the certificate can't be used; then the old one stays."""
+        """Applies new settings. Raises ServiceConfigError, and changes nothing, if the certificate is unusable."""
         assert service.api is not None
         if self.certificate is not None and service.api.tls is not None:
             self.certificate.reload(service.api)
-        self.api, self.request_limits = service.api, limits_of(service.api)
-        self.calls.change(int(self.reactor.seconds() * SECOND), self.api.calls_a_second, float(self.api.burst))
+        self.api, self.request_limits = service.api, request_limits_from(service.api)
+        self.call_rate.change(int(self.reactor.seconds() * SECOND), self.api.calls_a_second, float(self.api.burst))
 
     def end(self) -> None:
         self.port.stopListening()
 
     # ---- calls ----
 
-    def request_received(self, call_in: IncomingRequest) -> None:
-        wait = self.calls.take(int(self.reactor.seconds() * SECOND))
+    def request_received(self, request: IncomingRequest) -> None:
+        wait = self.call_rate.take(int(self.reactor.seconds() * SECOND))
         if wait:
-            # Against calls that were written in advance: each of them would be read and answered in one go.
-            channel = call_in.channel  # the library takes it away with the answer
-            call_in.setHeader(b"connection", b"close")
-            answer(call_in, problem(429, "too many calls", headers={"retry-after": str(wait // SECOND + 1)}))
+            # Closing stops pipelined calls, all of which would otherwise be read and answered in one turn of the loop.
+            channel = request.channel  # the library clears it once the reply is sent
+            request.setHeader(b"connection", b"close")
+            send_reply(request, problem(429, "too many calls", headers={"retry-after": str(wait // SECOND + 1)}))
             channel.loseConnection()
             return
-        call = call_of(call_in)
+        call = parse_call(request)
         if isinstance(call, Reply):
-            return answer(call_in, call)
-        self.executor.call(call).addCallback(lambda reply: answer(call_in, reply)).addErrback(
-            lambda failure: logger.error("an answer failed: {}", failure.getTraceback())
+            return send_reply(request, call)
+        self.executor.call(call).addCallback(lambda reply: send_reply(request, reply)).addErrback(
+            lambda failure: logger.error("could not send a reply: {}", failure.getTraceback())
         )
