--- a/ternquay/hosted/administration/keys.py
+++ b/ternquay/hosted/administration/keys.py
@@ -1,8 +1,8 @@
-"""Bearer tokens of the administration API: made once, kept as a digest, compared in constant time.
+"""Bearer tokens of the administration API: shown once, stored as a digest, compared in constant time.
 
-A token names whose it is, so that it is found without comparing secrets: `tq1.TENANT.KEY.SECRET`, with a dash for
-TENANT where it is an operator's. The secret has 256 bits from the system's generator; the digest is SHA-256 of the
-whole token, which needs no stretching at that length.
+A token has the form `tq1.TENANT.KEY.SECRET`, with a dash for TENANT in an operator's token. It names its key, so that
+the key is found without comparing secrets. The secret has 256 bits from the system's random generator. The digest is
+the SHA-256 of the whole token; a secret of that length needs no key stretching.
 """
 
 import re
@@ -15,12 +15,12 @@
 from ternquay.hosted.tenants.tenant import ApiKey, Scope
 
 TOKEN_PATTERN = re.compile(r"tq1\.(-|[a-z][a-z0-9-]{0,47})\.([a-z][a-z0-9-]{0,47})\.([A-Za-z0-9_-]{43})")
-NOBODY = bytes(32)
+UNKNOWN_KEY_DIGEST = bytes(32)
 
 
 @dataclass(slots=True, frozen=True)
 class Principal:
-    """Whose call it is; an operator's has no tenant."""
+    """The authenticated key of a call. `tenant` is empty for an operator's key."""
 
     scope: Scope
     tenant: str
@@ -31,7 +31,7 @@
 
 
 class AccessDenied(Exception):
-    """No such token, or no longer, or it does not allow that; the text says which without telling more."""
+    """The token is missing, unknown, expired, or lacks the permission. `reason` reveals no more than which of these."""
 
     def __init__(self, reason: str, status: int) -> None:
         super().__init__(reason)
@@ -39,24 +39,25 @@
 
 
 def digest_of(token: str) -> bytes:
+    """Returns the digest under which the token is stored."""
     return sha256(token.encode()).digest()
 
 
 def generate_token(tenant: str, name: str) -> str:
-    """A new token; it is shown once and kept nowhere."""
+    """Returns a new token, which is not stored."""
     return f"tq1.{tenant or '-'}.{name}.{token_urlsafe(32)}"
 
 
 def authenticate(token: str, registry: Registry, operators: tuple[ApiKey, ...], now: int) -> Principal:
-    """Whose token it is at `now`, in wall-clock nanoseconds. Raises Denied."""
-    found = TOKEN_PATTERN.fullmatch(token)
-    tenant, name = (found[1], found[2]) if found else ("-", "")
+    """Returns the principal of the token. `now` is in wall-clock nanoseconds. Raises AccessDenied."""
+    match = TOKEN_PATTERN.fullmatch(token)
+    tenant, name = (match[1], match[2]) if match else ("-", "")
     entry = registry.tenants.get(tenant)
     keys = operators if tenant == "-" else entry.tenant.keys if entry is not None else ()
-    key = next((one for one in keys if one.name == name), None)
-    # Compared whether there is such a key or not, as the time taken would tell.
-    same = compare_digest(digest_of(token), key.digest if key is not None else NOBODY)
-    if key is None or not same:
+    key = next((candidate for candidate in keys if candidate.name == name), None)
+    # Compares even if there is no such key, because the time taken would otherwise reveal which keys exist.
+    equal = compare_digest(digest_of(token), key.digest if key is not None else UNKNOWN_KEY_DIGEST)
+    if key is None or not equal:
         raise AccessDenied("no such token", 401)
     if now < key.since:
         raise AccessDenied("the token is not valid yet", 401)
