--- a/ternquay/hosted/administration/api.py
+++ b/ternquay/hosted/administration/api.py
@@ -243,18 +243,18 @@
         if principal.tenant and parameters.get("tenant", principal.tenant) != principal.tenant:
             # The answer doesn't depend on whether the tenant exists: a tenant's key must not find that out.
             raise AccessDenied("the key is another tenant's", 403)
-        if route.changes and route.takes is not None:
+        if route.is_change and route.body_type is not None:
             media_type = call.headers.get("content-type", "application/json").partition(";")[0].strip().lower()
             if media_type != "application/json":
                 raise CallRejected(problem(415, "application/json is wanted", "Content-Type"))
-        document = d.decode_document(route.takes, call.body) if route.takes is not None else None
+        document = d.decode_document(route.body_type, call.body) if route.body_type is not None else None
         handler: Callable[..., Outcome] = getattr(self, f"_{route.name}")
         if "tenant" not in parameters:
             return handler(call, registry, principal, now, document)
         entry = registry.tenants.get(parameters["tenant"])
         if entry is None:
             raise NotFound(parameters["tenant"])
-        if route.changes and call.method != "POST":
+        if route.is_change and call.method != "POST":
             check_if_match(call, entry)
         return handler(call, registry, principal, now, document, entry, *list(parameters.values())[1:])
 
--- a/ternquay/hosted/administration/openapi.py
+++ b/ternquay/hosted/administration/openapi.py
@@ -1,4 +1,4 @@
-"""The API's description (OpenAPI 3.1), made of the table of routes and of the documents, so that it can't differ."""
+"""The OpenAPI 3.1 description, generated from the routes and the documents, so that it can't deviate from them."""
 
 from functools import cache
 from typing import Any
@@ -20,7 +20,7 @@
         "field": {"type": "string"},
     },
 }
-LINES = {
+QUERY_DESCRIPTIONS = {
     "cursor": "Where the page before ended",
     "limit": "Of a page",
     "after": "What comes after it",
@@ -29,21 +29,21 @@
 
 
 def _operation(route: Route) -> dict[str, Any]:
-    names = [part[1:-1] for part in route.path.split("/") if part.startswith("{")]
-    told: list[dict[str, Any]] = [
+    names = [segment[1:-1] for segment in route.path.split("/") if segment.startswith("{")]
+    parameters: list[dict[str, Any]] = [
         {"name": name, "in": "path", "required": True, "schema": {"type": "string"}} for name in names
     ]
-    told += [
+    parameters += [
         {
             "name": name,
             "in": "query",
-            "description": LINES[name],
+            "description": QUERY_DESCRIPTIONS[name],
             "schema": {"type": "string" if name == "cursor" else "integer"},
         }
         for name in route.query
     ]
-    if route.changes:
-        told.append(
+    if route.is_change:
+        parameters.append(
             {
                 "name": "Idempotency-Key",
                 "in": "header",
@@ -52,7 +52,7 @@
             }
         )
         if route.method != "POST":
-            told.append(
+            parameters.append(
                 {
                     "name": "If-Match",
                     "in": "header",
@@ -65,31 +65,32 @@
         "description": "A problem",
         "content": {"application/problem+json": {"schema": {"$ref": "#/components/schemas/Problem"}}},
     }
-    found: dict[str, Any] = {
+    operation: dict[str, Any] = {
         "operationId": route.name,
-        "summary": route.line,
-        "parameters": told,
+        "summary": route.summary,
+        "parameters": parameters,
         "description": f"For keys of scope {route.scope.value} and above.",
         "responses": {
             str(route.status): {
-                "description": "Done" if route.changes else "Found",
+                "description": "Done" if route.is_change else "Found",
                 "content": {"application/json": {"schema": {"type": "object"}}},
             },
             "default": problems,
         },
     }
-    if route.takes is not None:
-        found["requestBody"] = {
+    if route.body_type is not None:
+        operation["requestBody"] = {
             "required": True,
-            "content": {"application/json": {"schema": {"$ref": f"#/components/schemas/{route.takes.__name__}"}}},
+            "content": {"application/json": {"schema": {"$ref": f"#/components/schemas/{route.body_type.__name__}"}}},
         }
-    return found
+    return operation
 
 
 @cache
 def description() -> dict[str, Any]:
-    kinds = [TenantDocument, *{route.takes for route in ROUTES if route.takes is not None}]
-    _, schemas = msgspec.json.schema_components(kinds, ref_template="#/components/schemas/{name}")
+    """Returns the OpenAPI document."""
+    document_types = [TenantDocument, *{route.body_type for route in ROUTES if route.body_type is not None}]
+    _, schemas = msgspec.json.schema_components(document_types, ref_template="#/components/schemas/{name}")
     paths: dict[str, dict[str, Any]] = {}
     for route in ROUTES:
         paths.setdefault(route.path, {})[route.method.lower()] = _operation(route)
--- a/ternquay/hosted/administration/routes.py
+++ b/ternquay/hosted/administration/routes.py
@@ -1,4 +1,4 @@
-"""The operations of the administration API: what each is called, who may, and which documents go in and out."""
+"""The table of the administration API's routes, used for dispatch and for the OpenAPI description."""
 
 from dataclasses import dataclass
 
@@ -10,17 +10,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """One operation: what it is called, who may, and which documents go in and out."""
+    """One operation. `name` is its operation id, and Api handles it in the method of that name with `_` before it."""
 
     method: str
     path: str
     name: str
-    scope: Scope
-    line: str
-    status: int = 200
-    takes: type | None = None
-    query: tuple[str, ...] = ()
-    changes: bool = False
+    scope: Scope  # the least scope that a key needs
+    summary: str
+    status: int = 200  # of the response on success
+    body_type: type | None = None
+    query: tuple[str, ...] = ()  # names of the query parameters
+    is_change: bool = False
 
 
 ROUTES = (
@@ -32,7 +32,7 @@
         "Tenants, by name; one's own alone for a tenant's key",
         query=("cursor", "limit"),
     ),
-    Route("POST", "/v1/tenants", "make_tenant", OPERATORS, "Takes a tenant in", 201, d.TenantDocument, changes=True),
+    Route("POST", "/v1/tenants", "make_tenant", OPERATORS, "Takes a tenant in", 201, d.TenantDocument, is_change=True),
     Route("GET", "/v1/tenants/{tenant}", "get_tenant", READERS, "One tenant"),
     Route(
         "PUT",
@@ -40,11 +40,17 @@
         "replace_tenant",
         OPERATORS,
         "All of a tenant but its keys and state",
-        takes=d.TenantDocument,
-        changes=True,
+        body_type=d.TenantDocument,
+        is_change=True,
     ),
     Route(
-        "DELETE", "/v1/tenants/{tenant}", "end_tenant", OPERATORS, "Drains a tenant; then it is gone", 202, changes=True
+        "DELETE",
+        "/v1/tenants/{tenant}",
+        "end_tenant",
+        OPERATORS,
+        "Drains a tenant; then it is gone",
+        202,
+        is_change=True,
     ),
     Route("GET", "/v1/tenants/{tenant}/servers", "get_servers", READERS, "Its cache hosts"),
     Route(
@@ -53,8 +59,8 @@
         "set_servers",
         ADMINISTRATORS,
         "All of its cache hosts",
-        takes=d.ServersDocument,
-        changes=True,
+        body_type=d.ServersDocument,
+        is_change=True,
     ),
     Route(
         "PUT",
@@ -62,8 +68,8 @@
         "set_server",
         ADMINISTRATORS,
         "One cache host, new or not",
-        takes=d.ServerDocument,
-        changes=True,
+        body_type=d.ServerDocument,
+        is_change=True,
     ),
     Route(
         "DELETE",
@@ -71,7 +77,7 @@
         "remove_server",
         ADMINISTRATORS,
         "One cache host less",
-        changes=True,
+        is_change=True,
     ),
     Route("GET", "/v1/tenants/{tenant}/limits", "get_limits", READERS, "Its limits"),
     Route(
@@ -80,8 +86,8 @@
         "set_limits",
         OPERATORS,
         "Its limits",
-        takes=d.LimitsDocument,
-        changes=True,
+        body_type=d.LimitsDocument,
+        is_change=True,
     ),
     Route("GET", "/v1/tenants/{tenant}/profiles", "get_profiles", READERS, "Its profiles"),
     Route(
@@ -90,8 +96,8 @@
         "set_profiles",
         ADMINISTRATORS,
         "Its profiles",
-        takes=d.ProfilesDocument,
-        changes=True,
+        body_type=d.ProfilesDocument,
+        is_change=True,
     ),
     Route("GET", "/v1/tenants/{tenant}/state", "get_state", READERS, "Its state"),
     Route(
@@ -100,8 +106,8 @@
         "set_state",
         OPERATORS,
         "Suspends, resumes or ends it",
-        takes=d.StateDocument,
-        changes=True,
+        body_type=d.StateDocument,
+        is_change=True,
     ),
     Route("GET", "/v1/tenants/{tenant}/keys", "list_keys", ADMINISTRATORS, "Its keys, without their tokens"),
     Route(
@@ -112,7 +118,7 @@
         "A new key; its token is shown this once",
         201,
         d.KeyDocument,
-        changes=True,
+        is_change=True,
     ),
     Route(
         "POST",
@@ -122,9 +128,9 @@
         "A new key of the same scope; the old one goes on for the overlap",
         201,
         d.RotationDocument,
-        changes=True,
+        is_change=True,
     ),
-    Route("DELETE", "/v1/tenants/{tenant}/keys/{key}", "remove_key", ADMINISTRATORS, "A key less", changes=True),
+    Route("DELETE", "/v1/tenants/{tenant}/keys/{key}", "remove_key", ADMINISTRATORS, "A key less", is_change=True),
     Route(
         "GET",
         "/v1/changes",
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -441,7 +441,7 @@
     assert told["components"]["schemas"]["TenantDocument"]["required"] == ["name", "listeners", "profiles"]
     for route in ROUTES:
         operation = told["paths"][route.path][route.method.lower()]
-        assert ("requestBody" in operation) == (route.takes is not None)
+        assert ("requestBody" in operation) == (route.body_type is not None)
         assert (len(operation["operationId"]), str(route.status) in operation["responses"]) > (0, False)
 
 
