--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -1,4 +1,4 @@
-"""What decides in a hosted service, without sockets: parts, turns, the ledger of machines, documents, keys, calls."""
+"""The decisions of a hosted service, without sockets: fairness, scheduling, shared hosts, documents, keys and calls."""
 
 import json
 from dataclasses import replace
@@ -42,51 +42,51 @@
 MS = 1_000_000
 
 
-# ---- parts of what a tenant has ----
+# ---- fair shares ----
 
 
-def test_a_client_within_its_part_is_never_turned_away_by_one_that_asks_without_end() -> None:
-    dues = ClientLimiter(100.0, 20.0)
+def test_a_client_within_its_share_is_never_rejected_because_of_a_flooding_client() -> None:
+    limiter = ClientLimiter(100.0, 20.0)
     taken = {"flood": 0, "calm": 0}
-    away = 0
-    for n in range(10_000):  # ten seconds; the flood asks each millisecond, the other 40 times a second
+    rejected = 0
+    for n in range(10_000):  # ten seconds; the flooding client sends each millisecond, the other one 40 times a second
         now = n * MS
-        taken["flood"] += dues.take(now, "flood") == 0
+        taken["flood"] += limiter.take(now, "flood") == 0
         if n % 25 == 0:
-            away += dues.take(now, "calm") != 0
+            rejected += limiter.take(now, "calm") != 0
             taken["calm"] += 1
-    assert away == 0 and taken["calm"] == 400
-    assert 570 <= taken["flood"] <= 1000 + 20 * 2 - 400  # what the other leaves, and no more
+    assert rejected == 0 and taken["calm"] == 400
+    assert 570 <= taken["flood"] <= 1000 + 20 * 2 - 400  # what the other client leaves unused, and no more
 
 
-def test_what_nobody_else_asks_for_is_lent_and_the_wait_that_is_told_is_long_enough() -> None:
-    dues = ClientLimiter(100.0, 10.0)
-    assert sum(dues.take(n * MS, "one") == 0 for n in range(5000)) >= 500
-    wait = dues.take(5 * SECOND, "one")
-    assert wait > 0 and dues.take(5 * SECOND + wait, "one") == 0
+def test_unused_rate_is_lent_and_the_returned_wait_is_long_enough() -> None:
+    limiter = ClientLimiter(100.0, 10.0)
+    assert sum(limiter.take(n * MS, "one") == 0 for n in range(5000)) >= 500
+    wait = limiter.take(5 * SECOND, "one")
+    assert wait > 0 and limiter.take(5 * SECOND + wait, "one") == 0
 
 
-def test_the_table_of_clients_has_a_bound_and_who_has_something_open_stays() -> None:
-    dues = ClientLimiter(1e6, 1e6, max_clients=50)
-    dues.take(0, "first")
-    dues.opened("first")
+def test_the_client_table_is_bounded_and_keeps_clients_with_open_transactions() -> None:
+    limiter = ClientLimiter(1e6, 1e6, max_clients=50)
+    limiter.take(0, "first")
+    limiter.opened("first")
     for n in range(500):
-        dues.take(n, f"c{n}")
-    assert len(dues.clients) <= 502 and "first" in dues.clients
-    dues.closed("first")
-    dues.closed("first")  # once too often changes nothing
+        limiter.take(n, f"c{n}")
+    assert len(limiter.clients) <= 502 and "first" in limiter.clients
+    limiter.closed("first")
+    limiter.closed("first")  # a surplus call changes nothing
     for n in range(500):
-        dues.take(10 * SECOND + n, "last")
-    assert list(dues.clients) == ["last"] and dues.open == 0
+        limiter.take(10 * SECOND + n, "last")
+    assert list(limiter.clients) == ["last"] and limiter.open == 0
 
 
-def test_who_has_most_open_crowds_others_but_not_itself_alone() -> None:
-    dues = ClientLimiter(1e6, 1e6)
-    for who, many in (("flood", 200), ("a", 2), ("b", 3)):
-        for _ in range(many):
-            dues.take(1, who)
-            dues.opened(who)
-    assert dues.crowds("flood", 8, 1.5) and not dues.crowds("a", 8, 1.5) and not dues.crowds("nobody", 8, 1.5)
+def test_a_client_with_most_open_transactions_crowds_others_but_not_alone() -> None:
+    limiter = ClientLimiter(1e6, 1e6)
+    for client, count in (("flood", 200), ("a", 2), ("b", 3)):
+        for _ in range(count):
+            limiter.take(1, client)
+            limiter.opened(client)
+    assert limiter.crowds("flood", 8, 1.5) and not limiter.crowds("a", 8, 1.5) and not limiter.crowds("nobody", 8, 1.5)
     alone = ClientLimiter(1e6, 1e6)
     for _ in range(100):
         alone.take(1, "one")
@@ -94,55 +94,56 @@
     assert not alone.crowds("one", 8, 1.5)
 
 
-def test_a_ceiling_holds_over_time_and_tells_how_long_to_pause() -> None:
-    ceiling, now, had = TimeCeiling(0.25), 0, 0
+def test_a_time_ceiling_holds_over_time_and_returns_the_pause() -> None:
+    ceiling, now, used = TimeCeiling(0.25), 0, 0
     while now < 10 * SECOND:
         if wait := ceiling.wait(now):
             now += wait
             continue
         now += 3 * MS
-        had += 3 * MS
+        used += 3 * MS
         ceiling.charge(now, 3 * MS)
-    assert 0.24 <= had / now <= 0.27
+    assert 0.24 <= used / now <= 0.27
     assert TimeCeiling(1.0).wait(0) == 0
 
 
-def test_time_outside_of_turns_is_charged_only_while_others_wait_and_rounds_pay_it_off() -> None:
+def test_time_outside_of_turns_is_charged_only_while_others_wait_and_is_paid_off_by_rounds() -> None:
     turns = DeficitRoundRobin(MS)
     turns.set_weights({"a": 1.0, "b": 1.0})
     turns.charge(0, "a", 50 * MS)
-    assert "a" not in turns.credit  # nobody waited
+    assert "a" not in turns.credit  # no other was waiting
     turns.enqueue(0, "b")
     turns.charge(0, "a", 5 * MS)
     turns.enqueue(0, "a")
     order = []
     for n in range(14):
-        who = turns.next_turn()
-        assert who is not None
-        order.append(who)
-        turns.end_turn(n * MS, who, MS, more=True)
+        name = turns.next_turn()
+        assert name is not None
+        order.append(name)
+        turns.end_turn(n * MS, name, MS, more=True)
     assert order[:5] == ["b"] * 5 and order.count("a") >= 4
     turns.end_turn(0, "a", 0, more=False)
     turns.charge(0, "a", 3 * MS)
     for n in range(10):
-        who = turns.next_turn()
-        assert who == "b"
-        turns.end_turn(n, who, MS, more=True)
-    assert "a" not in turns.idle_debt_since  # rounds of the other have paid for it
+        name = turns.next_turn()
+        assert name == "b"
+        turns.end_turn(n, name, MS, more=True)
+    assert "a" not in turns.idle_debt_since  # rounds of the other tenant have paid the debt off
 
 
-def test_room_that_others_left_is_lent_and_what_is_there_counts_whatever_the_parts_say() -> None:
-    lent = SharedCapacity(100, {"a": Allocation(20, 80), "b": Allocation(30, 100)})
-    assert (lent.current_limit("a"), lent.current_limit("b"), lent.current_limit("nobody")) == (80, 100, 0)
-    lent.adjust("a", 75)
-    assert lent.current_limit("b") == 30 and lent.current_limit("a") == 80  # b's own part, and a's most with 25 left
-    lent.adjust("b", 30)
-    assert lent.reclaimable() == [("a", 5)]
-    lent.adjust("a", -200)
-    assert lent.total_used == 30
+def test_unused_capacity_is_lent_and_existing_use_counts_whatever_the_allocations() -> None:
+    capacity = SharedCapacity(100, {"a": Allocation(20, 80), "b": Allocation(30, 100)})
+    assert (capacity.current_limit("a"), capacity.current_limit("b"), capacity.current_limit("nobody")) == (80, 100, 0)
+    capacity.adjust("a", 75)
+    # Of b its guarantee, and of a its maximum while 25 are unused.
+    assert capacity.current_limit("b") == 30 and capacity.current_limit("a") == 80
+    capacity.adjust("b", 30)
+    assert capacity.reclaimable() == [("a", 5)]
+    capacity.adjust("a", -200)
+    assert capacity.total_used == 30
 
 
-# ---- machines that several tenants name ----
+# ---- cache hosts that several tenants list ----
 
 
 ENDPOINT, OTHER = Endpoint("10.0.0.1", 80), Endpoint("10.0.0.2", 80)
@@ -152,7 +153,7 @@
     return ListEntry(endpoint, status, started_at)
 
 
-def test_one_machine_of_two_tenants_has_one_budget_one_start_and_one_drain() -> None:
+def test_a_host_of_two_tenants_has_one_cold_budget_one_start_and_one_drain_state() -> None:
     table = SharedHostTable({"a": 1.0, "b": 3.0})
     assert table.update_list(0, "a", {"x": entry()}) == {"a"}
     assert table.views(0, "a")["x"].cold_fraction == 1.0 and not table.views(0, "a")["x"].shared
@@ -171,7 +172,7 @@
     assert table.remove_tenant(0, "a") == set() and not table.hosts and not table.lists
 
 
-def test_a_machine_that_one_tenants_source_calls_gone_gets_nothing_of_another() -> None:
+def test_a_host_that_one_tenants_source_reports_gone_gets_no_hops_of_another() -> None:
     table = SharedHostTable()
     table.update_list(0, "a", {"x": entry()})
     table.update_list(0, "b", {"y": entry()})
@@ -183,16 +184,15 @@
     )
     table.update_list(9, "a", {"x": entry()})
     table.update_list(9, "a", {}, [ENDPOINT])
-    table.update_list(9, "b", {"y": entry(started_at=7)})  # another start of it: that is another machine
+    table.update_list(9, "b", {"y": entry(started_at=7)})  # another start time means another instance
     assert table.views(9, "b")["y"].status is m.HostStatus.READY
 
 
-def test_a_machine_that_answers_nobody_rests_for_all_and_one_that_answers_any_does_not() -> None:
+def test_a_host_that_fails_for_all_tenants_is_ejected_and_one_success_prevents_it() -> None:
     table = SharedHostTable()
     table.update_list(0, "a", {"x": entry()})
-    assert not any(
-        table.hop_ended(n, ENDPOINT, m.HopOutcome.RESET) for n in range(20)
-    )  # one tenant's own judges its health
+    # A host of one tenant only is judged by that tenant's balancer.
+    assert not any(table.hop_ended(n, ENDPOINT, m.HopOutcome.RESET) for n in range(20))
     table.update_list(0, "b", {"y": entry()})
     for n in range(FAILURES_TO_EJECT - 1):
         assert not table.hop_ended(n, ENDPOINT, m.HopOutcome.TIMED_OUT)
@@ -207,10 +207,8 @@
     assert table.expire(SECOND) == set() and table.expire(SECOND + 10) == {"a", "b"}
     assert table.views(SECOND + 10, "a")["x"].status is m.HostStatus.READY
     table.hop_ended(SECOND + 20, ENDPOINT, m.HopOutcome.RESET)
-    assert table.hop_ended(SECOND + 30, ENDPOINT, m.HopOutcome.RESET) == {
-        "a",
-        "b",
-    }  # sooner after a rest, and for longer
+    # After an ejection the host is ejected sooner, and for longer.
+    assert table.hop_ended(SECOND + 30, ENDPOINT, m.HopOutcome.RESET) == {"a", "b"}
     assert table.expire(3 * SECOND) == set() and table.expire(3 * SECOND + 30) == {"a", "b"}
     assert table.hop_ended(0, OTHER, m.HopOutcome.RESET) == set()
 
@@ -218,11 +216,13 @@
 # ---- documents ----
 
 
-TOLD = document("sur", "127.0.0.1:7001", ("10.0.0.1:80", "[::1]:81"), shares=[{"name": "s", "txs_a_second": 2}])
+TENANT_DOCUMENT = document(
+    "sur", "127.0.0.1:7001", ("10.0.0.1:80", "[::1]:81"), shares=[{"name": "s", "txs_a_second": 2}]
+)
 
 
-def test_a_tenant_goes_through_its_document_and_back_unchanged() -> None:
-    one = tenant_from_document(convert_document(TenantDocument, TOLD))
+def test_a_tenant_survives_the_conversion_to_a_document_and_back() -> None:
+    one = tenant_from_document(convert_document(TenantDocument, TENANT_DOCUMENT))
     again = tenant_from_document(decode_document(TenantDocument, msgspec.json.encode(tenant_to_document(one))))
     assert again == one and one.servers[1].endpoint == Endpoint("::1", 81)
     assert to_json_value(tenant_to_document(one))["limits"]["cpu"] == {"least": 0.1, "most": 0.8}
@@ -243,17 +243,17 @@
         ({"name": "Sur"}, "name"),
     ],
 )
-def test_what_is_no_tenant_names_its_field(change: dict[str, Any], field: str) -> None:
+def test_an_invalid_tenant_document_is_reported_with_its_field(change: dict[str, Any], field: str) -> None:
     with pytest.raises(InvalidField) as fault:
-        tenant_from_document(convert_document(TenantDocument, TOLD | change))
+        tenant_from_document(convert_document(TenantDocument, TENANT_DOCUMENT | change))
     assert fault.value.field == field
 
 
-DEEP = b'{"a":' * 1000 + b"1" + b"}" * 1000
+DEEPLY_NESTED = b'{"a":' * 1000 + b"1" + b"}" * 1000
 
 
-@pytest.mark.parametrize("body", [b"", b"{", b"\xff\xfe", b"[" * 100_000, DEEP, b"null"])
-def test_what_can_not_be_read_is_unfit_and_nothing_worse(body: bytes) -> None:
+@pytest.mark.parametrize("body", [b"", b"{", b"\xff\xfe", b"[" * 100_000, DEEPLY_NESTED, b"null"])
+def test_an_unreadable_body_is_reported_as_an_invalid_field(body: bytes) -> None:
     with pytest.raises(InvalidField):
         decode_document(TenantDocument, body)
 
@@ -263,37 +263,39 @@
 
 NOW = 1_800_000_000 * SECOND
 OPERATOR = keys.generate_token("", "main")
-ADMINISTRATOR, READER, OLD = (keys.generate_token("sur", name) for name in ("admin", "reader", "old"))
+ADMINISTRATOR, READER, EXPIRED = (keys.generate_token("sur", name) for name in ("admin", "reader", "old"))
 OPERATORS = (ApiKey("main", keys.digest_of(OPERATOR), Scope.OPERATOR, 0),)
 
 
-LITTLE = Guarantee(0.01, 1.0)
-SMALL = replace(LIMITS, cpu=LITTLE, sockets=LITTLE, memory=LITTLE)
+SMALL_GUARANTEE = Guarantee(0.01, 1.0)
+SMALL = replace(LIMITS, cpu=SMALL_GUARANTEE, sockets=SMALL_GUARANTEE, memory=SMALL_GUARANTEE)
 
 
-def world() -> tuple[Api, Registry]:
-    its = (
+def make_api() -> tuple[Api, Registry]:
+    api_keys = (
         ApiKey("admin", keys.digest_of(ADMINISTRATOR), Scope.ADMINISTRATOR, 0),
         ApiKey("reader", keys.digest_of(READER), Scope.READER, 0),
-        ApiKey("old", keys.digest_of(OLD), Scope.ADMINISTRATOR, 0, NOW),
+        ApiKey("old", keys.digest_of(EXPIRED), Scope.ADMINISTRATOR, 0, NOW),
     )
-    return Api(OPERATORS), registry_of(tenant("sur", 1, keys=its), tenant("norte", 2))
+    return Api(OPERATORS), registry_of(tenant("sur", 1, keys=api_keys), tenant("norte", 2))
 
 
-def handled(method: str, path: str, token: str = OPERATOR, body: Any = None, **headers: str) -> Any:
-    api, registry = world()
-    told = {"authorization": f"Bearer {token}"} | {name.replace("_", "-"): value for name, value in headers.items()}
+def handle(method: str, path: str, token: str = OPERATOR, body: Any = None, **headers: str) -> Any:
+    api, registry = make_api()
+    call_headers = {"authorization": f"Bearer {token}"} | {
+        name.replace("_", "-"): value for name, value in headers.items()
+    }
     path, _, query = path.partition("?")
     pairs = dict(pair.split("=", 1) for pair in query.split("&")) if query else {}
     return api.handle(
-        Call(method, path, pairs, told, json.dumps(body).encode() if body is not None else b""), registry, NOW
+        Call(method, path, pairs, call_headers, json.dumps(body).encode() if body is not None else b""), registry, NOW
     )
 
 
 @pytest.mark.parametrize(
     ("token", "status"),
     [
-        (OLD, 401),
+        (EXPIRED, 401),
         ("", 401),
         (OPERATOR[:-1] + ("A" if OPERATOR[-1] != "A" else "B"), 401),
         (OPERATOR + "x", 401),
@@ -321,23 +323,23 @@
         "operator",
     ],
 )
-def test_only_a_whole_and_valid_token_lets_in(token: str, status: int) -> None:
-    assert handled("GET", "/v1/tenants/sur", token).status == status
+def test_only_a_complete_and_valid_token_is_accepted(token: str, status: int) -> None:
+    assert handle("GET", "/v1/tenants/sur", token).status == status
 
 
 @pytest.mark.parametrize("route", ROUTES, ids=lambda route: route.name)
-def test_nobody_reaches_another_tenant_nor_more_than_its_scope_allows(route: Any) -> None:
+def test_no_key_reaches_another_tenant_or_exceeds_its_scope(route: Any) -> None:
     path = route.path.replace("{server}", "one").replace("{key}", "main").replace("{member}", "b")
     foreign = path.replace("{tenant}", "norte")
     for token in (READER, ADMINISTRATOR):
         if "{tenant}" in path:
-            assert handled(route.method, foreign, token, {}, if_match="*").status == 403
-            assert handled(route.method, foreign.replace("norte", "nobody"), token, {}, if_match="*").status == 403
+            assert handle(route.method, foreign, token, {}, if_match="*").status == 403
+            assert handle(route.method, foreign.replace("norte", "nobody"), token, {}, if_match="*").status == 403
     own = path.replace("{tenant}", "sur")
     below = {Scope.OPERATOR: (READER, ADMINISTRATOR), Scope.ADMINISTRATOR: (READER,), Scope.READER: ()}[route.scope]
     for token in below:
-        assert handled(route.method, own, token, {}, if_match="*").status == 403
-    assert handled(route.method, own, "nonsense", {}).status == 401
+        assert handle(route.method, own, token, {}, if_match="*").status == 403
+    assert handle(route.method, own, "nonsense", {}).status == 401
 
 
 @pytest.mark.parametrize(
@@ -359,49 +361,49 @@
         "*",
     ],
 )
-def test_odd_paths_lead_nowhere(path: str) -> None:
-    assert handled("GET", path).status == 404
+def test_malformed_and_unknown_paths_are_not_found(path: str) -> None:
+    assert handle("GET", path).status == 404
 
 
-def test_a_method_that_a_path_has_not_is_told_which_it_has() -> None:
-    found = handled("PATCH", "/v1/tenants/sur")
-    assert found.status == 405 and found.headers["allow"] == "GET, PUT, DELETE"
+def test_an_unsupported_method_is_answered_with_the_allowed_ones() -> None:
+    outcome = handle("PATCH", "/v1/tenants/sur")
+    assert outcome.status == 405 and outcome.headers["allow"] == "GET, PUT, DELETE"
 
 
-def test_a_change_wants_the_version_that_it_is_meant_for() -> None:
+def test_a_change_requires_if_match_with_the_current_version() -> None:
     path, body = "/v1/tenants/sur/limits", to_json_value(tenant_to_document(tenant("sur")))["limits"]
-    assert handled("PUT", path, body=body).status == 428
-    stale = handled("PUT", path, body=body, if_match='"99"')
+    assert handle("PUT", path, body=body).status == 428
+    stale = handle("PUT", path, body=body, if_match='"99"')
     assert stale.status == 412 and stale.headers["etag"] == '"1"'
-    assert handled("PUT", path, body=body, if_match="yesterday").status == 400
-    for told in ('"1"', "*", '"7", "1"'):
-        assert isinstance(handled("PUT", path, body=body, if_match=told), Proposal)
+    assert handle("PUT", path, body=body, if_match="yesterday").status == 400
+    for header in ('"1"', "*", '"7", "1"'):
+        assert isinstance(handle("PUT", path, body=body, if_match=header), Proposal)
 
 
-def test_a_page_ends_where_the_next_begins() -> None:
+def test_pages_of_a_list_are_complete_and_do_not_overlap() -> None:
     api, registry = Api(OPERATORS), Registry()
     for n in range(7):
         registry = registry.with_change(CreateTenant(tenant(f"t{n}", n, keys=(), limits=SMALL)))
     seen: list[str] = []
-    query: dict[str, str] = {"limit": "3"}
+    parameters: dict[str, str] = {"limit": "3"}
     while True:
-        told = Call("GET", "/v1/tenants", query, {"authorization": f"Bearer {OPERATOR}"})
-        found = api.handle(told, registry, NOW)
-        assert isinstance(found, Reply)
-        seen += [one["tenant"]["name"] for one in found.body["tenants"]]
-        if "next" not in found.body:
+        page_call = Call("GET", "/v1/tenants", parameters, {"authorization": f"Bearer {OPERATOR}"})
+        reply = api.handle(page_call, registry, NOW)
+        assert isinstance(reply, Reply)
+        seen += [one["tenant"]["name"] for one in reply.body["tenants"]]
+        if "next" not in reply.body:
             break
-        query = {"limit": "3", "cursor": found.body["next"]}
+        parameters = {"limit": "3", "cursor": reply.body["next"]}
     assert seen == [f"t{n}" for n in range(7)]
     for wrong in ("cursor=%%%", "limit=x"):
-        assert handled("GET", f"/v1/tenants?{wrong}").status == 400
-    mine = handled("GET", "/v1/tenants", READER).body["tenants"]
-    assert [one["tenant"]["name"] for one in mine] == ["sur"]  # of the others it does not even learn the names
-    look = handled("GET", "/v1/changes?after=3&wait_s=999", READER)
-    assert look == Query("changes", 3, 50, 60 * SECOND, "sur")
+        assert handle("GET", f"/v1/tenants?{wrong}").status == 400
+    mine = handle("GET", "/v1/tenants", READER).body["tenants"]
+    assert [one["tenant"]["name"] for one in mine] == ["sur"]  # a tenant's key does not see the names of other tenants
+    query = handle("GET", "/v1/changes?after=3&wait_s=999", READER)
+    assert query == Query("changes", 3, 50, 60 * SECOND, "sur")
 
 
-def test_a_cache_host_that_a_change_adds_is_cold_from_then_on_and_a_known_one_keeps_its_start() -> None:
+def test_an_added_cache_host_starts_cold_and_a_known_one_keeps_its_start() -> None:
     body = {
         "servers": [
             {"name": "one", "place": "127.0.1.1:11211"},
@@ -409,207 +411,213 @@
             {"name": "old", "place": "10.9.9.8:1", "started_ms": 5},
         ]
     }
-    found = handled("PUT", "/v1/tenants/sur/servers", ADMINISTRATOR, body, if_match="*")
-    assert [server.started for server in found.change.servers] == [0, NOW, 5 * MS]
+    outcome = handle("PUT", "/v1/tenants/sur/servers", ADMINISTRATOR, body, if_match="*")
+    assert [server.started for server in outcome.change.servers] == [0, NOW, 5 * MS]
 
 
-def test_keys_are_shown_once_and_a_rotation_lets_the_old_one_go_on_for_the_overlap() -> None:
-    found = handled("POST", "/v1/tenants/sur/keys/admin/rotate", ADMINISTRATOR, {"name": "admin-2", "overlap_s": 60})
-    api, registry = world()
-    after = registry.with_change(found.change)
-    reply = found.reply(after)
+def test_tokens_are_not_stored_and_a_rotated_key_stays_valid_for_the_overlap() -> None:
+    outcome = handle("POST", "/v1/tenants/sur/keys/admin/rotate", ADMINISTRATOR, {"name": "admin-2", "overlap_s": 60})
+    api, registry = make_api()
+    after = registry.with_change(outcome.change)
+    reply = outcome.reply(after)
     token = reply.body["token"]
     kept = {key.name: key for key in after.tenants["sur"].tenant.keys}
     assert token not in repr(kept) and kept["admin-2"].digest == keys.digest_of(token)
     assert kept["admin"].until == NOW + 60 * SECOND and kept["admin-2"].scope is Scope.ADMINISTRATOR
-    assert "old" not in kept  # what has expired makes room
+    assert "old" not in kept  # expired keys are dropped
     assert keys.authenticate(token, after, OPERATORS, NOW).key == "admin-2"
     assert keys.authenticate(ADMINISTRATOR, after, OPERATORS, NOW + 59 * SECOND).key == "admin"
     with pytest.raises(keys.AccessDenied):
         keys.authenticate(ADMINISTRATOR, after, OPERATORS, NOW + 60 * SECOND)
-    assert "digest" not in json.dumps(handled("GET", "/v1/tenants/sur/keys", ADMINISTRATOR).body)
+    assert "digest" not in json.dumps(handle("GET", "/v1/tenants/sur/keys", ADMINISTRATOR).body)
 
 
-def test_the_description_has_each_route_and_each_reference_leads_somewhere() -> None:
-    told = description()
-    assert {(path, method.upper()) for path, methods in told["paths"].items() for method in methods} == {
+def test_the_openapi_description_has_each_route_and_no_dangling_reference() -> None:
+    document = description()
+    assert {(path, method.upper()) for path, methods in document["paths"].items() for method in methods} == {
         (route.path, route.method) for route in ROUTES
     }
-    text = json.dumps(told)
+    text = json.dumps(document)
     for part in text.split('"#/components/schemas/')[1:]:
-        assert part.partition('"')[0] in told["components"]["schemas"]
-    assert told["components"]["schemas"]["TenantDocument"]["required"] == ["name", "listeners", "profiles"]
+        assert part.partition('"')[0] in document["components"]["schemas"]
+    assert document["components"]["schemas"]["TenantDocument"]["required"] == ["name", "listeners", "profiles"]
     for route in ROUTES:
-        operation = told["paths"][route.path][route.method.lower()]
+        operation = document["paths"][route.path][route.method.lower()]
         assert ("requestBody" in operation) == (route.body_type is not None)
         assert (len(operation["operationId"]), str(route.status) in operation["responses"]) > (0, False)
 
 
-def test_a_plan_shows_what_differs_and_nothing_where_nothing_does() -> None:
-    file = convert_document(TenantDocument, TOLD)
-    there = [{"version": 4, "state": "active", "tenant": to_json_value(tenant_to_document(tenant_from_document(file)))}]
-    assert plan_steps([(file, "active")], there) == []
-    there[0]["tenant"]["servers"][0]["started_ms"] = 77  # stamped by the API; the file does not tell of it
-    there[0]["tenant"]["limits"]["burst"] = 3
-    steps = plan_steps([(file, "suspended")], there)
+def test_a_plan_lists_the_differences_and_is_empty_without_any() -> None:
+    file = convert_document(TenantDocument, TENANT_DOCUMENT)
+    current = [
+        {"version": 4, "state": "active", "tenant": to_json_value(tenant_to_document(tenant_from_document(file)))}
+    ]
+    assert plan_steps([(file, "active")], current) == []
+    current[0]["tenant"]["servers"][0]["started_ms"] = 77  # set by the API; the file has no start time
+    current[0]["tenant"]["limits"]["burst"] = 3
+    steps = plan_steps([(file, "suspended")], current)
     assert [(s.kind, s.version, s.lines) for s in steps] == [
         ("replace", 4, ("limits.burst: 3 -> 500",)),
         ("state", -1, ("state: active -> suspended",)),
     ]
-    other = there[0] | {"tenant": there[0]["tenant"] | {"name": "norte"}}
+    other = current[0] | {"tenant": current[0]["tenant"] | {"name": "norte"}}
     steps = plan_steps([(file, "active")], [other], remove=True)
     assert [(s.kind, s.tenant) for s in steps] == [("end", "norte"), ("make", "sur")]
 
 
-# ---- the shared loop ----
+# ---- the shared event loop ----
 
 
-class Time:
-    """A reactor's clock and calls, in turns of which each takes what is due at its begin; and works that take time."""
+class FakeReactor:
+    """A reactor with a simulated clock. Each turn runs the delayed calls that are due when it begins."""
 
     def __init__(self) -> None:
-        self.at = 0
-        self.calls: list[tuple[int, Any, tuple[Any, ...]]] = []
+        self.now_ns = 0
+        self.delayed_calls: list[tuple[int, Any, tuple[Any, ...]]] = []
         self.loop_timing = LoopTiming(SECOND)
         self.scheduler = FairScheduler(self, self.now, self.loop_timing)
-        self.had: dict[str, int] = {}
+        self.run_ns: dict[str, int] = {}  # by work
 
     def now(self) -> int:
-        return self.at
+        return self.now_ns
 
-    def callLater(self, delay: float, what: Any, *terms: Any) -> int:
-        self.calls.append((self.at + int(delay * SECOND), what, terms))
-        return len(self.calls)
+    def callLater(self, delay: float, what: Any, *arguments: Any) -> int:
+        self.delayed_calls.append((self.now_ns + int(delay * SECOND), what, arguments))
+        return len(self.delayed_calls)
 
     def run(self, turns: int, pause: int = 0) -> None:
         for _ in range(turns):
-            self.at += pause
-            self.loop_timing.begins(self.at)
-            due = [call for call in self.calls if call[0] <= self.at]
-            self.calls = [call for call in self.calls if call[0] > self.at]
-            for _, what, terms in due:
-                what(*terms)
+            self.now_ns += pause
+            self.loop_timing.begins(self.now_ns)
+            due = [call for call in self.delayed_calls if call[0] <= self.now_ns]
+            self.delayed_calls = [call for call in self.delayed_calls if call[0] > self.now_ns]
+            for _, what, arguments in due:
+                what(*arguments)
 
 
-class Endless:
-    """Something that always has more to be read, so many nanoseconds a piece."""
+class EndlessWork:
+    """Work that advances the clock by `piece_ns` a piece and always has more, up to a number of pieces."""
 
-    def __init__(self, time: Time, name: str, took: int, most: int = 1 << 30) -> None:
-        self.time, self.name, self.took, self.most = time, name, took, most
+    def __init__(self, reactor: FakeReactor, name: str, piece_ns: int, pieces_left: int = 1 << 30) -> None:
+        self.reactor, self.name, self.piece_ns, self.pieces_left = reactor, name, piece_ns, pieces_left
 
     def run_piece(self) -> bool:
-        self.time.at += self.took
-        self.time.had[self.name] = self.time.had.get(self.name, 0) + self.took
-        self.most -= 1
-        return self.most > 0
+        self.reactor.now_ns += self.piece_ns
+        self.reactor.run_ns[self.name] = self.reactor.run_ns.get(self.name, 0) + self.piece_ns
+        self.pieces_left -= 1
+        return self.pieces_left > 0
 
 
-def test_tenants_that_flood_share_the_loop_by_weight_and_clients_of_one_evenly() -> None:
-    time = Time()
-    time.scheduler.set_shares({"a": (1.0, 1.0), "b": (3.0, 1.0)})
+def test_flooding_tenants_share_the_loop_by_weight_and_clients_of_a_tenant_equally() -> None:
+    reactor = FakeReactor()
+    reactor.scheduler.set_shares({"a": (1.0, 1.0), "b": (3.0, 1.0)})
     for _ in range(50):  # one client with fifty connections, and one with one
-        time.scheduler.enqueue("a", "many", Endless(time, "many", MS // 2))
-    time.scheduler.enqueue("a", "few", Endless(time, "few", 2 * MS))
-    time.scheduler.enqueue("b", "x", Endless(time, "b", MS))
-    time.run(2000)
-    whole = sum(time.had.values())
-    assert abs(time.had["b"] / whole - 0.75) < 0.02
-    assert abs(time.had["few"] / (time.had["many"] + time.had["few"]) - 0.5) < 0.03
-
-
-def test_one_that_comes_now_and_then_is_read_before_the_floods_next_pieces() -> None:
-    time = Time()
-    time.scheduler.set_shares({"flood": (1.0, 1.0), "calm": (1.0, 1.0)})
+        reactor.scheduler.enqueue("a", "many", EndlessWork(reactor, "many", MS // 2))
+    reactor.scheduler.enqueue("a", "few", EndlessWork(reactor, "few", 2 * MS))
+    reactor.scheduler.enqueue("b", "x", EndlessWork(reactor, "b", MS))
+    reactor.run(2000)
+    total_ns = sum(reactor.run_ns.values())
+    assert abs(reactor.run_ns["b"] / total_ns - 0.75) < 0.02
+    assert abs(reactor.run_ns["few"] / (reactor.run_ns["many"] + reactor.run_ns["few"]) - 0.5) < 0.03
+
+
+def test_an_occasional_tenant_runs_before_the_next_pieces_of_a_flooding_one() -> None:
+    reactor = FakeReactor()
+    reactor.scheduler.set_shares({"flood": (1.0, 1.0), "calm": (1.0, 1.0)})
     for _ in range(20):
-        time.scheduler.enqueue("flood", "f", Endless(time, "flood", 3 * MS))
-    time.run(50)
+        reactor.scheduler.enqueue("flood", "f", EndlessWork(reactor, "flood", 3 * MS))
+    reactor.run(50)
     waits = []
     for _ in range(30):
-        assert not time.scheduler.may_run_now("calm")  # as others wait, it waits for its turn too
-        began, before = time.now(), time.had.get("calm", 0)
-        time.scheduler.enqueue("calm", "c", Endless(time, "calm", MS, most=1))
-        while time.had.get("calm", 0) == before:
-            time.run(1)
-        waits.append(time.now() - began)
-        time.run(10)
+        assert not reactor.scheduler.may_run_now("calm")  # other work is queued, so it has to queue too
+        began, before = reactor.now(), reactor.run_ns.get("calm", 0)
+        reactor.scheduler.enqueue("calm", "c", EndlessWork(reactor, "calm", MS, pieces_left=1))
+        while reactor.run_ns.get("calm", 0) == before:
+            reactor.run(1)
+        waits.append(reactor.now() - began)
+        reactor.run(10)
     assert max(waits) <= 8 * MS
 
 
 @pytest.mark.parametrize("at_once", [True, False])
-def test_a_process_that_was_stopped_in_a_tenants_turn_charges_it_for_no_more_than_a_step(at_once: bool) -> None:
-    """0.8 s in which nothing ran were charged to whoever's turn it was, which then sat out 0.75 s."""
-    time = Time()
-    time.scheduler.set_shares({"a": (1.0, 0.9), "b": (1.0, 0.9)})
+def test_a_pause_of_the_process_is_charged_to_the_running_tenant_only_up_to_a_limit(at_once: bool) -> None:
+    """A pause of 0.8 s used to be charged to the tenant whose turn it was, which was then held back for 0.75 s."""
+    reactor = FakeReactor()
+    reactor.scheduler.set_shares({"a": (1.0, 0.9), "b": (1.0, 0.9)})
 
     def stopped() -> bool:
-        time.at += 800 * MS
+        reactor.now_ns += 800 * MS
         return False
 
     if at_once:
-        time.scheduler.run_charged("a", stopped)
+        reactor.scheduler.run_charged("a", stopped)
     else:
-        work = Endless(time, "a", MS)
+        work = EndlessWork(reactor, "a", MS)
         work.run_piece = stopped  # type: ignore[method-assign]
-        time.scheduler.enqueue("a", "x", work)
-        time.run(1)
-    time.run(1, 40 * MS)
-    assert time.scheduler.may_run_now("a")
-
-
-def test_a_tenant_at_its_ceiling_pauses_and_what_it_costs_elsewhere_counts() -> None:
-    time = Time()
-    time.scheduler.set_shares({"a": (1.0, 0.2)})
-    assert time.scheduler.may_run_now("a")
-    time.scheduler.enqueue("a", "x", Endless(time, "a", MS))
-    began = time.now()
-    time.run(3000, MS)
-    part = time.had["a"] / (time.now() - began)
+        reactor.scheduler.enqueue("a", "x", work)
+        reactor.run(1)
+    reactor.run(1, 40 * MS)
+    assert reactor.scheduler.may_run_now("a")
+
+
+def test_a_tenant_at_its_ceiling_pauses_and_time_spent_elsewhere_is_charged() -> None:
+    reactor = FakeReactor()
+    reactor.scheduler.set_shares({"a": (1.0, 0.2)})
+    assert reactor.scheduler.may_run_now("a")
+    reactor.scheduler.enqueue("a", "x", EndlessWork(reactor, "a", MS))
+    began = reactor.now()
+    reactor.run(3000, MS)
+    part = reactor.run_ns["a"] / (reactor.now() - began)
     assert 0.17 <= part <= 0.22
-    time.scheduler.charge("a", SECOND)
-    assert not time.scheduler.may_run_now("a") and time.scheduler.queues["a"].total_ns >= SECOND
-    before = time.had["a"]
-    time.run(10)
-    assert time.had["a"] - before <= 2 * MS
-
-
-def test_what_is_dropped_while_it_waits_is_not_read_and_a_tenant_that_is_gone_leaves_nothing() -> None:
-    time = Time()
-    time.scheduler.set_shares({"a": (1.0, 1.0), "b": (1.0, 1.0)})
-    work = Endless(time, "dropped", MS)
-    time.scheduler.enqueue("a", "x", work)
-    time.scheduler.remove("a", "x", work)
-    time.scheduler.remove("a", "x", work)
-    time.scheduler.enqueue("b", "y", Endless(time, "b", MS, most=2))
-    time.run(20)
-    assert time.had == {"b": 2 * MS} and not time.scheduler.round_robin.waiting
-    time.scheduler.enqueue("b", "y", Endless(time, "gone", MS))
-    time.scheduler.set_shares({"a": (1.0, 1.0)})
-    time.scheduler.enqueue("b", "y", Endless(time, "gone", MS))
-    time.scheduler.charge("b", MS)
-    time.run(20)
-    assert "gone" not in time.had and set(time.scheduler.queues) == {"a"} and not time.scheduler.may_run_now("b")
-
-
-def test_a_work_that_drops_the_others_beside_it_goes_on_alone() -> None:
-    time = Time()
-    time.scheduler.set_shares({"a": (1.0, 1.0)})
-    other = Endless(time, "other", MS)
-
-    class Dropping(Endless):
+    reactor.scheduler.charge("a", SECOND)
+    assert not reactor.scheduler.may_run_now("a") and reactor.scheduler.queues["a"].total_ns >= SECOND
+    before = reactor.run_ns["a"]
+    reactor.run(10)
+    assert reactor.run_ns["a"] - before <= 2 * MS
+
+
+def test_removed_work_does_not_run_and_a_removed_tenant_leaves_no_queue() -> None:
+    reactor = FakeReactor()
+    reactor.scheduler.set_shares({"a": (1.0, 1.0), "b": (1.0, 1.0)})
+    work = EndlessWork(reactor, "dropped", MS)
+    reactor.scheduler.enqueue("a", "x", work)
+    reactor.scheduler.remove("a", "x", work)
+    reactor.scheduler.remove("a", "x", work)
+    reactor.scheduler.enqueue("b", "y", EndlessWork(reactor, "b", MS, pieces_left=2))
+    reactor.run(20)
+    assert reactor.run_ns == {"b": 2 * MS} and not reactor.scheduler.round_robin.waiting
+    reactor.scheduler.enqueue("b", "y", EndlessWork(reactor, "gone", MS))
+    reactor.scheduler.set_shares({"a": (1.0, 1.0)})
+    reactor.scheduler.enqueue("b", "y", EndlessWork(reactor, "gone", MS))
+    reactor.scheduler.charge("b", MS)
+    reactor.run(20)
+    assert (
+        "gone" not in reactor.run_ns
+        and set(reactor.scheduler.queues) == {"a"}
+        and not reactor.scheduler.may_run_now("b")
+    )
+
+
+def test_work_that_removes_other_queued_work_continues() -> None:
+    reactor = FakeReactor()
+    reactor.scheduler.set_shares({"a": (1.0, 1.0)})
+    other = EndlessWork(reactor, "other", MS)
+
+    class Dropping(EndlessWork):
         def run_piece(self) -> bool:
-            time.scheduler.remove("a", "x", other)
+            reactor.scheduler.remove("a", "x", other)
             return super().run_piece()
 
-    time.scheduler.enqueue("a", "x", Dropping(time, "it", MS, most=5))
-    time.scheduler.enqueue("a", "x", other)
-    time.run(20)
-    assert time.had == {"it": 5 * MS} and not time.scheduler.queues["a"].work_by_client
+    reactor.scheduler.enqueue("a", "x", Dropping(reactor, "it", MS, pieces_left=5))
+    reactor.scheduler.enqueue("a", "x", other)
+    reactor.run(20)
+    assert reactor.run_ns == {"it": 5 * MS} and not reactor.scheduler.queues["a"].work_by_client
 
 
-# ---- a part of a cold host's budget ----
+# ---- cold hosts and new settings in the balancer ----
 
 
-def test_tenants_that_share_a_cold_host_send_it_together_what_one_might() -> None:
+def test_tenants_that_share_a_cold_host_share_its_budget() -> None:
     def sent(part: float) -> int:
         balancer = Balancer(replace(CONFIG, balancer_count=1, overload_window=10 * SECOND, warm_up_time=100 * SECOND))
         balancer.rate_per_weight = 20.0
@@ -627,7 +635,7 @@
     assert alone >= 40 and quarter <= alone // 4 + 1 and quarter > 0
 
 
-def test_other_figures_are_for_what_comes_and_what_is_open_ends_by_those_it_was_taken_with() -> None:
+def test_new_settings_apply_to_new_transactions_and_open_ones_keep_the_old() -> None:
     balancer = Balancer(CONFIG)
     balancer.decide(
         T0, m.ListChanged(True, tuple(m.ListedHost(n, f"h{n}", 0, 0, 0, m.HostStatus.READY, 1.0, 0) for n in range(3)))
@@ -635,7 +643,7 @@
     sends = [
         a for a in balancer.decide(T0, m.TxArrived(1, 2, -1, "k", 900 * MS, False, True)) if isinstance(a, m.SendHop)
     ]
-    assert len(sends) == 1  # a non-idempotent one is out
+    assert len(sends) == 1  # a non-idempotent transaction is in flight
     balancer.decide(T0 + MS, replace(CONFIG, profiles=(CONFIG.profiles[0],), quotas=()))
     actions = balancer.decide(T0 + 2 * MS, m.HopEnded(1, 0, m.HopOutcome.RESET, MS, False, 0))
     assert any(isinstance(a, m.Abandon) for a in actions) and not any(isinstance(a, m.SendHop) for a in actions)
