--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         self.batches: list[list[Any]] = []
 
-    def do(self, what: Any, jobs: list[Any]) -> "Deferred[Any]":
+    def run(self, what: Any, jobs: list[Any]) -> "Deferred[Any]":
         self.batches.append(list(jobs))
         return Deferred()
 
