--- a/ternquay/net/host_connection.py
+++ b/ternquay/net/host_connection.py
@@ -16,10 +16,10 @@
 from ternquay import model as m
 from ternquay.net.dispatcher import OutgoingHop
 from ternquay.net.driver import Driver
-from ternquay.net.flow import Flow, nothing
 from ternquay.net.limits import MS
-from ternquay.net.meta import Answer, Begun, HostSide, Piece
+from ternquay.net.meta import Answer, ResponseParser, ValueChunk, ValueHeader
 from ternquay.net.safety import ServerCloseReason
+from ternquay.net.value_stream import ValueStream, no_receiver
 
 if TYPE_CHECKING:
     from ternquay.net.pool import HostConnections, Pool
@@ -27,13 +27,13 @@
 
 @implementer(IPullProducer)
 class HostConnection(Driver):
-    """The protocol of one connection. The HostSide state machine parses responses; this class keeps hops in order."""
+    """The protocol of one connection. A ResponseParser parses responses; this class keeps hops in order."""
 
     def __init__(self, pool: "Pool", host: "HostConnections") -> None:
         self.pool, self.host = pool, host
         self.address = host.address  # of this connection; the host may have moved to another one since
         self.connector: Any = None
-        self.machine = HostSide(pool.limits.line_bytes, pool.limits.answer_bytes, pool.limits.stream_above_bytes)
+        self.machine = ResponseParser(pool.limits.line_bytes, pool.limits.answer_bytes, pool.limits.stream_above_bytes)
         self.buffered_bytes = 0  # of an incomplete response
         self.to_write: deque[OutgoingHop] = deque()
         self.writing: OutgoingHop | None = None
@@ -41,8 +41,8 @@
         self.idle_since = 0
         self.idle_before_hop = -1  # idle time before the current hop, until the first bytes of a response; else -1
         self.established = self.closing = False
-        self.incoming: Flow | None = None  # a large value that is being received
-        self.outgoing: Flow | None = None  # the large value of `writing`, which is being sent
+        self.incoming: ValueStream | None = None  # a large value that is being received
+        self.outgoing: ValueStream | None = None  # the large value of `writing`, which is being sent
         self.write_pending = False  # the operating system has not taken all bytes of `outgoing` yet
         self.write_pending_since = 0
         self.cache_result = 0  # reported by the cache host for the read that `incoming` answers
@@ -54,7 +54,7 @@
 
     def sends_large_value(self) -> bool:
         """Returns whether a large value is being sent or queued. Its client may be slow, so no other hop may wait."""
-        return self.outgoing is not None or any(hop.tx.flow is not None for hop in self.to_write)
+        return self.outgoing is not None or any(hop.tx.stream is not None for hop in self.to_write)
 
     def load(self) -> int:
         """Returns the number of hops on this connection."""
@@ -96,19 +96,19 @@
 
     def begin(self, hop: OutgoingHop) -> None:
         """Writes the command of a hop, or its line where the value is streamed."""
-        remaining_ms = max(1, (hop.not_past - self.pool.dispatcher.now()) // MS)
-        self.pool.dispatcher.safety.begun(hop.tx.answered, hop.tx.requester.id, hop.number)
+        remaining_ms = max(1, (hop.deadline - self.pool.dispatcher.now()) // MS)
+        self.pool.dispatcher.safety.record_attempt_start(hop.tx.answered, hop.tx.requester.id, hop.number)
         self.writing = hop
         self.hops.append(hop)
         self.machine.expect(hop.tx.message)
-        flow = hop.tx.flow
+        flow = hop.tx.stream
         if flow is None:
             hop.written = True
             self.transport.write(hop.tx.message.forward(remaining_ms))
         else:
-            flow.touched = True
+            flow.partly_taken = True
             self._write_started()
-            self.outgoing, flow.sink = flow, self.write_outgoing
+            self.outgoing, flow.on_data = flow, self.write_outgoing
             self.transport.write(hop.tx.message.forward(hop.tx.ttl // MS))
         # Twisted would write in the next turn of the loop, and the client that was just seen may have gone by then. The
         # reactor reports a broken connection by itself.
@@ -117,18 +117,18 @@
     def write_outgoing(self) -> None:
         """Forwards the received part of a large value as fast as the operating system takes it."""
         flow, hop = self.outgoing, self.writing
-        if flow is None or hop is None or self.write_pending or self.closing or flow.broken:
+        if flow is None or hop is None or self.write_pending or self.closing or flow.aborted:
             return
         data = flow.take()
-        if flow.over():
-            self.outgoing, flow.sink = None, nothing
+        if flow.all_taken():
+            self.outgoing, flow.on_data = None, no_receiver
             hop.written = True
             data += b"\r\n"
         if data:
             self._write_started()
             self.transport.write(data)
         else:
-            flow.taken()
+            flow.mark_written()
 
     def _write_started(self) -> None:
         """Records that the operating system was given bytes of a large value."""
@@ -141,16 +141,16 @@
         if self.closing:
             return
         if self.idle_before_hop >= 0:
-            self.pool.idle_loss.told(self.idle_before_hop, False)
+            self.pool.idle_loss.record_use(self.idle_before_hop, False)
             self.idle_before_hop = -1
         for item in self.machine.feed(data):
             if self.closing:
                 return  # the previous response closed the connection
             if isinstance(item, Answer):
                 self.answer_received(item)
-            elif isinstance(item, Begun):
+            elif isinstance(item, ValueHeader):
                 self.value_started(item)
-            elif isinstance(item, Piece):
+            elif isinstance(item, ValueChunk):
                 self.value_data(item.data)
             else:
                 self.value_finished()
@@ -171,20 +171,20 @@
         if hop is self.writing and not hop.written:
             # The hop can't have run before its last byte was written, whatever the cache host says.
             self.pool.dispatcher.hop_ended(
-                hop, answer.end if answer.end is m.HopOutcome.FULL else m.HopOutcome.UNREACHABLE
+                hop, answer.outcome if answer.outcome is m.HopOutcome.FULL else m.HopOutcome.UNREACHABLE
             )
             return self.abort(ServerCloseReason.BAD_ANSWER)
         # First, as the dispatcher may send another hop to the same cache host from within hop_ended().
         if not self.machine.fault:
             self.settle()
-        self.pool.dispatcher.hop_ended(hop, answer.end, answer.body, answer.note)
+        self.pool.dispatcher.hop_ended(hop, answer.outcome, answer.body, answer.cache_result)
 
     # ---- a large value that is being received ----
 
-    def value_started(self, begun: Begun) -> None:
+    def value_started(self, begun: ValueHeader) -> None:
         """The header of a large value arrived."""
-        self.cache_result, self.incoming_moved_at = begun.note, self.pool.dispatcher.now()
-        self.incoming = Flow(begun.length, self.pool.limits.chunk_bytes, self.hold_incoming, self.value_unwanted)
+        self.cache_result, self.incoming_moved_at = begun.cache_result, self.pool.dispatcher.now()
+        self.incoming = ValueStream(begun.length, self.pool.limits.chunk_bytes, self.hold_incoming, self.value_unwanted)
         self.return_waiting()  # other hops would wait behind the large value
 
     def value_unwanted(self) -> None:
@@ -199,9 +199,9 @@
             return
         if not hop.ended:
             self.pool.dispatcher.hop_ended(hop, m.HopOutcome.DONE, flow, self.cache_result)
-        elif flow.sink is nothing:
-            flow.broken = True  # the hop was given up before: read and discard the value
-        flow.offer(data)
+        elif flow.on_data is no_receiver:
+            flow.aborted = True  # the hop was given up before: read and discard the value
+        flow.feed(data)
 
     def value_finished(self) -> None:
         """The last byte of the value arrived."""
@@ -223,7 +223,7 @@
         flow = self.incoming
         return (
             flow is not None
-            and not flow.held_back
+            and not flow.paused
             and (self.pool.dispatcher.now() - self.incoming_moved_at > self.pool.limits.stall_timeout)
         )
 
@@ -240,7 +240,7 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         if self.idle_before_hop >= 0 and not self.closing:
-            self.pool.idle_loss.told(self.idle_before_hop, True)
+            self.pool.idle_loss.record_use(self.idle_before_hop, True)
         self.closing = self.transport_closed = True
         self.pool.connection_lost(self)
         self.pool.sockets.descriptor_freed(self)
@@ -290,7 +290,7 @@
         """Closes the connection at once and fails its hops."""
         if not self.closing:
             self.closing = True
-            self.pool.dispatcher.safety.closing_server(reason)
+            self.pool.dispatcher.safety.record_server_close(reason)
             self.pool.connection_lost(self)
             if self.established:
                 self.transport.abortConnection()
@@ -302,7 +302,7 @@
         """Closes an idle connection."""
         if not self.closing:
             self.closing = True
-            self.pool.dispatcher.safety.closing_server(reason)
+            self.pool.dispatcher.safety.record_server_close(reason)
             self.pool.connection_lost(self)
             self.close_after_write()
 
@@ -312,7 +312,7 @@
         self.to_write = deque()
         flow, self.incoming, self.outgoing = self.incoming, None, None
         if flow is not None:
-            flow.break_off()
+            flow.abort()
         for hop in hops:
             outcome = m.HopOutcome.UNREACHABLE if hop is self.writing else m.HopOutcome.RESET
             self.pool.dispatcher.hop_ended(hop, outcome)
--- a/ternquay/net/listener.py
+++ b/ternquay/net/listener.py
@@ -1,9 +1,9 @@
-"""A listening socket: accepts as many connections in a turn as fit, and goes on after any failure of accept().
+"""A listening socket that respects the socket limit and keeps accepting after any failure of accept().
 
-The library accepts many at once, unseen by the limit on sockets, closes clients unread where descriptors are short, and
-has no answer to most of the errors that accept(2) names. Here an error that belongs to one connection costs that
-connection alone; where the system has no room, accepting pauses for a moment, so that the loop does not spin on a
-socket that stays readable.
+Twisted's own port accepts many connections at once regardless of the socket limit, closes clients unread when file
+descriptors run short, and does not handle most of the errors that accept(2) lists. Here an error of one connection
+affects that connection only. If the system lacks resources, accepting pauses briefly, so that the loop does not spin on
+a socket that stays readable.
 """
 
 from collections import Counter
@@ -34,7 +34,7 @@
 from ternquay.net.transports import BackoffServer
 
 # Errors of the connection that was to be accepted, which accept(2) passes on, or of one that a firewall forbids.
-OF_ONE_CONNECTION = frozenset(
+CONNECTION_ERRORS = frozenset(
     {
         ECONNABORTED,
         EHOSTDOWN,
@@ -50,96 +50,102 @@
         ETIMEDOUT,
     }
 )
-# Seconds without accepting after any other error: doubled by each that follows before a connection was accepted.
-PAUSE_LEAST, PAUSE_MOST = 0.002, 0.064
-ACCEPT_QUEUE = Struct("=24xI")  # of the kernel's tcp_info: of a listening socket, what waits (tcpi_unacked)
-SOME = 16  # is taken for their number where the system does not tell it
-FAILED_MOST = 16  # connections that may fail one after the other, before there is a pause all the same
+# The pause in accepting after any other error. It doubles with each further error until a connection is accepted.
+MIN_PAUSE_SECONDS = 0.002
+MAX_PAUSE_SECONDS = 0.064
+TCP_INFO_UNACKED = Struct("=24xI")  # tcpi_unacked of the kernel's tcp_info: the accept queue of a listening socket
+ASSUMED_QUEUE_LENGTH = 16  # used where the kernel does not report the length
+MAX_CONSECUTIVE_FAILURES = 16  # connections that may fail in a row before accepting pauses nevertheless
 
 
 class Listener(Port):
-    """`room` tells how many connections may be accepted now; `accepted` is told whether that many were."""
+    """A TCP port. `accept_limit` returns how many connections may be accepted now; `on_accepted` is called afterwards
+    with whether more may wait."""
 
     transport = BackoffServer
-    room: Callable[[], int] = staticmethod(lambda: 1)
-    accepted: Callable[[bool], None] = staticmethod(lambda all_that_fit: None)
-    failed: Callable[[], None] = staticmethod(lambda: None)  # told of a failure for want of room
-
-    def __init__(self, *terms: Any, **more: Any) -> None:
-        super().__init__(*terms, **more)
-        self.failures: Counter[str] = Counter()  # of accept(), by the name of the error
-        self.opened = True  # as whoever owns it has said
-        self.pause: Any = None  # the timer of a pause
-        self.next_pause = PAUSE_LEAST
-        self.failed_since = 0  # connections that failed since the last one that was accepted
-
-    def gate(self, accept: bool) -> None:
-        """Accepts connections from now on, or none."""
-        self.opened = accept
-        if accept and self.pause is None:
+    accept_limit: Callable[[], int] = staticmethod(lambda: 1)
+    on_accepted: Callable[[bool], None] = staticmethod(lambda more_waiting: None)
+    on_no_room: Callable[[], None] = staticmethod(lambda: None)  # called when accepting fails for lack of resources
+
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
+        self.failures: Counter[str] = Counter()  # failures of accept() by error name
+        self.accepting = True  # as set by the owner
+        self.pause_call: Any = None  # ends the current pause
+        self.next_pause = MIN_PAUSE_SECONDS
+        self.consecutive_failures = 0  # since the last accepted connection
+
+    def set_accepting(self, accept: bool) -> None:
+        """Starts or stops accepting connections."""
+        self.accepting = accept
+        if accept and self.pause_call is None:
             self.startReading()
         else:
             self.stopReading()
 
-    def waiting(self) -> int:
-        """How many connections wait to be accepted; a few where the system tells only that there are some."""
-        asked = poll()
-        asked.register(self.socket.fileno(), POLLIN)
-        if not asked.poll(0):
+    def queue_length(self) -> int:
+        """Returns the length of the accept queue, or an assumed one where the kernel only reports that some wait."""
+        poller = poll()
+        poller.register(self.socket.fileno(), POLLIN)
+        if not poller.poll(0):
             return 0
         try:
-            told = self.socket.getsockopt(IPPROTO_TCP, TCP_INFO, ACCEPT_QUEUE.size)
+            info = self.socket.getsockopt(IPPROTO_TCP, TCP_INFO, TCP_INFO_UNACKED.size)
         except OSError:
-            return SOME
-        return int(ACCEPT_QUEUE.unpack(told)[0]) or SOME if len(told) == ACCEPT_QUEUE.size else SOME
+            return ASSUMED_QUEUE_LENGTH
+        return (
+            int(TCP_INFO_UNACKED.unpack(info)[0]) or ASSUMED_QUEUE_LENGTH
+            if len(info) == TCP_INFO_UNACKED.size
+            else ASSUMED_QUEUE_LENGTH
+        )
 
     def doRead(self) -> None:
         self.accept()
 
     def accept(self) -> None:
-        """Accepts what waits, as far as there is room."""
-        self.accepted(self.accept_some(self.room()))
+        """Accepts waiting connections up to the limit."""
+        self.on_accepted(self.accept_up_to(self.accept_limit()))
 
-    def accept_some(self, most: int) -> bool:
-        """Accepts up to so many connections; whether more may wait, as that many came or accepting failed."""
+    def accept_up_to(self, most: int) -> bool:
+        """Accepts up to `most` connections. Returns whether more may wait: that many came, or accepting failed."""
         for _ in range(most):
             try:
                 connection, address = self.socket.accept()
             except BlockingIOError:
                 return False
             except OSError as fault:
-                if not self.goes_on_after(fault):
+                if not self.handle_failure(fault):
                     return True
             else:
-                self.next_pause, self.failed_since = PAUSE_LEAST, 0
-                self.take(connection, address)
+                self.next_pause, self.consecutive_failures = MIN_PAUSE_SECONDS, 0
+                self.make_connection(connection, address)
         return True
 
-    def goes_on_after(self, fault: OSError) -> bool:
-        """Counts a failure, and warns of the first of its kind; whether the next connection may be tried at once."""
+    def handle_failure(self, fault: OSError) -> bool:
+        """Counts a failure and logs the first of its kind. Returns whether to try the next connection immediately."""
         name = errorcode.get(fault.errno or 0, "unknown")
         self.failures[name] += 1
         if self.failures[name] == 1:
-            logger.warning("accept failed: {}, further ones are counted and not told", name)
-        self.failed_since += 1
-        if fault.errno in OF_ONE_CONNECTION and self.failed_since < FAILED_MOST:
+            logger.warning("accept failed: {}, further failures of this kind are only counted", name)
+        self.consecutive_failures += 1
+        if fault.errno in CONNECTION_ERRORS and self.consecutive_failures < MAX_CONSECUTIVE_FAILURES:
             return True
-        if fault.errno not in OF_ONE_CONNECTION:
-            self.failed()
-        if self.pause is None:
+        if fault.errno not in CONNECTION_ERRORS:
+            self.on_no_room()
+        if self.pause_call is None:
             self.stopReading()
-            self.pause = self.reactor.callLater(self.next_pause, self.resume)
-            self.next_pause = min(PAUSE_MOST, 2 * self.next_pause)
+            self.pause_call = self.reactor.callLater(self.next_pause, self.end_pause)
+            self.next_pause = min(MAX_PAUSE_SECONDS, 2 * self.next_pause)
         return False
 
-    def resume(self) -> None:
-        """The pause after a failure is over."""
-        self.pause = None
-        if self.opened and self.connected and not self.disconnecting:
+    def end_pause(self) -> None:
+        """Ends the pause after a failure."""
+        self.pause_call = None
+        if self.accepting and self.connected and not self.disconnecting:
             self.startReading()
 
-    def take(self, connection: Any, address: Any) -> None:
-        """Hands on a connection that was accepted, made as the library makes it."""
+    def make_connection(self, connection: Any, address: Any) -> None:
+        """Creates the transport and protocol of an accepted connection in the same way as Twisted does."""
         if len(address) == 4:
             host, _ = getnameinfo(address, NI_NUMERICHOST | NI_NUMERICSERV)
             address = (host, *address[1:])
@@ -151,5 +157,5 @@
             return
         number = self.sessionno
         self.sessionno = number + 1
-        made: Any = self.transport(connection, protocol, address, self, number, self.reactor)
-        protocol.makeConnection(made)
+        transport: Any = self.transport(connection, protocol, address, self, number, self.reactor)
+        protocol.makeConnection(transport)
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -308,7 +308,7 @@
         )
         self.loop_timing = LoopTiming(self.limits.turn_duration)
         self.frontend = Frontend(self.reactor, self.dispatcher, self.limits, self.sockets, self.loop_timing)
-        self.dispatcher.watch = lambda: self.say("the list is asked for")
+        self.dispatcher.request_list = lambda: self.say("the list is asked for")
         self.pool.sweep()
         self.frontend.sweep()
         self.list(*(member(h) for h in range(1, hosts + 1)), complete=True)
@@ -318,7 +318,7 @@
 
     def list(self, *members: dict[str, Any], complete: bool = False) -> None:
         document = {"revision": 1, "complete": complete, "members": list(members)}
-        self.dispatcher.list_told(*parse_list(document, 0)[1:])
+        self.dispatcher.update_hosts(*parse_list(document, 0)[1:])
 
     def client(self) -> Wire:
         count = sum(w.name.startswith("client") for w in self.wires)
--- a/tests/test_hosted_parts.py
+++ b/tests/test_hosted_parts.py
@@ -488,7 +488,7 @@
     def run(self, turns: int, pause: int = 0) -> None:
         for _ in range(turns):
             self.now_ns += pause
-            self.loop_timing.begins(self.now_ns)
+            self.loop_timing.begin(self.now_ns)
             due = [call for call in self.delayed_calls if call[0] <= self.now_ns]
             self.delayed_calls = [call for call in self.delayed_calls if call[0] > self.now_ns]
             for _, what, arguments in due:
