--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -119,18 +119,21 @@
 
 
 def test_retries_back_off_and_stay_within_the_drain_grace_where_lists_are_pushed() -> None:
-    asked, pushed = WatchSchedule(limits(10_000), Random(2), False), WatchSchedule(limits(10_000, 400), Random(2), True)
+    requested, pushed = (
+        WatchSchedule(limits(10_000), Random(2), False),
+        WatchSchedule(limits(10_000, 400), Random(2), True),
+    )
     pauses = [pushed.failed(SECOND, CallFailure.NO_ANSWER) for _ in range(20)]
     assert all(pause <= 300 * MS for pause in pauses), pauses
     assert all(pause >= 100 * MS for pause in pauses[3:]), pauses
-    pauses = [asked.failed(SECOND, CallFailure.NO_ANSWER) for _ in range(200)]
+    pauses = [requested.failed(SECOND, CallFailure.NO_ANSWER) for _ in range(200)]
     assert 250 * MS <= pauses[0] <= 750 * MS and all(500 * MS <= pause <= 1500 * MS for pause in pauses[2:]), pauses
     assert 0.9 * SECOND < sum(pauses[2:]) / 198 < 1.1 * SECOND  # bounds the call rate of many balancers
     # A discovery that never answers is not retried fast for ever.
-    asked = WatchSchedule(limits(10_000), Random(2), False)
-    assert asked.failed(SECOND, CallFailure.SILENT) == 0
-    assert asked.failed(2 * SECOND, CallFailure.SILENT) <= 375 * MS
-    assert [asked.failed(at * SECOND, CallFailure.SILENT) >= 250 * MS for at in (14, 20, 26)] == [True] * 3
+    requested = WatchSchedule(limits(10_000), Random(2), False)
+    assert requested.failed(SECOND, CallFailure.SILENT) == 0
+    assert requested.failed(2 * SECOND, CallFailure.SILENT) <= 375 * MS
+    assert [requested.failed(at * SECOND, CallFailure.SILENT) >= 250 * MS for at in (14, 20, 26)] == [True] * 3
 
 
 def test_where_lists_are_requested_no_delay_exceeds_the_validity_of_the_list() -> None:
