--- a/ternquay/rig/terms.py
+++ b/ternquay/rig/terms.py
@@ -1,4 +1,4 @@
-"""A day of the rig: the world that is played, decoded from TOML and checked before anything starts."""
+"""The settings of a day of the rig, a test scenario: decoded from TOML and validated before anything starts."""
 
 import errno
 import tomllib
@@ -64,27 +64,29 @@
     "host-drains",
 }
 BALANCER_FAULTS = {"balancer-kill", "balancer-restart", "reload", "balancer-stop"}
-# Crowds of `count` clients of one balancer: each stops in a request and stays, says nothing, or takes no answers.
+# Crowds of `count` clients of one balancer: each stops within a request, sends nothing, or reads no answers.
 CROWDS = {"crowd-stops", "crowd-silent", "crowd-unread"}
 
 
 class DayError(ValueError):
-    """A day, or what is laid over it, can't be used; the text names the file and the field."""
+    """A day, or an override of its settings, is invalid; the text names the file and the field."""
 
 
 class Terms(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The base of all parts of a day: nothing that is not known is passed over in silence."""
+    """The base of all parts of a day; unknown fields are errors."""
 
 
 class ProfileTerms(Terms, frozen=True):
+    """A profile of transactions and its share of the arrivals."""
+
     name: str
     kind: Literal["idempotent", "journalled", "non-idempotent"]
     share: Share
     revenue: Positive
-    work_ms: tuple[Positive, Positive]  # of a core of speed 1, from and to
+    work_ms: tuple[Positive, Positive]  # range of the work on a core of speed 1
     service_goal_ms: Count
     hard_limit_ms: Count
-    memory_ms: Millis = 0  # how long repeats of a journalled one are dropped
+    memory_ms: Millis = 0  # how long a cache host recognizes repeats of a journalled transaction
 
     @property
     def write(self) -> bool:
@@ -92,83 +94,96 @@
 
 
 class HostTerms(Terms, frozen=True):
+    """The cache hosts."""
+
     count: Count = 10
-    zones: Count = 1  # dealt out over them by turns, and so are balancers
+    zones: Count = 1  # hosts and balancers are assigned to zones in turn
     cores: Count = 1
     speed: tuple[Positive, Positive] = (0.9, 1.4)
-    queue: Count = 40  # commands that wait or run; beyond that it turns away
+    queue: Count = 40  # commands that wait or run; a host rejects more as busy
     keep_bytes: Count = 900_000
-    kept_at_start: Share = 0.9  # of those bytes, the keys most asked for
-    shares_fetches: bool = True
-    cold_share: Share = 0.2
+    kept_at_start: Share = 0.9  # of keep_bytes, filled with the most popular keys
+    shares_fetches: bool = True  # concurrent misses of a key share one fetch
+    cold_share: Share = 0.2  # of the full speed, right after a start
     warm_within_ms: Count = 6000
-    tip_multiple: Positive = 4.0
+    tip_multiple: Positive = 4.0  # a cold host collapses if the work in the window exceeds its capacity so many times
     tip_window_ms: Count = 1000
 
 
 class OriginTerms(Terms, frozen=True):
-    places: Count = 12
+    """The origin, which stops for `stopped_ms` when its request rate passes `stopping_rate`."""
+
+    places: Count = 12  # concurrent requests
     took_ms: tuple[Positive, Positive] = (30.0, 70.0)
-    stopping_rate: Positive = 420.0  # fetches and writes a second, over the window
+    stopping_rate: Positive = 420.0  # fetches and writes per second, over the window
     stopping_window_ms: Count = 1000
     stopped_ms: Count = 3000
     queue: Count = 400
 
 
 class ClientTerms(Terms, frozen=True):
-    rate: Positive = 400.0  # transactions a second, of all balancers together
+    """The clients."""
+
+    rate: Positive = 400.0  # transactions per second, over all balancers
     keys: Count = 4000
     skew: float = 0.9
     value_bytes: tuple[Count, Count] = (200, 2000)
     tries: Count = 3
     leaves_early: Share = 0.002
     pipelined: Share = 0.05
-    connections: Count = 40  # at most, to one balancer from one load process
-    stops: Annotated[float, msgspec.Meta(ge=0.0)] = 0.0  # a second: that stop in the middle of a request and stay
+    connections: Count = 40  # limit per load process and balancer
+    # Clients per second that stop in the middle of a request and stay connected.
+    stops: Annotated[float, msgspec.Meta(ge=0.0)] = 0.0
 
 
 class ListTerms(Terms, frozen=True):
+    """The list of cache hosts."""
+
     late_ms: tuple[Millis, Millis] = (300, 1500)
-    must_ask_ms: Count = 10_000  # for so long a balancer without a watch is held to the list that it has
-    weights_ms: Millis = 0  # so often it tells each host's size, lowered by what it holds; 0: sizes alone
+    must_ask_ms: Count = 10_000  # a balancer without a watch is held to its list for this time
+    weights_ms: Millis = 0  # interval of weight updates that lower a loaded host's size; 0 for none
 
 
 class RuleTerms(Terms, frozen=True):
+    """The limits that the judge applies."""
+
     drain_grace_ms: Count = 500
-    slack_ms: Count = 50  # on sockets each limit in time is so much longer
-    cold_part: Share = 0.5  # of the fetches before a stop: from there on it is the cold hosts'
+    slack_ms: Count = 50  # tolerance added to each time limit on sockets
+    cold_part: Share = 0.5  # share of fetches by cold hosts from which they count as the cause of an outage
 
 
 class BalancerTerms(Terms, frozen=True):
+    """The balancers."""
+
     count: Count = 2
     sockets: Annotated[int, msgspec.Meta(ge=48)] = 512
     memory_mb: Annotated[int, msgspec.Meta(ge=64)] = 128
     most_hops: Count = 4
     second_copies: bool = True
-    reshaped: Millis = 0  # so many, from the first, are told what the list's weights are, zones and their price
+    reshaped: Millis = 0  # number of balancers, from the first, configured with list weights, zones and zone cost
 
 
 class TenantTerms(Terms, frozen=True):
-    """One tenant of a hosted balancer; with `fleet` it has the cache hosts of the tenant of that name."""
+    """One tenant of a hosted balancer; with `fleet` it shares the cache hosts of the tenant of that name."""
 
     name: str
     rate: Positive = 120.0
     hosts: Count = 5
     fleet: str = ""
-    addresses: Count = 4  # that its clients come from
+    addresses: Count = 4  # source addresses of its clients
     txs_a_second: Positive = 300.0
     burst: Count = 150
     open_txs: Count = 400
     clients: Count = 150
-    least: Share = 0.25  # of the process's time, sockets and memory
-    most: Share = 0.8
+    least: Share = 0.25  # guaranteed share of the process's time, sockets and memory
+    most: Share = 0.8  # upper limit of that share
 
 
 FloodShape = Literal["none", "pipelined", "connections", "values", "halves", "garbage", "api"]
 
 
 class FloodTerms(Terms, frozen=True):
-    """One client that sends `factor` times what its tenant may have."""
+    """One client that sends `factor` times its tenant's limit."""
 
     shape: FloodShape = "none"
     tenant: str = ""
@@ -178,10 +193,10 @@
 
 
 class ChangeTerms(Terms, frozen=True):
-    """Changes by the administration API during the play."""
+    """Configuration changes through the administration API during the play."""
 
-    a_second: Annotated[float, msgspec.Meta(ge=0.0)] = 0.0
-    tenants: tuple[str, ...] = ()  # those that are changed
+    a_second: Annotated[float, msgspec.Meta(ge=0.0)] = 0.0  # changes per second
+    tenants: tuple[str, ...] = ()  # tenants to change
 
 
 TroubleKind = Literal[
@@ -202,48 +217,50 @@
 
 
 class Trouble(Terms, frozen=True):
-    """Something between or to the members of a fleet. `who`: drawn as it begins, but for halves and all."""
+    """A fault of fleet members or between them. `who` draws the members as it begins, except for halves and all."""
 
     kind: TroubleKind
     start: Share  # of the play's length
     end: Share
     who: Literal["leader", "follower", "any", "all"] = "any"
-    ms: Millis = 0  # how late messages are at most
-    part: Share = 0.0  # of messages that are lost, and as many doubled
-    flaps: Count = 1  # so often on and off
+    ms: Millis = 0  # maximum message delay
+    part: Share = 0.0  # share of messages that are lost, and share of those that are duplicated
+    flaps: Count = 1  # number of on/off cycles
 
 
 class AgreementTerms(Terms, frozen=True):
-    """A fleet of hosted balancers that is changed while members fail; see rig/agree.py."""
+    """A fleet of hosted balancers that receives changes while members fail; see rig/agree.py."""
 
-    a_second: Annotated[float, msgspec.Meta(ge=0.0)] = 0.0  # changes
+    a_second: Annotated[float, msgspec.Meta(ge=0.0)] = 0.0  # changes per second
     lease_ms: Count = 1000
     alone: Literal["stop", "go-on"] = "stop"
-    peers: bool = True  # without, each member is a service by itself, and nothing is changed: for what peers cost
+    peers: bool = True  # if false, members are independent and unchanged, to measure the cost of peers
     troubles: tuple[Trouble, ...] = ()
 
 
 class Fault(Terms, frozen=True):
+    """A fault of the day. Its targets are a share or a count of the hosts, drawn by the seed."""
+
     kind: FaultKind
     start: Share  # of the play's length
     end: Share
-    share: Share | None = None  # of the hosts, or
-    count: Count | None = None  # so many of them
+    share: Share | None = None  # of the hosts, or:
+    count: Count | None = None  # number of hosts or clients
     balancer: Annotated[int, msgspec.Meta(ge=0)] = 0
-    tenant: str = ""  # whose fleet, on days with tenants
+    tenant: str = ""  # on days with tenants: whose cache hosts
     factor: Positive = 1.0
-    part: Share = 0.0  # of answers, connections, arrivals or commands, by kind
+    part: Share = 0.0  # of answers, connections, arrivals or commands, depending on the kind
     ms: Millis = 0
 
 
 Call = Literal[
     "accept", "socket", "bind", "listen", "connect_ex", "send", "recv", "setsockopt", "shutdown", "close", "epoll_ctl"
 ]
-SHORT = "SHORT"  # in the place of an error: fewer bytes are read or written than could be
+SHORT = "SHORT"  # instead of an error name: a partial read or write
 
 
 class CallFault(Terms, frozen=True):
-    """`call` fails with `error` from `start` to `end`, in seconds from the start of the process, so often of all."""
+    """`call` fails with `error` and probability `rate` from `start` to `end`, in seconds since the process started."""
 
     call: Call
     error: str
@@ -253,15 +270,17 @@
 
 
 class ClockStep(Terms, frozen=True):
-    """The wall clock of a process is set forward, or back, so many seconds after its start, by so many seconds."""
+    """The wall clock of a process is set forward or back by `by` seconds, `at` seconds after its start."""
 
     at: Annotated[float, msgspec.Meta(ge=0.0)]
     by: float
 
 
 class Day(Terms, frozen=True):
+    """A day: everything that one play needs besides the seed."""
+
     name: str
-    line: str
+    line: str  # one-line description
     profiles: tuple[ProfileTerms, ...]
     seconds: Positive = 20.0
     hosts: HostTerms = HostTerms()
@@ -275,17 +294,17 @@
     flood: FloodTerms = FloodTerms()
     changes: ChangeTerms = ChangeTerms()
     agreement: AgreementTerms = AgreementTerms()
-    calls: tuple[CallFault, ...] = ()  # of each balancer, from the start of each of its lives
+    calls: tuple[CallFault, ...] = ()  # faults of each balancer process, timed from each of its starts
     clock: tuple[ClockStep, ...] = ()
 
 
 def has_stopped_clients(day: Day) -> bool:
-    """Whether a process of clients that don't go on is part of the play."""
+    """Whether the play needs the process of clients that stop."""
     return day.clients.stops > 0 or any(one.kind in CROWDS for one in day.faults)
 
 
 class PlannedFault(msgspec.Struct, frozen=True):
-    """A fault with its times and targets settled."""
+    """A fault with its times, in nanoseconds, and its targets."""
 
     kind: str
     start: int
@@ -299,12 +318,12 @@
 
 
 def active_fault(faults: tuple[PlannedFault, ...], now: int, kind: str) -> PlannedFault | None:
-    """The first fault of that kind that acts now."""
+    """Returns the first fault of that kind that is active now, or None."""
     return next((f for f in faults if f.kind == kind and f.start <= now < f.end), None)
 
 
 def _invalid_field(day: Day) -> str:
-    """What is wrong with a day beyond the types of its fields, or nothing."""
+    """Returns what is invalid in a day beyond the types of its fields, or an empty string."""
     if not day.profiles:
         return "profiles: at least one is wanted"
     total = sum(p.share for p in day.profiles)
@@ -339,22 +358,23 @@
 
 
 def invalid_calls(calls: tuple[CallFault, ...], where: str) -> str:
-    """What is wrong with failing calls beyond the types of their fields, or nothing."""
+    """Returns what is invalid in call faults beyond the types of their fields, or an empty string."""
     for i, one in enumerate(calls):
         if one.error == SHORT and one.call not in ("send", "recv"):
             return f"{where}[{i}].error: {SHORT} is for send and recv"
         if one.error != SHORT and one.error not in errno.errorcode.values():
-            return f"{where}[{i}].error: no error is called {one.error:.40}"
+            return f"{where}[{i}].error: unknown error {one.error:.40}"
         if not 0 <= one.start < one.end:
             return f"{where}[{i}].end: {one.end} is not after the start"
     return ""
 
 
 def _invalid_tenants(day: Day) -> str:
+    """Returns what is invalid in the settings of tenants, or an empty string."""
     names = [one.name for one in day.tenants]
     owners = {one.name for one in day.tenants if not one.fleet}
     if len(set(names)) != len(names):
-        return "tenants: a name stands there twice"
+        return "tenants: a name is not unique"
     for i, one in enumerate(day.tenants):
         if one.fleet and one.fleet not in owners:
             return f"tenants[{i}].fleet: {one.fleet} is no tenant with cache hosts of its own"
@@ -369,18 +389,19 @@
     return ""
 
 
-def _checked(told: Any, where: str) -> Day:
+def _checked(document: Any, where: str) -> Day:
     try:
-        day = msgspec.convert(told, Day)
-    except msgspec.ValidationError as fault:
-        text, _, path = str(fault).partition(" - at `$")
-        raise DayError(f"{where}: {path.strip('.`') or 'the day'}: {text}") from fault
+        day = msgspec.convert(document, Day)
+    except msgspec.ValidationError as error:
+        text, _, path = str(error).partition(" - at `$")
+        raise DayError(f"{where}: {path.strip('.`') or 'the day'}: {text}") from error
     if wrong := _invalid_field(day):
         raise DayError(f"{where}: {wrong}")
     return day
 
 
 def day_names() -> list[str]:
+    """Returns the names of the days that come with the rig, sorted."""
     folder = resources.files("ternquay.rig") / "days"
     return sorted(
         entry.name[:-5] for entry in folder.iterdir() if entry.name.endswith(".toml") and entry.name != "base.toml"
@@ -388,45 +409,46 @@
 
 
 def read_toml(path: Path) -> dict[str, Any]:
+    """Reads a TOML file. Raises DayError, which names the file."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
-    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as fault:
-        raise DayError(f"{path}: {fault}") from fault
+    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        raise DayError(f"{path}: {error}") from error
 
 
 def merge_tables(below: dict[str, Any], above: dict[str, Any]) -> dict[str, Any]:
-    """Tables are merged, all else is replaced."""
-    both = dict(below)
+    """Returns `below` overridden by `above`: tables are merged, all else is replaced."""
+    merged = dict(below)
     for field, value in above.items():
-        old = both.get(field)
-        both[field] = merge_tables(old, value) if isinstance(old, dict) and isinstance(value, dict) else value
-    return both
+        old = merged.get(field)
+        merged[field] = merge_tables(old, value) if isinstance(old, dict) and isinstance(value, dict) else value
+    return merged
 
 
 def read_day(name: str, over: dict[str, Any] | None = None) -> Day:
-    """A day of the rig by its name, or of one's own by the path of its file; `over` is laid over it."""
+    """Reads a day by its name or by the path of a TOML file, with `over` merged over it. Raises DayError."""
     folder = Path(str(resources.files("ternquay.rig") / "days"))
     path = Path(name) if name.endswith(".toml") else folder / f"{name}.toml"
     if not name.endswith(".toml") and name not in day_names():
         raise DayError(f"{name}: no day of that name; there are {', '.join(day_names())}")
-    told = merge_tables(merge_tables(read_toml(folder / "base.toml"), read_toml(path)), over or {})
-    told.setdefault("name", path.stem)
-    return _checked(told, str(path) if name.endswith(".toml") else path.name)
+    document = merge_tables(merge_tables(read_toml(folder / "base.toml"), read_toml(path)), over or {})
+    document.setdefault("name", path.stem)
+    return _checked(document, str(path) if name.endswith(".toml") else path.name)
 
 
 def with_flood(day: Day, shape: str) -> Day:
-    """The day with another shape of its flood."""
+    """Returns the day with another shape of its flood."""
     return msgspec.structs.replace(day, flood=msgspec.structs.replace(day.flood, shape=shape))
 
 
 def plan_faults(day: Day, seed: int) -> tuple[PlannedFault, ...]:
-    """The faults of a day with their targets drawn; the same for the same seed."""
-    length, found = int(day.seconds * SECOND), []
+    """Returns the faults of a day with their targets drawn, the same for the same seed."""
+    length, faults = int(day.seconds * SECOND), []
     for i, f in enumerate(day.faults):
-        drawn = Random(f"{seed}/fault/{i}")
-        many = f.count if f.count is not None else round((f.share or 0.0) * day.hosts.count)
-        hosts = tuple(sorted(drawn.sample(range(day.hosts.count), min(max(1, many), day.hosts.count))))
-        found.append(
+        random = Random(f"{seed}/fault/{i}")
+        target_count = f.count if f.count is not None else round((f.share or 0.0) * day.hosts.count)
+        hosts = tuple(sorted(random.sample(range(day.hosts.count), min(max(1, target_count), day.hosts.count))))
+        faults.append(
             PlannedFault(
                 f.kind,
                 int(f.start * length),
@@ -439,4 +461,4 @@
                 f.count or 1,
             )
         )
-    return tuple(found)
+    return tuple(faults)
