--- a/tests/test_between.py
+++ b/tests/test_between.py
@@ -1,4 +1,4 @@
-"""The layer between members by itself: what comes out on a connection is frames, each whole, whatever is slowed."""
+"""The fault injection between members delivers each frame whole, however the connection is slowed."""
 
 import socket
 import time
@@ -8,34 +8,35 @@
 BODY = 300
 
 
-def frames(text: bytes) -> list[bytes]:
-    found = []
+def parse_frames(text: bytes) -> list[bytes]:
+    """Returns the bodies of the length-prefixed frames."""
+    bodies = []
     while text:
         length = int.from_bytes(text[:4], "big")
-        found.append(text[4 : 4 + length])
+        bodies.append(text[4 : 4 + length])
         text = text[4 + length :]
-    return found
+    return bodies
 
 
-def test_a_frame_that_was_held_back_does_not_come_in_the_midst_of_one_that_drips() -> None:
-    """Against a stream that can be read no more: its receiver takes some bytes for a length, and waits for so many."""
+def test_a_delayed_frame_is_not_written_into_the_middle_of_a_dripping_one() -> None:
+    """Interleaved frames corrupt the stream: the receiver reads body bytes as a length and waits for that many."""
     with socket.create_server(("127.0.0.1", 0)) as one, socket.create_server(("127.0.0.1", 0)) as other:
         between = Between({"a": one.getsockname(), "b": other.getsockname()})
-        way = between.ways["a", "b"]
-        way.delay = 0.05
-        said = [bytes([n]) * BODY for n in range(40)]
+        direction = between.ways["a", "b"]
+        direction.delay = 0.05
+        sent = [bytes([n]) * BODY for n in range(40)]
         with socket.create_connection(between.told["a", "b"]) as source:
-            for n, body in enumerate(said):
+            for n, body in enumerate(sent):
                 if n == 20:
                     between.heal()
-                    way.drip = 64
+                    direction.drip = 64
                 source.sendall(len(body).to_bytes(4, "big") + body)
                 time.sleep(0.006)
             sink, _ = other.accept()
             with sink:
                 sink.settimeout(10)
-                got = b""
-                while len(got) < len(said) * (4 + BODY):
-                    got += sink.recv(1 << 16)
+                received = b""
+                while len(received) < len(sent) * (4 + BODY):
+                    received += sink.recv(1 << 16)
         between.end()
-    assert sorted(frames(got)) == said
+    assert sorted(parse_frames(received)) == sent
