--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,4 @@
-"""Small wrong balancers on virtual time: the judge convicts each of just what it does, and acquits the right one."""
+"""The judge reports exactly the violation of each deliberately wrong balancer, on virtual time."""
 
 from collections import Counter
 from typing import Any
@@ -14,23 +14,23 @@
 from ternquay.rig.virtual import World
 
 QUIET = {"seconds": 8.0, "clients": {"rate": 120.0, "leaves_early": 0.0}}
-FORGETFUL = QUIET | {
+SHORT_MEMORY = QUIET | {
     "profiles": [
         msgspec.structs.asdict(p) | ({"memory_ms": 500} if p.memory_ms else {}) for p in read_day("calm").profiles
     ]
 }
-DRAINED = QUIET | {"faults": [{"kind": "host-replaced", "start": 0.3, "end": 0.4, "share": 0.5, "ms": 2000}]}
+DRAINING = QUIET | {"faults": [{"kind": "host-replaced", "start": 0.3, "end": 0.4, "share": 0.5, "ms": 2000}]}
 CRASHED = QUIET | {"faults": [{"kind": "host-crash", "start": 0.3, "end": 0.4, "share": 0.4}]}
 STOPPING = QUIET | {"faults": [{"kind": "origin-slow", "start": 0.2, "end": 0.9, "factor": 30.0}]}
 
 
 class Right:
-    """By the hash of the key to a host that is told as up; hops are counted, and all four rules kept."""
+    """Sends each key to a listed host by its hash, counts hops and keeps all four rules."""
 
     def __init__(self, world: World) -> None:
         self.world = world
         self.names = {host.index: host.name for host in world.fleet.hosts}
-        self.since: dict[int, int] = {}
+        self.started_at: dict[int, int] = {}
         self.open: dict[str, records.Try] = {}
         self.hops: Counter[str] = Counter()
         self.seen = 0
@@ -42,13 +42,13 @@
         for entry in entries:
             place = int(entry.id.split("-")[1])
             if entry.phase == "up":
-                self.names[place], self.since[place] = entry.id, entry.since
+                self.names[place], self.started_at[place] = entry.id, entry.since
             elif self.names.get(place) == entry.id:
                 del self.names[place]
 
     def usable(self) -> list[int]:
         age = self.world.now - self.world.day.hosts.warm_within_ms * MS
-        return [h for h in sorted(self.names) if not self.since.get(h) or self.since[h] < age]
+        return [h for h in sorted(self.names) if not self.started_at.get(h) or self.started_at[h] < age]
 
     def host(self, one: records.Try, arrival: Arrival) -> int:
         usable = self.usable()
@@ -72,11 +72,13 @@
         if what in ("value", "receipt"):
             self.world.answer(id, what, stamp)
         else:
-            unharmed = what in ("busy", "none") or self.kind(one) == "idempotent"
-            self.world.answer(id, "rolled-back" if unharmed else "abandoned")
+            had_no_effect = what in ("busy", "none") or self.kind(one) == "idempotent"
+            self.world.answer(id, "rolled-back" if had_no_effect else "abandoned")
 
 
-class Loses(Right):
+class LosesAnswers(Right):
+    """Drops some answers."""
+
     def hop_ended(self, id: str, hop: records.Hop, what: str, stamp: str) -> None:
         if self.seen % 50:
             super().hop_ended(id, hop, what, stamp)
@@ -84,20 +86,26 @@
             self.open.pop(id, None)
 
 
-class Late(Right):
+class AnswersLate(Right):
+    """Gives up after the hard limit instead of before it."""
+
     def give_up(self, id: str) -> None:
         if one := self.open.get(id):
             self.world.later(one.planned - 1000 * SECOND + one.limit + 120 * MS, super().give_up, id)
 
 
-class Twice(Right):
+class AnswersTwice(Right):
+    """Sends some answers twice."""
+
     def hop_ended(self, id: str, hop: records.Hop, what: str, stamp: str) -> None:
         super().hop_ended(id, hop, what, stamp)
         if what == "value" and not self.seen % 20:
             self.world.answer(id, what, stamp)
 
 
-class AfterTheAnswer(Right):
+class HopsAfterTheAnswer(Right):
+    """Sends another hop after the final answer."""
+
     def hop_ended(self, id: str, hop: records.Hop, what: str, stamp: str) -> None:
         super().hop_ended(id, hop, what, stamp)
         if what == "value" and self.hops[id] == 1 and not self.seen % 20:
@@ -106,7 +114,7 @@
 
 
 class SendsAgain(Right):
-    """A second hop of what may run but once, while the first is out."""
+    """Sends a second hop of a non-idempotent transaction while the first is in progress."""
 
     def arrived(self, one: records.Try, arrival: Arrival) -> None:
         super().arrived(one, arrival)
@@ -114,8 +122,8 @@
             self.world.hop(one.id, (self.host(one, arrival) + 1) % 10)
 
 
-class PromisesMuch(Right):
-    """Says that trying again is harmless when it gives up."""
+class ClaimsRollback(Right):
+    """Reports a rollback whenever it gives up, even if a hop may have run."""
 
     def kind(self, one: records.Try) -> str:
         return "idempotent"
@@ -125,7 +133,7 @@
 
 
 class ForgetsTheMark(Right):
-    """A journalled one is sent again after its mark is forgotten."""
+    """Repeats a journalled transaction after the cache host has forgotten its mark."""
 
     def arrived(self, one: records.Try, arrival: Arrival) -> None:
         super().arrived(one, arrival)
@@ -134,18 +142,22 @@
 
     def hop_ended(self, id: str, hop: records.Hop, what: str, stamp: str) -> None:
         if id in self.open and self.kind(self.open[id]) == "journalled" and self.hops[id] == 1:
-            self.hops[id] += 1  # the first answer is lost on the way
+            self.hops[id] += 1  # the first answer counts as lost
         else:
             super().hop_ended(id, hop, what, stamp)
 
 
 class IgnoresTheList(Right):
+    """Keeps hosts that drain or are removed."""
+
     def told(self, entries: list[Entry]) -> None:
         self.names |= {int(e.id.split("-")[1]): e.id for e in entries}
-        self.since.clear()
+        self.started_at.clear()
 
 
 class WrongId(Right):
+    """Answers some commands with the id of another one."""
+
     def hop_ended(self, id: str, hop: records.Hop, what: str, stamp: str) -> None:
         if what == "value" and not self.seen % 20:
             self.open.pop(id, None)
@@ -155,7 +167,7 @@
 
 
 class OutOfOrder(Right):
-    """The first answer on a connection is the second one's."""
+    """Sends the second answer on a connection first."""
 
     def arrived(self, one: records.Try, arrival: Arrival) -> None:
         one.connection, one.place = self.seen // 2, self.seen % 2
@@ -171,7 +183,9 @@
             super().hop_ended(id, hop, what, stamp)
 
 
-class MakesUp(Right):
+class InventsValues(Right):
+    """Answers with a value that no cache host sent."""
+
     def arrived(self, one: records.Try, arrival: Arrival) -> None:
         super().arrived(one, arrival)
         if one.profile < 2 and not self.seen % 20:
@@ -179,52 +193,54 @@
             self.world.later(self.world.now + 20 * MS, self.world.answer, one.id, "value", "made-up/200")
 
 
-class KeepsValues(Right):
-    """Answers with what a cache host made for somebody else."""
+class CachesValues(Right):
+    """Answers with a value that a cache host sent for another transaction."""
 
     def __init__(self, world: World) -> None:
         super().__init__(world)
-        self.kept: dict[str, str] = {}
+        self.values: dict[str, str] = {}
 
     def arrived(self, one: records.Try, arrival: Arrival) -> None:
-        if arrival.key in self.kept and one.profile < 2:
-            self.world.answer(one.id, "value", self.kept[arrival.key])
+        if arrival.key in self.values and one.profile < 2:
+            self.world.answer(one.id, "value", self.values[arrival.key])
         else:
             super().arrived(one, arrival)
 
     def hop_ended(self, id: str, hop: records.Hop, what: str, stamp: str) -> None:
         if what == "value":
-            self.kept[self.world.open[id].arrival.key] = stamp
+            self.values[self.world.open[id].arrival.key] = stamp
         super().hop_ended(id, hop, what, stamp)
 
 
-class PushesCold(Right):
-    """Whoever has just started gets everything."""
+class OverloadsColdHost(Right):
+    """Sends everything to a host that has just started."""
 
     def usable(self) -> list[int]:
-        young = [h for h in sorted(self.names) if self.since.get(h)]
-        return young[:1] or super().usable()
+        started_hosts = [h for h in sorted(self.names) if self.started_at.get(h)]
+        return started_hosts[:1] or super().usable()
+
 
+class FetchesThroughColdHosts(Right):
+    """Sends everything to the hosts that have started during the play."""
 
-class FetchesThroughCold(Right):
     def usable(self) -> list[int]:
-        young = [h for h in sorted(self.names) if self.since.get(h)]
-        return young or super().usable()
+        started_hosts = [h for h in sorted(self.names) if self.started_at.get(h)]
+        return started_hosts or super().usable()
 
 
 CASES: list[tuple[type[Right], dict[str, Any], str, str]] = [
-    (Loses, QUIET, "lost", "no answer"),
-    (Late, STOPPING, "lost", "an answer after the hard limit"),
-    (Twice, QUIET, "lost", "an answer that nothing was owed"),
-    (AfterTheAnswer, QUIET, "lost", "a hop after the final answer"),
+    (LosesAnswers, QUIET, "lost", "no answer"),
+    (AnswersLate, STOPPING, "lost", "an answer after the hard limit"),
+    (AnswersTwice, QUIET, "lost", "an answer that nothing was owed"),
+    (HopsAfterTheAnswer, QUIET, "lost", "a hop after the final answer"),
     (SendsAgain, QUIET, "twice", "sent again though an earlier hop may have run"),
     (SendsAgain, QUIET, "twice", "an effect twice"),
-    (PromisesMuch, STOPPING, "twice", "rolled back though a hop may have run"),
-    (ForgetsTheMark, FORGETFUL, "twice", "a repeat sent when its mark was forgotten"),
-    (IgnoresTheList, DRAINED, "drains", "a hop past the grace after a notice"),
-    (PushesCold, CRASHED, "cold", "a cold host was pushed over"),
+    (ClaimsRollback, STOPPING, "twice", "rolled back though a hop may have run"),
+    (ForgetsTheMark, SHORT_MEMORY, "twice", "a repeat sent when its mark was forgotten"),
+    (IgnoresTheList, DRAINING, "drains", "a hop past the grace after a notice"),
+    (OverloadsColdHost, CRASHED, "cold", "a cold host was pushed over"),
     (
-        FetchesThroughCold,
+        FetchesThroughColdHosts,
         CRASHED
         | {
             "clients": {"rate": 400.0, "leaves_early": 0.0, "skew": 0.1},
@@ -236,37 +252,37 @@
     ),
     (WrongId, QUIET, "wrong", "an answer for the wrong id"),
     (OutOfOrder, QUIET, "wrong", "an answer out of order"),
-    (MakesUp, QUIET, "wrong", "an answer that no cache host made for it"),
-    (KeepsValues, QUIET, "wrong", "an answer that no cache host made for it"),
+    (InventsValues, QUIET, "wrong", "an answer that no cache host made for it"),
+    (CachesValues, QUIET, "wrong", "an answer that no cache host made for it"),
 ]
 
 
-def found(kind: type[Right], over: dict[str, Any]) -> Counter[tuple[str, str]]:
+def violations(kind: type[Right], over: dict[str, Any]) -> Counter[tuple[str, str]]:
     day = read_day("calm", over)
     return Counter((b.rule, b.what) for b in judge(day, World(day, 3, kind).run()))
 
 
-@pytest.mark.parametrize("over", [QUIET, DRAINED, CRASHED, STOPPING])
-def test_a_right_balancer_is_acquitted(over: dict[str, Any]) -> None:
-    assert found(Right, over) == Counter()
+@pytest.mark.parametrize("over", [QUIET, DRAINING, CRASHED, STOPPING])
+def test_a_right_balancer_breaks_no_rule(over: dict[str, Any]) -> None:
+    assert violations(Right, over) == Counter()
 
 
 @pytest.mark.parametrize(("kind", "over", "rule", "what"), CASES, ids=lambda x: getattr(x, "__name__", None))
-def test_a_wrong_balancer_is_convicted_of_what_it_does(
+def test_the_judge_reports_what_a_wrong_balancer_does(
     kind: type[Right], over: dict[str, Any], rule: str, what: str
 ) -> None:
-    told = found(kind, over)
-    assert told[rule, what] > 0
-    assert {broken for broken, _ in told} == {rule}
+    reported = violations(kind, over)
+    assert reported[rule, what] > 0
+    assert {broken for broken, _ in reported} == {rule}
 
 
-def closed_early(**terms: Any) -> Counter[str]:
-    """A right play in which one connection ended under its transaction, with these terms for that try."""
+def closed_early(**changes: Any) -> Counter[str]:
+    """Judges a right play in which one connection ended during its transaction; `changes` are applied to that try."""
     day = read_day("calm", QUIET)
     saw = World(day, 3, Right).run()
     one = next(t for t in saw.loads[0].tries if t.profile == 0 and t.number > 50)
     one.answer, one.ended, one.answer_id = "closed", one.sent + 30 * MS, ""
-    for field, value in terms.items():
+    for field, value in changes.items():
         if field == "killed":
             saw.lives[0] = records.Life(0, saw.lives[0].started, ended=one.ended, killed=True)
         elif field == "crashed":
@@ -278,7 +294,7 @@
     return Counter(b.what for b in judge(day, saw) if b.rule == "lost")
 
 
-def test_a_connection_that_ends_under_a_transaction_loses_it_unless_its_balancer_died_or_it_crossed_the_close() -> None:
+def test_a_closed_connection_loses_its_transaction_unless_the_balancer_died_or_it_crossed_the_close() -> None:
     lost = {"the connection was closed without an answer": 1}
     assert closed_early() == lost
     assert closed_early(unsent=True, alone=False) == lost
