--- a/ternquay/hosted/shared/frontend.py
+++ b/ternquay/hosted/shared/frontend.py
@@ -23,7 +23,7 @@
 
 ITEMS_PER_CLOCK_CHECK = 4  # commands read, or connections accepted, before the clock is checked
 MAX_UNREAD_BYTES = 16 << 10  # buffered on one connection before reading from it is paused
-MAX_OWED_ANSWERS = 1024  # of one connection before reading from it is paused
+MAX_PENDING_ANSWERS = 1024  # of one connection, before reading from it is paused
 # A client with more open transactions than both of these crowds others: a count, and a multiple of its equal part.
 CROWDING_MIN_OPEN = 8
 CROWDING_FACTOR = 1.5
@@ -67,9 +67,9 @@
 
 
 class TenantClient(ClientConnection):
-    """A client connection that is read at once while nothing is waiting, and else when its turn comes.
+    """A client connection that is read at once while no other waits for a turn, and in its turn otherwise.
 
-    Reading from the socket is paused while too much is unread or too many answers are owed.
+    Reading from the socket is paused while too much is unread or too many answers are pending.
     """
 
     frontend: "TenantFrontend"
@@ -85,9 +85,9 @@
         self.turn_wait = 0  # how long it waited for the present one
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        for one in self.pending:
-            if isinstance(one, PendingAnswer) and one.answer is None:
-                self.answer_ready(one)
+        for pending_answer in self.pending:
+            if isinstance(pending_answer, PendingAnswer) and pending_answer.answer is None:
+                self.answer_ready(pending_answer)
         super().connectionLost(reason)
 
     def rawDataReceived(self, data: bytes) -> None:
@@ -127,7 +127,7 @@
         return not held and super().is_stalled()
 
     def pause_if_full(self) -> None:
-        """Pauses reading from the socket if too much is unread or too many answers are owed."""
+        """Pauses reading from the socket if too much is unread or too many answers are pending."""
         if (
             not self.reading_paused
             and not self.ended
@@ -136,9 +136,9 @@
             self.reading_paused, self.paused_at = True, self.frontend.dispatcher.now()
             self.transport.pauseProducing()
 
-    def unread_time(self, goes_on: bool) -> int:
+    def unread_time(self, same_part: bool) -> int:
         # The wait for the turn does not count against the client.
-        return max(0, super().unread_time(goes_on) - self.turn_wait)
+        return max(0, super().unread_time(same_part) - self.turn_wait)
 
     def run_piece(self) -> bool:
         """Reads commands for up to PIECE_NS; returns whether there are more."""
@@ -158,7 +158,7 @@
             self.handle_items(items)
             if self.ended or self.closing:
                 return False
-            if len(self.pending) > MAX_OWED_ANSWERS:
+            if len(self.pending) > MAX_PENDING_ANSWERS:
                 self.answers_full = True
                 self.pause_if_full()
                 return False
@@ -183,29 +183,29 @@
 
     def flush(self) -> None:
         super().flush()
-        if self.answers_full and len(self.pending) < MAX_OWED_ANSWERS // 2 and not self.ended:
+        if self.answers_full and len(self.pending) < MAX_PENDING_ANSWERS // 2 and not self.ended:
             self.answers_full = False
             self._start_waiting()
             self.frontend.scheduler.enqueue(self.frontend.name, self.address, self)
 
     # ---- transactions ----
 
-    def begin_transaction(self, command: meta.Command, owed: PendingAnswer, unread: int) -> None:
+    def begin_transaction(self, command: meta.Command, pending_answer: PendingAnswer, unread: int) -> None:
         if self.frontend.at_limit(self):
-            self.frontend.safety.record_request_refusal(RequestRefusal.SHARE, owed.id)
-            owed.roll_back(self.frontend.dispatcher.jittered(self.frontend.limits.retry_after))
+            self.frontend.safety.record_request_refusal(RequestRefusal.SHARE, pending_answer.id)
+            pending_answer.roll_back(self.frontend.dispatcher.jittered(self.frontend.limits.retry_after))
             return
-        owed.counted_open = True
+        pending_answer.counted_open = True
         self.open += 1
         self.frontend.tx_opened(self)
-        super().begin_transaction(command, owed, unread)
+        super().begin_transaction(command, pending_answer, unread)
 
     def share_name(self, command: meta.Command) -> str:
         return CROWDING_SHARE if self.frontend.crowds(self) else command.params.get("tenant", "")
 
-    def answer_ready(self, owed: PendingAnswer) -> None:
-        if owed.counted_open:
-            owed.counted_open = False
+    def answer_ready(self, pending_answer: PendingAnswer) -> None:
+        if pending_answer.counted_open:
+            pending_answer.counted_open = False
             self.open -= 1
             self.frontend.tx_closed(self)
 
@@ -242,11 +242,11 @@
 
     def client_connected(self, client: ClientConnection) -> None:
         assert isinstance(client, TenantClient)
-        mine = self.clients_by_address.get(client.address, {})
-        if self.sockets.clients >= self.limits.clients and not self._make_room(len(mine)):
+        same_address = self.clients_by_address.get(client.address, {})
+        if self.sockets.clients >= self.limits.clients and not self._make_room(len(same_address)):
             client.abort(CloseReason.NO_REQUEST)
             return
-        self.clients_by_address.setdefault(client.address, mine)[client] = None
+        self.clients_by_address.setdefault(client.address, same_address)[client] = None
         super().client_connected(client)
 
     def is_full(self) -> bool:
@@ -255,20 +255,20 @@
 
     def may_displace(self, address: str) -> bool:
         """Whether a new connection from the address may take the place of another one when all are taken."""
-        mine = len(self.clients_by_address.get(address, ()))
-        return mine + 1 < max((len(clients) for clients in self.clients_by_address.values()), default=0)
+        own_count = len(self.clients_by_address.get(address, ()))
+        return own_count + 1 < max((len(clients) for clients in self.clients_by_address.values()), default=0)
 
-    def _make_room(self, mine: int) -> bool:
+    def _make_room(self, own_count: int) -> bool:
         """Closes a connection of the address that has most, unless the new one is its own. Returns whether it did."""
         address = max(self.clients_by_address, key=lambda a: len(self.clients_by_address[a]), default="")
         clients = self.clients_by_address.get(address, {})
-        if mine + 1 >= len(clients):
+        if own_count + 1 >= len(clients):
             return False
-        resting = (client for client in clients if client in self.idle_clients)
-        return self._close_some(resting, 1) > 0 or self._close_some(self._mid_command(clients), 1) > 0
+        idle = (client for client in clients if client in self.idle_clients)
+        return self._close_some(idle, 1) > 0 or self._close_some(self._mid_command(clients), 1) > 0
 
     def _mid_command(self, clients: "Iterable[TenantClient]") -> "Iterable[TenantClient]":
-        """Returns clients that have sent part of a command and are owed nothing, except those that wait for a turn."""
+        """Returns clients that sent part of a command and have no pending answer, except those that wait for a turn."""
         return (
             client
             for client in clients
@@ -279,14 +279,14 @@
             and not client.waiting
         )
 
-    def _close_some(self, clients: "Iterable[TenantClient]", most: int) -> int:
-        """Closes up to `most` clients; returns how many it closed.
+    def _close_some(self, clients: "Iterable[TenantClient]", max_count: int) -> int:
+        """Closes up to `max_count` clients; returns how many it closed.
 
         A client with unread data is never closed: it may be the rest of a request.
         """
         closed = 0
-        for client in list(islice(clients, CANDIDATES_PER_CLOSE * most)):
-            if closed < most:
+        for client in list(islice(clients, CANDIDATES_PER_CLOSE * max_count)):
+            if closed < max_count:
                 if client in self.idle_clients:
                     closed += self.close_idle(client)
                 elif client.nothing_unread():
@@ -296,9 +296,9 @@
 
     def client_disconnected(self, client: ClientConnection) -> None:
         if client in self.clients and isinstance(client, TenantClient):
-            mine = self.clients_by_address.get(client.address, {})
-            mine.pop(client, None)
-            if not mine:
+            same_address = self.clients_by_address.get(client.address, {})
+            same_address.pop(client, None)
+            if not same_address:
                 self.clients_by_address.pop(client.address, None)
             self.scheduler.remove(self.name, client.address, client)
         super().client_disconnected(client)
@@ -307,12 +307,12 @@
         """Closes up to `count` clients, as other tenants need their sockets: idle ones first, then unfinished ones."""
         idle = [client for client in self.idle_clients if isinstance(client, TenantClient)]
         mid_command = self._mid_command([client for client in self.clients if isinstance(client, TenantClient)])
-        for some in ([c for c in idle if c.answered], list(mid_command), [c for c in idle if not c.answered]):
-            count -= self._close_some(some, count)
+        for candidates in ([c for c in idle if c.answered], list(mid_command), [c for c in idle if not c.answered]):
+            count -= self._close_some(candidates, count)
 
     def relieve_buffers(self, client: ClientConnection) -> None:
-        # Drops the client that buffers most rather than the one whose data came last.
-        self.drop(max(self.clients, key=lambda one: one.buffered_bytes), CloseReason.MEMORY)
+        # Drops the client with the most buffered bytes rather than the one whose data came last.
+        self.drop(max(self.clients, key=lambda candidate: candidate.buffered_bytes), CloseReason.MEMORY)
 
     # ---- transactions ----
 
--- a/ternquay/hosted/tenants/runtime.py
+++ b/ternquay/hosted/tenants/runtime.py
@@ -196,11 +196,11 @@
             self.host_indices[id]: endpoint for id, endpoint in shared.items() if id in self.host_indices
         }
 
-    def _finish_hop(self, hop: OutgoingHop, end: m.HopOutcome, answer: Any = None, note: int = 0) -> None:
+    def _finish_hop(self, hop: OutgoingHop, outcome: m.HopOutcome, answer: Any = None, cache_result: int = 0) -> None:
         endpoint = self.shared_endpoints.get(hop.host) if self.shared_endpoints else None
-        super()._finish_hop(hop, end, answer, note)
+        super()._finish_hop(hop, outcome, answer, cache_result)
         if endpoint is not None:
-            self.shared_hop_ended(endpoint, end)
+            self.shared_hop_ended(endpoint, outcome)
 
 
 @dataclass(slots=True)
@@ -281,7 +281,7 @@
             self.client_limiter,
         )
         self.frontend.max_open_txs = tenant.limits.open_txs
-        self.frontend.set_accepting = self._gate
+        self.frontend.set_accepting = self._set_accepting
         self.frontend.fence_delay = (
             partial(resources.admission_delay, tenant.name) if resources.admission_delay is not None else None
         )
@@ -312,8 +312,8 @@
         if old.limits != new.limits or old.profiles != new.profiles:
             self._apply_limits(new)
         if (old.profiles, old.rules, old.shares) != (new.profiles, new.rules, new.shares):
-            start, names = decision_config(self.resources.process, new), decision_names(new, self.zones)
-            self.dispatcher.reconfigure(start, names, self.limits)
+            config, names = decision_config(self.resources.process, new), decision_names(new, self.zones)
+            self.dispatcher.reconfigure(config, names, self.limits)
         if old.listeners != new.listeners:
             for endpoint in set(old.listeners) - set(new.listeners):
                 if endpoint in self.ports:
@@ -337,7 +337,7 @@
             port.open(self.frontend, self.loop_timing.accept_ended)
             self.ports[endpoint] = port
 
-    def _gate(self, accept: bool) -> None:
+    def _set_accepting(self, accept: bool) -> None:
         for port in self.ports.values():
             port.set_accepting(accept)
 
@@ -449,8 +449,8 @@
         )
         self.dispatcher.apply_list(hosts, {id: view.endpoint for id, view in views.items() if view.shared})
 
-    def _shared_hop_ended(self, endpoint: Endpoint, end: m.HopOutcome) -> None:
-        changed = self.resources.shared_hosts.hop_ended(self.dispatcher.now(), endpoint, end)
+    def _shared_hop_ended(self, endpoint: Endpoint, outcome: m.HopOutcome) -> None:
+        changed = self.resources.shared_hosts.hop_ended(self.dispatcher.now(), endpoint, outcome)
         if changed:
             self.resources.refresh_lists(changed)
 
@@ -492,8 +492,8 @@
 class TenantLoopTiming(LoopTiming):
     """One tenant's view of the reactor's turns: they begin at the same time for all; each tenant has its own bound."""
 
-    def __init__(self, process_timing: LoopTiming, most: int) -> None:
-        self.process_timing, self.max_duration, self.accept_backlog_since = process_timing, most, 0
+    def __init__(self, process_timing: LoopTiming, max_duration: int) -> None:
+        self.process_timing, self.max_duration, self.accept_backlog_since = process_timing, max_duration, 0
 
     @property
     def started_at(self) -> int:  # type: ignore[override]
