--- a/ternquay/hosted/service.py
+++ b/ternquay/hosted/service.py
@@ -115,9 +115,8 @@
     address: str = ""  # of this machine; replaces 0.0.0.0 in tenants' listeners
     lease_ms: Annotated[int, msgspec.Meta(ge=300, le=60_000)] = 1000
     alone: Literal["stop", "go-on"] = "stop"
-    log_kept: Annotated[int, msgspec.Meta(ge=16, le=100_000)] = (
-        1024  # log entries, for members that were away for a short time
-    )
+    # Log entries that are kept for members that were away for a short time.
+    log_kept: Annotated[int, msgspec.Meta(ge=16, le=100_000)] = 1024
 
 
 class ServiceDocument(Document, frozen=True):
--- a/ternquay/net/watch_schedule.py
+++ b/ternquay/net/watch_schedule.py
@@ -46,9 +46,8 @@
     def __init__(self, limits: Limits, draw: Random, pushed: bool) -> None:
         self.limits, self.draw, self.pushed = limits, draw, pushed
         self.watching = False  # the last call was answered, and the next one continues that watch
-        self.fast_until = (
-            0  # a change that counts as delivered, now or soon, may have been missed: retry fast until then
-        )
+        # Until this time calls are retried fast: a change that counts as delivered, now or soon, may have been missed.
+        self.fast_until = 0
         self.fast_retried = False  # since the last response; prevents retrying fast for ever
         self.retry_delay = 0  # before the next call
         self.current = CallTimes(0, 0, 0)
