--- a/ternquay/hosted/shared/scheduler.py
+++ b/ternquay/hosted/shared/scheduler.py
@@ -105,11 +105,11 @@
         if self.round_robin.waiting or name in self.paused or queue is None:
             return False
         now = self.clock()
-        return now - self.loop_timing.began < SLICE_NS and not queue.ceiling.wait(now)
+        return now - self.loop_timing.started_at < SLICE_NS and not queue.ceiling.wait(now)
 
     def is_late(self, margin: int) -> bool:
         """Whether this turn of the reactor has lasted longer than a slice and `margin` nanoseconds."""
-        return self.clock() - self.loop_timing.began > SLICE_NS + margin
+        return self.clock() - self.loop_timing.started_at > SLICE_NS + margin
 
     def enqueue(self, name: str, client: str, work: Work) -> None:
         """Queues work until its turn comes."""
--- a/ternquay/net/serve.py
+++ b/ternquay/net/serve.py
@@ -56,7 +56,7 @@
 
     def mark_turns(self, loop_timing: LoopTiming) -> None:
         """Reports the start of each turn of the loop. The poller is the only place where Twisted allows it."""
-        self._poller = TimedPoller(self._poller, time.monotonic_ns, loop_timing.begins)
+        self._poller = TimedPoller(self._poller, time.monotonic_ns, loop_timing.begin)
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Listener:
         listener = Listener(port, factory, backlog, interface, self)
@@ -83,7 +83,7 @@
             reactor, self.dispatcher, self.limits, sockets, config.settings.parallel_hops
         )
         self.loop_timing = LoopTiming(self.limits.turn_duration)
-        self.dispatcher.stood_still = self.loop_timing.stood_still
+        self.dispatcher.process_stalled = self.loop_timing.process_stalled
         self.frontend = Frontend(reactor, self.dispatcher, self.limits, sockets, self.loop_timing)
         self.discovery = self._create_discovery(config.discovery)
         self.port: Any = None
@@ -95,7 +95,7 @@
 
     def _create_discovery(self, address: Address, previous: Discovery | None = None) -> Discovery:
         discovery = Discovery(self.reactor, self.dispatcher, self.limits, address, self.start_times, previous)
-        self.dispatcher.watch = discovery.watch
+        self.dispatcher.request_list = discovery.watch
         return discovery
 
     def begin(self) -> None:
@@ -130,9 +130,9 @@
         try:
             self._use_port(self.reactor.listenTCP(address.port, self.frontend, self.limits.backlog, address.host))
         except (CannotListenError, OSError) as fault:
-            self._not_listening(fault.socketError if isinstance(fault, CannotListenError) else fault)
+            self._listen_failed(fault.socketError if isinstance(fault, CannotListenError) else fault)
 
-    def _not_listening(self, fault: OSError) -> None:
+    def _listen_failed(self, fault: OSError) -> None:
         """Retries to listen, unless the error is permanent or the time limit has passed."""
         if fault.errno in PERMANENT_LISTEN_ERRORS or self.reactor.seconds() > self.listen_deadline:
             self.startup_error = ConfigError(f"listen: {self.config.listen}: {fault}")
@@ -147,10 +147,14 @@
             port.stopListening()
             return
         self.port = port
-        port.room, port.accepted, port.failed = self.frontend.room, self.loop_timing.accepted, self.frontend.shed
-        self.frontend.gate = lambda accept: port.gate(accept and not self.peer_accepts)
+        port.accept_limit, port.on_accepted, port.on_no_room = (
+            self.frontend.accept_room,
+            self.loop_timing.accept_ended,
+            self.frontend.close_longest_idle,
+        )
+        self.frontend.set_accepting = lambda accept: port.set_accepting(accept and not self.peer_accepts)
         if isinstance(port, Listener):
-            self.frontend.waiting = port.waiting
+            self.frontend.accept_queue_length = port.queue_length
         logger.info("{} serves on {}", self.config.name, self.config.listen)
 
     def _begin_with_replacement(self, then: Callable[[], None]) -> None:
@@ -179,8 +183,8 @@
         peer_accepts = self.replacement.other_serves and (self.draining or self.ending)
         if peer_accepts != self.peer_accepts and self.port is not None:
             self.peer_accepts = peer_accepts
-            self.frontend.gate(not self.frontend.held_up)
-        self.frontend.has_room()  # the ceiling of sockets may have risen
+            self.frontend.set_accepting(not self.frontend.accepting_paused)
+        self.frontend.resume_accepting()  # the ceiling of sockets may have risen
 
     def reload(self) -> None:
         """Reads the configuration file again (SIGHUP). Only another discovery address takes effect.
@@ -215,20 +219,20 @@
             return "out of service"
         if self.port is None:
             return "waits for the process that it replaces"
-        return "" if self.dispatcher.hosts else "no cache host is known"
+        return "" if self.dispatcher.host_indices else "no cache host is known"
 
     def out_of_service(self) -> str:
         """Starts to drain: refuses `mn` at once and, a little later, closes each client after its response."""
         if not self.draining:
-            self.draining, self.frontend.hello = True, meta.OUT_OF_SERVICE
+            self.draining, self.frontend.noop_answer = True, meta.OUT_OF_SERVICE
             self.drain_steps = [
                 self.reactor.callLater(at / SECOND, step)
                 for at, step in (
                     (self.limits.accept_grace, lambda: self.frontend.leave(self.limits.new_client_grace)),
-                    (self.limits.drain_cutoff_after, self.frontend.cut_off),
+                    (self.limits.drain_cutoff_after, self.frontend.close_inactive),
                 )
             ]
-            logger.info("out of service, {} transactions open", len(self.dispatcher.txs))
+            logger.info("out of service, {} transactions open", len(self.dispatcher.open_txs))
         return ""
 
     def in_service(self) -> str:
@@ -237,7 +241,7 @@
             return "ending"
         if self.draining:
             self._cancel_drain()
-            self.frontend.leaving, self.frontend.hello = False, meta.HELLO
+            self.frontend.leaving, self.frontend.noop_answer = False, meta.NOOP_ANSWER
             logger.info("in service")
         return ""
 
@@ -247,7 +251,7 @@
 
     def events(self) -> str:
         """Returns the latest events, one per line."""
-        return self.dispatcher.safety.latest()
+        return self.dispatcher.safety.recent_events()
 
     def _cancel_drain(self) -> None:
         self.draining = False
@@ -259,7 +263,7 @@
         return {signal.SIGTERM: self.end, signal.SIGINT: self.end, signal.SIGHUP: self.reload}
 
     def end(self) -> None:
-        """Starts the planned shutdown (SIGTERM): accepts clients a moment longer and serves connected ones until late.
+        """Starts the planned shutdown (SIGTERM). Clients are accepted a little longer, and connected ones are served.
 
         Closing their connections at once would move all of them to other balancers, which may be about to end too.
         """
@@ -267,21 +271,21 @@
             return
         self.ending = True
         self._cancel_drain()
-        logger.info("shutdown requested, {} transactions open", len(self.dispatcher.txs))
+        logger.info("shutdown requested, {} transactions open", len(self.dispatcher.open_txs))
         if self.replacement is not None and self.replacement.other_serves:
             # New connections, and clients that have their responses, belong to the other process.
             self._stop_accepting()
             self.frontend.leave(self.limits.new_client_grace)
             self._wait_for_clients()
-        self.dispatcher.ends_at = self.dispatcher.now() + self.limits.last_answer_after
+        self.dispatcher.answer_deadline = self.dispatcher.now() + self.limits.last_answer_after
         self.reactor.callLater(self.limits.accept_grace / SECOND, self._stop_accepting)
         self.reactor.callLater(self.limits.leave_after / SECOND, self._close_clients)
         self.reactor.callLater(self.limits.stop_after / SECOND, self._flush_and_exit)
 
     def _stop_accepting(self) -> None:
         """Closes the listening socket, first accepting the connections in its queue as far as there is room."""
-        self.frontend.gate = lambda accept: None
-        self.frontend.waiting = lambda: 0
+        self.frontend.set_accepting = lambda accept: None
+        self.frontend.accept_queue_length = lambda: 0
         port = self.port
         # A second process, if there may be one, shares the accept queue of the listening socket.
         own_queue = self.replacement is None and isinstance(port, Listener)
@@ -291,7 +295,7 @@
             and not accept_all_waiting(port, self.sockets)
             and not self.frontend.leaving
         ):
-            self.frontend.shed()
+            self.frontend.close_longest_idle()
             self.reactor.callLater(0.01, self._stop_accepting)
             return
         self.port = None
@@ -299,11 +303,12 @@
             port.stopListening()
 
     def _close_clients(self) -> None:
+        """Closes connections between transactions, and exits when all are closed."""
         self.frontend.leave()
         self._wait_for_clients()
 
     def _wait_for_clients(self) -> None:
-        if self.frontend.all:
+        if self.frontend.clients:
             self.reactor.callLater(0.01, self._wait_for_clients)
         else:
             self._flush_and_exit()
@@ -312,7 +317,7 @@
         """Exits when the last responses are written, or after the flush timeout."""
         if not self.stopping:
             self.stopping = True
-            after_answers_sent(self.reactor, self.frontend.owes, self.limits.flush_timeout, self._exit)
+            after_answers_sent(self.reactor, self.frontend.has_unsent_answers, self.limits.flush_timeout, self._exit)
 
     def _exit(self) -> None:
         if self.reactor.running:
@@ -320,7 +325,9 @@
             if self.replacement is not None:
                 self.replacement.stop()
             logger.info(self.dispatcher.safety.summary())
-            logger.info("stopped, {} transactions open", sum(not tx.answered for tx in self.dispatcher.txs.values()))
+            logger.info(
+                "stopped, {} transactions open", sum(not tx.answered for tx in self.dispatcher.open_txs.values())
+            )
             self.reactor.stop()
 
 
@@ -341,8 +348,8 @@
     service = Service(reactor, config, decisions)
     service.begin()
     reactor.mark_turns(service.loop_timing)
-    # The objects that exist now stay. Without the freeze, a full garbage collection took 30 ms of one core, in which
-    # every response is late and a client's disconnect is not noticed.
+    # The objects that exist now live until the end. Without the freeze, a full garbage collection took 30 ms of one
+    # core, in which every response is late and a client's disconnect is not noticed.
     gc.freeze()
 
     def install_handler(number: signal.Signals, handler: Callable[[], None]) -> None:
--- a/ternquay/rig/virtual.py
+++ b/ternquay/rig/virtual.py
@@ -12,10 +12,10 @@
 
 from ternquay.rig import records
 from ternquay.rig.laws import fleet as f
-from ternquay.rig.laws.cachehost import Ask
+from ternquay.rig.laws.cachehost import CacheCommand
 from ternquay.rig.laws.clients import Arrival, Clients, value_size
 from ternquay.rig.laws.listing import Entry
-from ternquay.rig.terms import MS, SECOND, Day, planned
+from ternquay.rig.terms import MS, SECOND, Day, plan_faults
 
 NET = MS // 5  # one way between any two
 BEGIN = 1000 * SECOND
@@ -56,7 +56,7 @@
     balancer: Small = field(init=False)
 
     def __post_init__(self) -> None:
-        faults = planned(self.day, self.seed)
+        faults = plan_faults(self.day, self.seed)
         places = [f"host-{n}" for n in range(self.day.hosts.count)]
         self.fleet = f.Fleet(self.day, faults, self.seed, places)
         self.clients = Clients(self.day, faults, self.seed)
@@ -96,7 +96,7 @@
             self.now + BEGIN,
         )
         self.hops.append(hop)
-        ask = Ask(id, arrival.profile, profile.write, arrival.key, mark, value_size(self.day, arrival.key))
+        ask = CacheCommand(id, arrival.profile, profile.write, arrival.key, mark, value_size(self.day, arrival.key))
         self.tickets[self.fleet.arrive(self.now, host, ask)] = hop
 
     def _hop_ended(self, id: str, hop: records.Hop, what: str, stamp: str) -> None:
@@ -123,7 +123,7 @@
             self.later(at, self._try, found.arrival, seen.tries + 1, at)
 
     def _try(self, arrival: Arrival, tries: int, at: int) -> None:
-        id, limit = f"t{arrival.number}.{tries}", self.clients.left(arrival, at)
+        id, limit = f"t{arrival.number}.{tries}", self.clients.time_left(arrival, at)
         seen = records.Try(
             arrival.number,
             tries,
@@ -155,10 +155,10 @@
     # ---- time ----
 
     def _take(self) -> None:
-        for outcome in self.fleet.take():
+        for outcome in self.fleet.take_outcomes():
             if isinstance(outcome, f.Answer):
                 hop = self.tickets[outcome.ticket]
-                self.later(self.now + NET, self._hop_ended, hop.id, hop, outcome.what, outcome.stamp)
+                self.later(self.now + NET, self._hop_ended, hop.id, hop, outcome.kind, outcome.stamp)
             elif isinstance(outcome, f.ListChanged):
                 self.later(outcome.at, self._tell, self.fleet.listing.revision(outcome.at - 1))
 
@@ -183,16 +183,16 @@
 
     def _saw(self) -> records.Saw:
         for ticket, hop in self.tickets.items():
-            seen = self.fleet.seen[ticket]
+            seen = self.fleet.records[ticket]
             hop.fate, hop.repeat, hop.note, hop.stamp = seen.fate, seen.repeat, seen.note, seen.stamp
             hop.effect, hop.answer, hop.cold = seen.effect and seen.effect + BEGIN, seen.answer, seen.cold
         origin = self.fleet.origin
         saw = records.FleetSaw(
             self.hops,
             self.told,
-            [records.Tipped(t.at + BEGIN, t.host, t.name, t.warmth, t.pushed) for t in self.fleet.tips],
-            [records.Stopped(s.at + BEGIN, s.asked, s.by_cold) for s in origin.stops],
-            origin.asked,
+            [records.Tipped(t.at + BEGIN, t.host, t.name, t.warmth, t.pushed) for t in self.fleet.collapses],
+            [records.Stopped(s.at + BEGIN, s.asked, s.by_cold) for s in origin.outages],
+            origin.requests_by_tenth,
             [],
             [],
         )
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -124,11 +124,16 @@
     client.feed(mg(2))
     [w for w in net.wires if w.name == "host 1" and not w.lost][-1].feed(va(2))
     net.run(FORGET_HOST_AFTER_NS // 1_000_000 + 3000)
-    assert not net.dispatcher.hosts and not net.dispatcher.members and not net.dispatcher.doubted and not net.pool.hosts
+    assert (
+        not net.dispatcher.host_indices
+        and not net.dispatcher.host_entries
+        and not net.dispatcher.missing_since
+        and not net.pool.hosts
+    )
     assert not net.dispatcher.balancer.hosts
     net.list(member(1))
     net.run(1)
     client = net.client()
     client.feed(mg(3))
     net.accept().feed(va(3))
-    assert not net.dispatcher.doubted
+    assert not net.dispatcher.missing_since
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -129,7 +129,7 @@
         net.run(20)
         host.feed(va(number))
     old = net.dispatcher.balancer
-    names = {index: name for name, index in net.dispatcher.hosts.items()}
+    names = {index: name for name, index in net.dispatcher.host_indices.items()}
     encoded = encode_learned(old.learned(), names)
     learned = decode_learned(
         encoded | {"hosts": encoded["hosts"] | {"unknown": encoded["hosts"]["h1"]}}, {"h1": 7, "h2": 3}
@@ -160,13 +160,13 @@
 def test_a_cold_host_takes_half_its_load_from_each_of_two_processes() -> None:
     net = Net(hosts=1)
     net.list(member(2, since=1_000_000))
-    net.dispatcher.beside(0.5)
+    net.dispatcher.set_cold_fraction(0.5)
     assert [h.cold_fraction for h in net.dispatcher.balancer.hosts.values()] == [0.5, 0.5]
     net.list(member(3, since=1_000_000))
     net.list(member(1, "removed"))
-    net.dispatcher.beside(1.0)
+    net.dispatcher.set_cold_fraction(1.0)
     assert [h.cold_fraction for h in net.dispatcher.balancer.hosts.values()] == [1.0, 1.0] and set(
-        net.dispatcher.members
+        net.dispatcher.host_entries
     ) == {
         "h2",
         "h3",
@@ -250,17 +250,17 @@
                 for _ in range(2):  # if the connection was closed between two transactions, a retry on a new one
                     try:
                         client.sendall(text)
-                        found = client.recv(1000)
+                        reply = client.recv(1000)
                     except OSError:
-                        found = b""
-                    if found:
+                        reply = b""
+                    if reply:
                         break
                     client.close()
                     client = socket.create_connection(("127.0.0.1", held.listen), timeout=10)
-                if found != b"VA 9 O%d.%d\r\nk9.k9.k9.\r\n" % (number, count) and not found.startswith(
+                if reply != b"VA 9 O%d.%d\r\nk9.k9.k9.\r\n" % (number, count) and not reply.startswith(
                     b"SERVER_ERROR busy"
                 ):
-                    wrong.append((text, found))
+                    wrong.append((text, reply))
                 time.sleep(0.01)
             client.close()
 
@@ -271,9 +271,9 @@
                 try:
                     with closing(socket.create_connection(("127.0.0.1", held.listen), timeout=10)) as client:
                         client.sendall(b"mg k9 v O%d-%d Pc=read,d=800\r\n" % (number, count))
-                        found = client.recv(1000)
-                    if not found.startswith((b"VA 9 O%d-%d\r\n" % (number, count), b"SERVER_ERROR busy")):
-                        wrong.append(found)
+                        reply = client.recv(1000)
+                    if not reply.startswith((b"VA 9 O%d-%d\r\n" % (number, count), b"SERVER_ERROR busy")):
+                        wrong.append(reply)
                 except OSError as fault:
                     wrong.append(fault)
                 time.sleep(0.01)
--- a/tests/test_review_links.py
+++ b/tests/test_review_links.py
@@ -123,9 +123,9 @@
 
     monkeypatch.setattr(net.dispatcher.balancer, "decide", both)
     first.feed(mg(1))
-    requester = net.dispatcher.txs[0].requester
+    requester = net.dispatcher.open_txs[0].requester
     monkeypatch.setattr(
-        type(requester), "roll_back", lambda self, wait: 1 / 0 if self is requester else self.put(b"x\r\n")
+        type(requester), "roll_back", lambda self, wait: 1 / 0 if self is requester else self.set_answer(b"x\r\n")
     )
     second.feed(mg(2))
     assert replies(net, 1) == ["b'x\\r\\n'"]
@@ -145,7 +145,7 @@
         broken.setattr(Balancer, "_route", routed)
         net.client().feed(mg(1))
     net.run(1000)
-    assert not balancer.txs and not net.dispatcher.txs and balancer.in_flight == 0
+    assert not balancer.txs and not net.dispatcher.open_txs and balancer.in_flight == 0
     assert all(host.in_flight == 0 for host in balancer.hosts.values())
     assert len(replies(net)) == 1
 
@@ -158,8 +158,8 @@
     client = net.client()
     for n in range(200):  # each sets the timer a little earlier than the one before, and before the next tick
         client.feed(mg(n, key=f"k{n}", ttl=240 - n))
-    assert len(net.dispatcher.txs) > 100
-    left = [call for call in net.reactor.getDelayedCalls() if call.func == net.dispatcher.happened]
+    assert len(net.dispatcher.open_txs) > 100
+    left = [call for call in net.reactor.getDelayedCalls() if call.func == net.dispatcher.handle_event]
     assert len(left) == 1, len(left)
 
 
@@ -173,7 +173,7 @@
     client.feed(ms(1))
     host = net.accept()
     client.end()
-    assert host.lost and not net.dispatcher.txs and net.sockets.hosts == net.sockets.clients == 0
+    assert host.lost and not net.dispatcher.open_txs and net.sockets.hosts == net.sockets.clients == 0
 
 
 def test_a_client_that_vanished_keeps_its_socket_until_another_client_needs_it() -> None:
@@ -211,7 +211,7 @@
     client = net.client()
     client.feed(mg(1))
     net.run(600)  # the test's reactor has no connect timeout, so the deadline of the hop applies
-    assert not net.dispatcher.txs and "busy" in replies(net)[0]
+    assert not net.dispatcher.open_txs and "busy" in replies(net)[0]
     while net.reactor.tcpClients:
         *_, factory, _, _ = net.reactor.tcpClients.pop(0)
         factory.clientConnectionFailed(None, connectionDone)
@@ -226,7 +226,7 @@
         if net.reactor.tcpClients:
             net.accept()
     net.run(1000)
-    assert net.sockets.hosts == 0 and not net.dispatcher.txs and not net.pool.buffered_bytes
+    assert net.sockets.hosts == 0 and not net.dispatcher.open_txs and not net.pool.buffered_bytes
     assert "".join(replies(net)).count("SERVER_ERROR failed") + "".join(replies(net)).count("busy") == 4
 
 
@@ -244,7 +244,7 @@
     for wire in [w for w in net.wires if w.name.startswith("host") and not w.lost]:
         wire.end()
     assert net.sockets.hosts == 0
-    assert all(net.pool.idle_loss.holds(rested * MS, net.dispatcher.now()) for rested in (1, 50, 1000, 2900))
+    assert all(net.pool.idle_loss.is_usable(rested * MS, net.dispatcher.now()) for rested in (1, 50, 1000, 2900))
 
 
 # ---- a real process: endless responses of discovery, a limit on descriptors ----
@@ -295,7 +295,7 @@
 @contextmanager
 def serving(config: dict[str, Any], folder: Path, files: int = 0) -> Iterator["subprocess.Popen[bytes]"]:
     """Runs a process with this configuration, and a limit of `files` descriptors unless that is 0."""
-    path = folder / "told.json"
+    path = folder / "config.json"
     path.write_text(json.dumps(config))
     with open(folder / "log", "wb") as log:
         process = subprocess.Popen(
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -27,9 +27,9 @@
 from ternquay.rig.load import Connection, Load
 from ternquay.rig.measure import measure
 from ternquay.rig.ports import drawn_from, free_place
-from ternquay.rig.standins.reader import CommandReader, Strange
+from ternquay.rig.standins.reader import CommandError, CommandReader
 from ternquay.rig.survey import Job, against, by_day
-from ternquay.rig.terms import MS, SECOND, DayError, day_names, planned, read_day
+from ternquay.rig.terms import MS, SECOND, DayError, day_names, plan_faults, read_day
 from ternquay.rig.virtual import World
 from tests.test_judge import QUIET, Right
 
@@ -77,9 +77,9 @@
 
 def test_a_fault_has_the_same_targets_for_the_same_seed() -> None:
     day = read_day("crash-fifth")
-    assert planned(day, 3) == planned(day, 3)
-    assert len({planned(day, seed)[0].hosts for seed in range(9)}) > 1
-    assert len(planned(day, 3)[0].hosts) == 2
+    assert plan_faults(day, 3) == plan_faults(day, 3)
+    assert len({plan_faults(day, seed)[0].hosts for seed in range(9)}) > 1
+    assert len(plan_faults(day, 3)[0].hosts) == 2
 
 
 BAD = [
@@ -140,7 +140,7 @@
             ("c3", "k3", False, "", 1),
         ]
         if cut == 1:
-            assert [c.came for c in found] == [0, 27, 65]
+            assert [c.received_at for c in found] == [0, 27, 65]
     for bad in (
         b"get k\r\n",
         b"mg k v Oa\r\n",
@@ -151,7 +151,7 @@
         b"mg k v Oa Ob Pc=c,d=1\r\n",
         b"x" * 5000,
     ):
-        with pytest.raises(Strange):
+        with pytest.raises(CommandError):
             CommandReader().feed(0, bad)
 
 
