--- a/ternquay/net/discovery.py
+++ b/ternquay/net/discovery.py
@@ -158,7 +158,7 @@
         revision, complete, entries = parse_list(document, 0)
         if revision < self.revision:
             raise FieldError(f"revision: {revision} is older than {self.revision}, the latest revision")
-        self.revision = revision  # set first, as the balancer may request the next list from within list_told()
+        self.revision = revision  # set first, as the balancer may request the next list from within update_hosts()
         self.dispatcher.update_hosts(complete, self.start_times.to_monotonic(complete, entries, self.dispatcher.now()))
 
     def _start_call(self) -> None:
